--- a/Services/figlift-entry/AnswerWriter.cpp
+++ b/Services/figlift-entry/AnswerWriter.cpp
@@ -1,4 +1,4 @@
-//===- AnswerWriter.cpp - Answers in the caller's form --------------------===//
+//===- AnswerWriter.cpp - HTTP responses to callers -----------------------===//
 //
 // See AnswerWriter.h.
 //
@@ -19,7 +19,8 @@
 
 constexpr std::string_view EndOfEvents = "[DONE]";
 
-/// Answers may hold bytes that are not UTF-8; they must not end the process.
+/// Model output may contain invalid UTF-8. It is replaced, because the default
+/// error handler of the JSON library throws, which would end the process.
 std::string dump(const ordered_json &Value) {
   return Value.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
@@ -98,8 +99,8 @@
   std::call_once(m_Begun, [&] { m_Caller->replyProblem(What); });
   if (!m_Stream)
     return;
-  // The status has long been sent. Without [DONE] no client takes the answer
-  // for a whole one.
+  // The HTTP status has already been sent. Clients recognize the response as
+  // incomplete because [DONE] is missing.
   m_Stream->send("{\"error\":" + http::problemBody(What, {}) + "}");
   m_Stream->close();
 }
--- a/Services/figlift-entry/AnswerWriter.h
+++ b/Services/figlift-entry/AnswerWriter.h
@@ -1,7 +1,7 @@
-//===- AnswerWriter.h - Answers in the caller's form ------------*- C++ -*-===//
+//===- AnswerWriter.h - HTTP responses to callers ---------------*- C++ -*-===//
 //
-// What a call writes to its caller: a stream of chunks, one whole completion,
-// or the answer of a plain service.
+// Writes the response of a call: a stream of completion chunks, a buffered
+// completion, or the response of a service back end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace figlift::entry {
 
-/// End of a completion.
+/// Finish reason and token usage of a completion.
 struct CompletionEnd {
   std::string FinishReason;
   uint32_t PromptTokens = 0;
@@ -29,16 +29,17 @@
   uint32_t CachedPromptTokens = 0;
 };
 
-/// Server-sent events. The answer begins with the first token, so that what
-/// fails before it is an HTTP status of its own.
+/// Streams server-sent events. The response starts with the first token, so
+/// that an earlier failure can still be reported with its own HTTP status.
 class StreamedCompletion {
 public:
   StreamedCompletion(std::shared_ptr<http::Exchange> Caller,
                      const CompletionWork &Work, std::string Id,
                      std::function<void()> Gone);
-  /// False when the caller has gone.
+  /// Returns false when the caller has disconnected.
   bool tokens(std::string_view Text);
-  /// Writes something that a caller ignores; begins the answer. Any thread.
+  /// Writes a comment event, which callers ignore, and starts the response if
+  /// necessary. Thread-safe.
   bool keepAlive();
   void finish(const CompletionEnd &End);
   void fail(const Error &What);
@@ -49,16 +50,16 @@
   const std::shared_ptr<http::Exchange> m_Caller;
   const std::function<void()> m_Gone;
   const bool m_IsChat;
-  /// Everything of a chunk before its text.
+  /// JSON prefix of every chunk, up to the generated text.
   std::string m_Head;
-  /// The answer is begun, or ended as a problem, once: tokens, the keep-alive
-  /// timer and a failure may all come first.
+  /// Starts the event stream, or sends a problem response instead, only once:
+  /// tokens, the keep-alive timer and a failure can race to be first.
   std::once_flag m_Begun;
-  /// Null until begun, and for ever when the answer is a problem.
+  /// Null until the response starts; stays null for a problem response.
   std::shared_ptr<http::EventStream> m_Stream;
 };
 
-/// One JSON object, written at the end.
+/// Buffers the tokens and sends one JSON object at the end.
 class WholeCompletion {
 public:
   WholeCompletion(std::shared_ptr<http::Exchange> Caller,
@@ -76,7 +77,7 @@
   std::string m_Text;
 };
 
-/// Status and body as the target gave them.
+/// Forwards status and body of a service back end unchanged.
 class PlainAnswer {
 public:
   explicit PlainAnswer(std::shared_ptr<http::Exchange> Caller)
@@ -93,8 +94,8 @@
                                   std::unique_ptr<WholeCompletion>,
                                   std::unique_ptr<PlainAnswer>>;
 
-/// The writer that fits the request. \p Gone is called when a write to the
-/// caller failed.
+/// Creates the writer for the kind of request. \p OnDisconnect is called when a
+/// write to the caller fails.
 AnswerWriter makeAnswerWriter(std::shared_ptr<http::Exchange> Caller,
                               const CallerRequest &For,
                               std::function<void()> Gone);
