--- a/Services/figlift-entry/Arms.cpp
+++ b/Services/figlift-entry/PolicyByName.cpp
@@ -1,10 +1,10 @@
-//===- Arms.cpp - Policies by their names in the settings -----------------===//
+//===- PolicyByName.cpp - Policies named in the settings ------------------===//
 //
-// See Arms.h.
+// See PolicyByName.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "figlift-entry/Arms.h"
+#include "figlift-entry/PolicyByName.h"
 
 namespace figlift::entry {
 
--- /dev/null
+++ b/Services/figlift-entry/PolicyByName.h
@@ -0,0 +1,24 @@
+//===- PolicyByName.h - Policies named in the settings ----------*- C++ -*-===//
+//
+// Benchmarks compare the production policy with baseline policies and with
+// variants that have one mechanism disabled. The settings select one by name.
+//
+//===----------------------------------------------------------------------===//
+
+#pragma once
+
+#include "LibPlan/RolePlanner.h"
+#include "LibRoute/Policy.h"
+
+#include <string_view>
+
+namespace figlift::entry {
+
+/// \p Name is one of settings::RoutingArms. Unknown names select the production
+/// policy.
+route::Policy routingArm(std::string_view Name);
+/// \p Name is one of settings::RoleArms. Unknown names select the production
+/// policy.
+plan::PlanPolicy roleArm(std::string_view Name);
+
+} // namespace figlift::entry
