--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -1,4 +1,4 @@
-//===- Entry.cpp - One entry process --------------------------------------===//
+//===- Entry.cpp - The entry process --------------------------------------===//
 //
 // See Entry.h.
 //
@@ -6,7 +6,7 @@
 
 #include "figlift-entry/Entry.h"
 
-#include "figlift-entry/Arms.h"
+#include "figlift-entry/PolicyByName.h"
 
 #include "LibHttp/Administration.h"
 #include "LibMetrics/ProcessMetrics.h"
@@ -23,13 +23,13 @@
 namespace {
 
 constexpr milliseconds NotReadyRetryAfter{500};
-/// How long readiness is refused before the listener closes at the earliest,
-/// so that the balancer has seen it.
+/// Minimum time between reporting not ready and closing the listener, so that
+/// the load balancer notices and stops sending requests.
 constexpr milliseconds LeavingNotice{300};
 constexpr milliseconds DrainCheckInterval{10};
 constexpr double PercentToRatio = 0.01;
-/// The table is polled for the head; other entries more seldom, because their
-/// answers only tell operators of them while the table can be read.
+/// Other entries are polled less often than the table: while the table is
+/// readable, their replies only serve the status that operators see.
 constexpr int PeerPollFactor = 2;
 
 timeline::TimelineOptions timelineOptions(const settings::EntrySettings &From) {
@@ -193,8 +193,10 @@
 
 Result<void> Entry::ready() const {
   if (m_Leaving.load())
-    return outcome::failure(Error{
-        ResultCode::Draining, "this entry is leaving", {}, NotReadyRetryAfter});
+    return outcome::failure(Error{ResultCode::Draining,
+                                  "this entry is shutting down",
+                                  {},
+                                  NotReadyRetryAfter});
   const auto Reason =
       m_State.read([](const ServingState &Now) { return Now.NotReady; });
   if (Reason)
@@ -220,8 +222,9 @@
           }});
 }
 
-/// What requests are served with, not what has merely arrived: an operator who
-/// is told that a revision is in force may rely on the next answer.
+/// Returns the configuration that requests are served with, which may be older
+/// than the last one received: when a revision is reported as in force, the
+/// next request must be served with it.
 config::SnapshotPointer Entry::inForce() const {
   if (!m_Configuration->current())
     return nullptr;
--- a/Services/figlift-entry/Entry.h
+++ b/Services/figlift-entry/Entry.h
@@ -1,7 +1,7 @@
-//===- Entry.h - One entry process ------------------------------*- C++ -*-===//
+//===- Entry.h - The entry process ------------------------------*- C++ -*-===//
 //
-// Puts the parts of an entry together, and takes them apart again when the
-// process is told to leave.
+// Creates and connects the components of an entry, and shuts them down in order
+// when the process stops.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 #include "figlift-entry/OperatorApi.h"
 #include "figlift-entry/PeerConfiguration.h"
 #include "figlift-entry/PeerServer.h"
-#include "figlift-entry/Planning.h"
+#include "figlift-entry/PlannerHost.h"
 
 #include "LibConfig/ConfigService.h"
 #include "LibHttp/Server.h"
@@ -27,13 +27,14 @@
 
 class Entry {
 public:
-  /// Starts everything; the listeners are bound when this returns.
+  /// Starts all components. The listeners are bound when this returns.
   static Result<std::unique_ptr<Entry>>
   create(const settings::EntrySettings &Settings);
   ~Entry();
 
-  /// Refuses new requests, waits until the running ones have ended (at most
-  /// the drain timeout) and closes everything. False when some were cut.
+  /// Refuses new requests, waits for the requests in flight up to the drain
+  /// timeout and stops all components. Returns false when requests were
+  /// interrupted.
   bool leave();
 
 private:
@@ -49,7 +50,7 @@
   Result<void> ready() const;
   void registerMetrics();
   uint64_t controlBytes() const;
-  /// Null before the first.
+  /// Null until a configuration has been received.
   config::SnapshotPointer inForce() const;
   bool askAgentToDrain(const std::string &Target, bool Undo) const;
   bool waitForRequests() const;
@@ -65,10 +66,10 @@
   const retry::RetrySettings m_Retrying;
   const route::Policy m_Routing;
   ServingStatePointer m_State;
-  /// Control state and polls.
+  /// Runs control tasks and polls.
   EventLoop m_Control;
-  /// Deadlines and retries of requests; apart, so that they are never late
-  /// because a table is built.
+  /// Runs deadlines and retries of requests. Separate from m_Control, so that
+  /// building a routing table does not delay them.
   EventLoop m_Timers;
   std::unique_ptr<platform::HttpPlatform> m_Platform;
   std::unique_ptr<wire::Client> m_Transport;
--- a/Services/figlift-entry/Planning.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -1,12 +1,12 @@
-//===- Planning.cpp - The planner in an entry -----------------------------===//
+//===- PlannerHost.cpp - Runs the planner in an entry ---------------------===//
 //
-// See Planning.h.
+// See PlannerHost.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "figlift-entry/Planning.h"
+#include "figlift-entry/PlannerHost.h"
 
-#include "figlift-entry/Arms.h"
+#include "figlift-entry/PolicyByName.h"
 
 #include "LibLog/Log.h"
 #include "LibMetrics/ProcessMetrics.h"
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds TickInterval{100};
-/// How long a stop waits for leases to be given back; they end by themselves.
+/// How long a stop waits for leases to be released. Unreleased leases expire.
 constexpr std::chrono::milliseconds ReleaseLimit{1000};
 
 std::string describe(const plan::Change &What) {
@@ -46,12 +46,12 @@
     : m_Parts(Of), m_View(Of.Settings, Of.Known, Of.Events, Of.Metrics),
       m_Service(Of.Settings.Process.Id, shardParts()),
       m_RoleChanges(Of.Metrics.counter("planner_role_changes_total",
-                                       "Role changes that were ordered.")) {}
+                                       "Role changes ordered.")) {}
 
 planner::ShardParts Planning::shardParts() {
   lease::LeaseOptions Lease;
-  // Unique for each start: a process that comes back under the same id must
-  // not take its predecessor's lease for its own.
+  // Unique for each start: a process that restarts with the same id must not
+  // mistake the lease of its predecessor for its own.
   Lease.Self = m_Parts.Settings.Process.Id + "/" + m_Parts.Ids.nextText();
   Lease.Duration = m_Parts.Settings.Lease.Duration;
   Lease.Margin = m_Parts.Settings.Lease.Margin;
--- a/Services/figlift-entry/Planning.h
+++ b/Services/figlift-entry/PlannerHost.h
@@ -1,9 +1,8 @@
-//===- Planning.h - The planner in an entry ---------------------*- C++ -*-===//
+//===- PlannerHost.h - Runs the planner in an entry -------------*- C++ -*-===//
 //
-// Runs the planner service on the control thread: drives it, keeps the entry
-// connected to all targets of the shards it plans for, and writes down what
-// the planner did. Stopped first of all when the entry leaves, so that its
-// leases are given back.
+// Runs the planner service on the control thread, keeps the entry connected to
+// all targets of the shards it plans, and logs the planner's actions. Stopped
+// before the other components at shutdown, so that its leases are released.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,10 +31,10 @@
 
   explicit Planning(Parts Of);
 
-  /// Any thread, as the next one.
+  /// Thread-safe, like stop().
   void start();
-  /// Gives every lease back; \p Done runs on the control thread once that is
-  /// written or given up.
+  /// Releases all leases. \p Done runs on the control thread when they are
+  /// released or the time limit has passed.
   void stop(std::function<void()> Done);
 
 private:
