--- a/Services/figlift-entry/Attempt.cpp
+++ b/Services/figlift-entry/Attempt.cpp
@@ -28,7 +28,7 @@
   std::shared_ptr<wire::Stream> Opened =
       m_Link->channel().open(What, std::move(FirstMessage), shared_from_this());
   m_Stream.store(Opened);
-  // A cancel that came before the store found no stream to reset.
+  // cancel() may have run before the stream was stored, with nothing to reset.
   if (Opened && m_CancelWanted.load())
     Opened->cancel();
 }
@@ -47,7 +47,8 @@
 void Attempt::onMessage(std::string_view Message) {
   if (m_Settled)
     return;
-  // The call lets go of its attempt while it is told of the end.
+  // The call may drop its last reference to this attempt while it handles the
+  // end of the attempt.
   const auto Self = shared_from_this();
   wire::RunFrame Frame;
   if (!Frame.ParseFromArray(Message.data(), static_cast<int>(Message.size()))) {
--- a/Services/figlift-entry/Attempt.h
+++ b/Services/figlift-entry/Attempt.h
@@ -1,7 +1,7 @@
 //===- Attempt.h - One stream of a call to an agent -------------*- C++ -*-===//
 //
-// Checks the frames of one Run or Resume and passes on those that belong to
-// it, until the attempt has ended once.
+// Receives the frames of one Run or Resume stream, drops those of other
+// attempts, and forwards the rest to the call until the attempt has ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +19,8 @@
 
 class Call;
 
-/// Frames arrive on the I/O thread of the channel, one at a time. cancel()
-/// may be called from any thread.
+/// Frames arrive one at a time on the I/O thread of the channel. cancel() is
+/// thread-safe.
 class Attempt final : public wire::StreamListener,
                       public std::enable_shared_from_this<Attempt> {
 public:
@@ -34,9 +34,9 @@
           uint32_t PrefixTokensBelieved);
   ~Attempt() override;
 
-  /// Opens the stream. The end may be reported before this returns.
+  /// Opens the stream. onEnd() may be called before this returns.
   void send(wire::Method What, std::string FirstMessage);
-  /// Resets the stream; the end is reported as Cancelled.
+  /// Resets the stream, which then ends as Cancelled.
   void cancel();
 
   const Identity &identity() const { return m_Names; }
@@ -56,8 +56,8 @@
   const Identity m_Names;
   route::InFlightTicket m_Ticket;
   const uint32_t m_PrefixTokensBelieved;
-  /// The call was told of the end; nothing of this attempt reaches it any
-  /// more, because its next attempt may be running on another thread.
+  /// The end has been reported to the call. Later frames are dropped, because
+  /// the next attempt of the call may already run on another thread.
   bool m_Settled = false;
   std::atomic<bool> m_CancelWanted{false};
   std::atomic<std::shared_ptr<wire::Stream>> m_Stream;
