--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -1,4 +1,4 @@
-//===- Call.cpp - Beginning and end of a call, and its frames -------------===//
+//===- Call.cpp - Start, end and received frames of a call ----------------===//
 //
 // See Call.h. Sending attempts is in CallAttempts.cpp.
 //
@@ -17,10 +17,11 @@
 
 namespace {
 
-/// An agent refuses at the deadline itself, and its answer says whether the
-/// work ran; the entry waits this much longer for it.
+/// Agents enforce the deadline themselves, and their reply says whether the
+/// work ran. The entry waits this much longer for that reply.
 constexpr milliseconds DeadlineGrace{150};
-/// A caller who has gone is noticed after a silence of about this length.
+/// A keep-alive is written to a stream that has been idle for this long, which
+/// also detects callers that have disconnected.
 constexpr milliseconds Silence{2000};
 constexpr milliseconds SilenceCheckInterval{1000};
 constexpr milliseconds DefaultRetryAfter{1000};
@@ -30,8 +31,8 @@
 void Call::start(const CallContext &With,
                  std::shared_ptr<http::Exchange> Caller,
                  CallerRequest Request) {
-  // Not std::make_shared: timers hold weak pointers for a long time, which
-  // would keep the memory of the whole call.
+  // Not std::make_shared: long-lived timers hold weak pointers, which would
+  // keep the memory of a combined allocation alive.
   const std::shared_ptr<Call> Made(new Call(With, std::move(Request)));
   std::weak_ptr<Call> Weak = Made;
   Made->m_Writer.emplace(
@@ -114,8 +115,8 @@
 void Call::keepAlive() {
   const BootTime Now = BootClock::now();
   const BootTime Last{std::chrono::nanoseconds(m_LastWrite.load())};
-  // Before the work is accepted a refusal may still come, which should have a
-  // status of its own.
+  // Until an agent accepts the work it may still be refused, and a refusal must
+  // be reported with its own HTTP status.
   if (m_Accepted.load() && Now - Last >= Silence) {
     m_LastWrite = Now.time_since_epoch().count();
     auto Write = [](auto &Writer) { return Writer->keepAlive(); };
@@ -174,9 +175,9 @@
   return true;
 }
 
-/// A token is missing, or more came than belong to the answer: what follows
-/// cannot be trusted. As if the link had broken, so that the rest is fetched
-/// again from the token that is missing.
+/// Tokens are missing, or the total does not match the number delivered, so the
+/// rest of the stream cannot be trusted. Handled like a lost connection: the
+/// answer is fetched again from the first missing token.
 bool Call::giveUpAnswer(Attempt &From) {
   m_Context.Metrics.AnswerGaps.add();
   log::logRequest(log::Level::Warning, "answer-gap", From.identity().RequestId,
@@ -234,7 +235,8 @@
   m_LastMessage = Frame.message();
   ResultCode Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
                         .value_or(ResultCode::TargetFailed);
-  // The deadline of the call that began this answer; this one has its own.
+  // An answer taken over from an earlier call is cut at that call's deadline,
+  // while the deadline of this call has not passed.
   if (m_TakenOver && Code == ResultCode::DeadlineExceeded &&
       timeLeft().count() > 0)
     Code = ResultCode::TargetFailed;
@@ -251,7 +253,8 @@
     if (!m_History.LinksLost)
       m_History.LinksLost = Now;
   }
-  // Without a last frame an end in good order says no more than a broken one.
+  // A stream that finishes without a final frame leaves the outcome as unknown
+  // as a reset.
   if (End == wire::StreamEnd::Finished)
     End = wire::StreamEnd::ResetByPeer;
   afterEnd(From.link(), retry::StreamBroke{End});
@@ -270,7 +273,8 @@
   finish(What.Code);
 }
 
-/// Demand that no agent counts: the entry refused it for want of engines.
+/// Counts work that the entry refused for lack of capacity. Agents never see it
+/// and cannot report it as demand.
 void Call::countAsDemand(ResultCode Code) {
   const bool WantsEngines = Code == ResultCode::Overloaded ||
                             Code == ResultCode::DeadlineUnreachable ||
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -1,14 +1,14 @@
-//===- Call.h - One caller's request over its attempts ----------*- C++ -*-===//
+//===- Call.h - A caller's request and its attempts -------------*- C++ -*-===//
 //
-// Sends attempts until the caller has its whole answer or a true refusal. What
-// follows the end of an attempt is LibRetry's decision; this shell carries it
-// out.
+// Sends attempts until the caller has a complete answer or an error. LibRetry
+// decides what follows the end of an attempt; this class executes the decision.
 //
-// Ownership instead of locks: at any time either one attempt is live, and only
-// its channel's I/O thread touches the call's state, or a retry timer is
-// pending, and only the timer thread does. An attempt that has told the call
-// of its end never touches it again. Callers who go and deadlines that pass
-// come from other threads; they set a flag and cancel the live attempt.
+// Call state is not locked. At any time either one attempt is live, and only
+// the I/O thread of its channel accesses the state, or a retry timer is
+// pending, and only the timer thread does. An attempt that has reported its end
+// never accesses the call again. Disconnects of the caller and expired
+// deadlines are reported on other threads, which set a flag and cancel the live
+// attempt.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,7 @@
 
 class Call : public std::enable_shared_from_this<Call> {
 public:
-  /// Begins the call; the exchange is answered exactly once, later.
+  /// Starts the call, which answers the exchange exactly once.
   static void start(const CallContext &With,
                     std::shared_ptr<http::Exchange> Caller,
                     CallerRequest Request);
@@ -38,9 +38,9 @@
 
   const CallContext &context() const { return m_Context; }
 
-  // From the live attempt.
+  // Called by the live attempt.
   void onAccepted();
-  /// False when the attempt was given up because of these tokens.
+  /// Returns false when these tokens made the call abandon the attempt.
   bool onTokens(Attempt &From, const wire::Tokens &Frame);
   void onFinished(Attempt &From, const wire::Finished &Frame);
   void onServiceAnswer(Attempt &From, const wire::ServiceAnswer &Frame);
@@ -51,12 +51,12 @@
 private:
   enum class StopReason { None, CallerGone, DeadlinePassed };
 
-  /// Where an attempt goes.
+  /// Target of an attempt.
   struct Destination {
     std::shared_ptr<TargetLink> Link;
     route::InFlightTicket Ticket;
     uint32_t PrefixTokensBelieved = 0;
-    /// Of the grant, for keyed work.
+    /// Epoch of the slice grant; only for keyed work.
     uint64_t SliceEpoch = 0;
   };
 
@@ -74,7 +74,7 @@
   std::optional<route::Choice>
   chooseProbe(const ServingState &Now,
               const std::vector<std::string> &NotPreferred);
-  /// Those that failed this request, or others of late.
+  /// Targets that failed this request, and targets that are ejected.
   std::vector<std::string> excludedTargets();
   uint64_t routingSeed() const;
   void logChosen(const route::TargetView &Target,
@@ -94,15 +94,17 @@
   void describe(const CompletionWork &Work, wire::RunRequest &Into) const;
   void describe(const ServiceWork &Work, wire::RunRequest &Into) const;
 
-  /// Of a completion with a key: all targets but those that should run it.
+  /// For a completion with an idempotency key: all targets except those
+  /// preferred by the key.
   std::vector<std::string>
   withoutPreferred(const ServingState &Now,
                    const route::RequestShape &Shape) const;
-  /// Lists the agents that may hold the answer from an earlier call.
+  /// Lists the agents that may hold the answer of an earlier call.
   void findHolders();
-  /// Asks the next of them; the first attempt follows when none is left.
+  /// Requests the held answer from the next of these agents, or sends the first
+  /// attempt when none is left.
   void askHolders();
-  /// An agent that was asked has the answer.
+  /// Adopts the answer held by the agent of \p Source.
   void takeOver(const Attempt &From);
 
   bool giveUpAnswer(Attempt &From);
@@ -129,24 +131,24 @@
   retry::RequestHistory m_History;
   /// Targets that failed or refused this request.
   std::vector<std::string> m_Excluded;
-  /// Of a completion: text of the tokens that the caller has.
+  /// Completions only: text of the tokens delivered to the caller.
   std::string m_DeliveredText;
-  /// What the last refusal or failure said.
+  /// Message of the last refusal or failure.
   std::string m_LastMessage;
   std::vector<uint64_t> m_PrefixHashes;
-  /// Set when the model's version was left open and a target has been chosen:
-  /// an answer must not be continued by another version.
+  /// Model version of the first target, if the request did not name a version:
+  /// another version must not continue the answer.
   std::string m_PinnedModel;
-  /// Target of the last attempt; for resuming.
+  /// Target of the last attempt, used to resume there.
   std::shared_ptr<TargetLink> m_LastLink;
-  /// Agents still to be asked for a held answer, the next one last.
+  /// Agents not yet asked for a held answer, in reverse order.
   std::vector<std::shared_ptr<TargetLink>> m_Holders;
-  /// The live attempt asks for a held answer: nothing has run for this call
-  /// yet, and its end, however it comes, only leads to the next question.
+  /// The live attempt looks for a held answer. Nothing has run for this call
+  /// yet; if the attempt ends in any way, the next holder is asked.
   bool m_Asking = false;
-  /// The answer was begun for an earlier call of the same caller.
+  /// The answer was started by an earlier call of the same caller.
   bool m_TakenOver = false;
-  /// Under which name the agent of the last attempt holds the answer.
+  /// Name under which the agent of the last attempt holds the answer.
   std::string m_HeldAs;
   bool m_Counted = false;
   EventLoop::TimerId m_DeadlineTimer;
@@ -155,7 +157,7 @@
   std::atomic<StopReason> m_Stop{StopReason::None};
   std::atomic<bool> m_Done{false};
   std::atomic<std::shared_ptr<Attempt>> m_Live;
-  /// Nanoseconds of BootClock when something was last written to the caller.
+  /// BootClock time of the last write to the caller, in nanoseconds.
   std::atomic<int64_t> m_LastWrite{0};
 };
 
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -1,6 +1,6 @@
 //===- CallAttempts.cpp - Attempts of a call ------------------------------===//
 //
-// Sends attempts, and carries out what LibRetry decides after their ends.
+// Sends attempts and executes LibRetry's decisions when they end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -68,7 +68,7 @@
   Out.set_content_type(Work.ContentType);
   Out.set_body(Work.Body);
   if (m_Request.keyed())
-    // Guards the key against being used again for another request.
+    // Lets the agent reject a key that is reused for a different request.
     Into.set_fingerprint(
         digestOf({Work.Method, Work.Path, Work.ContentType, Work.Body}));
 }
@@ -123,8 +123,8 @@
                         std::move(AttemptId)},
       std::move(To.Ticket), To.PrefixTokensBelieved);
   m_Live.store(Next);
-  // Whoever stops the call sets the flag first and then looks for the live
-  // attempt; so one of the two sides sees the other.
+  // stop() sets the flag before it reads the live attempt, and this stores the
+  // attempt before it reads the flag, so a stop cannot be missed.
   if (m_Stop.load() != StopReason::None)
     return afterEnd(nullptr, retry::NothingSent{ResultCode::Cancelled, {}});
   Next->send(What, std::move(Message));
@@ -157,16 +157,16 @@
 
 Error Call::stopError() const {
   if (m_Stop.load() == StopReason::CallerGone)
-    return {ResultCode::Cancelled, "the caller went away", {}, std::nullopt};
+    return {ResultCode::Cancelled, "the caller disconnected", {}, std::nullopt};
   const bool MayHaveRun =
       m_History.EarlierMayHaveRun || m_History.TokensDelivered > 0;
   if (!MayHaveRun)
     return {ResultCode::DeadlineUnreachable,
-            "the deadline passed before the request was handed over",
+            "the deadline passed before any agent ran the request",
             {},
             std::nullopt};
   return {ResultCode::DeadlineExceeded,
-          "the deadline passed after hand-off",
+          "the deadline passed; an agent may have run the request",
           {},
           std::nullopt};
 }
@@ -183,7 +183,7 @@
   m_History.AcceptedSeen = false;
   m_HeldAs = m_Request.RequestId;
   m_Context.Metrics.Retries.add();
-  // The task owns the call: nothing else does between two attempts.
+  // Between two attempts only this task keeps the call alive.
   runAfter(Delay, [Self = shared_from_this()] { Self->attempt(); });
 }
 
--- a/Services/figlift-entry/CallReturn.cpp
+++ b/Services/figlift-entry/CallHeldAnswer.cpp
@@ -1,13 +1,13 @@
-//===- CallReturn.cpp - Callers who come back -----------------------------===//
+//===- CallHeldAnswer.cpp - Answers held from earlier calls ---------------===//
 //
-// A caller whose entry died in mid-stream comes back through another entry
-// with the same idempotency key. The agent that ran the completion still holds
-// the answer; without this it would be computed a second time while the first
-// run goes on for nobody.
+// A caller whose entry fails in mid-stream retries through another entry with
+// the same idempotency key. The agent that runs the completion still holds the
+// answer; without a lookup it would be computed a second time while the first
+// run continues without a receiver.
 //
-// No entry knows what another one has sent. So completions with a key go to
-// one of the first few targets of the key's own rendezvous order, and whoever
-// gets the key again asks just these.
+// Entries do not share which targets they used. Completions with a key are
+// therefore sent to one of the first targets in the rendezvous order of the
+// key, and any entry that receives the key again asks only these.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,9 +22,9 @@
 
 namespace {
 
-/// Targets among which a completion with a key is balanced: two, so that a
-/// busy one can be avoided, and no more, as each is asked when the caller
-/// comes back.
+/// Number of targets among which a completion with a key is balanced. Two allow
+/// a busy target to be avoided; more would delay retries, because each of them
+/// is asked for a held answer.
 constexpr size_t PreferredTargets = 2;
 
 using Ranking = std::vector<const route::TargetView *>;
@@ -64,7 +64,8 @@
     size_t Accepting = 0;
     for (const route::TargetView *Target :
          rank(Now.Table.targets(m_Request.BackEnd), m_Request.ResumeKey)) {
-      // One that takes no work now, because it drains, did so before perhaps.
+      // Targets that accept no work now are asked too: a draining target may
+      // have accepted the earlier call.
       if (Target->Accepting && ++Accepting > PreferredTargets)
         break;
       if (const auto Link = Now.Links.find(Target->Id); Link != Now.Links.end())
--- a/Services/figlift-entry/CallChoice.cpp
+++ b/Services/figlift-entry/CallRouting.cpp
@@ -1,7 +1,7 @@
-//===- CallChoice.cpp - Where the next attempt of a call goes -------------===//
+//===- CallRouting.cpp - Target selection for the attempts of a call ------===//
 //
-// The home of a keyed call; for others a target that wants a probe, or the one
-// that LibRoute finds best.
+// Keyed calls go to the home of their key. Other calls go to an ejected target
+// that is due for a probe, or to the best target according to LibRoute.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,8 +32,8 @@
   Shape.Workspace = m_Request.Workspace;
   Shape.Class = m_Request.Class;
   const uint32_t Delivered = m_History.TokensDelivered;
-  // An answer that has begun can't be refused any more, however late its end is
-  // expected: a refusal here would only be repeated until its deadline.
+  // An answer that has started is no longer refused because it is expected to
+  // miss its deadline: the refusal would only be retried until the deadline.
   if (Delivered == 0)
     Shape.TimeLeft = timeLeft();
   const auto *Work = std::get_if<CompletionWork>(&m_Request.Work);
@@ -42,7 +42,8 @@
     return Shape;
   }
   Shape.Model = m_PinnedModel.empty() ? Work->Model : m_PinnedModel;
-  // What the caller has is read again and not made again.
+  // Delivered tokens become part of the prompt: they are prefilled instead of
+  // decoded again.
   Shape.PromptTokens = Work->promptTokens() + Delivered;
   Shape.MaximumTokens =
       Work->MaximumTokens - std::min(Delivered, Work->MaximumTokens);
@@ -92,8 +93,8 @@
     }
   }
   auto Chosen = Choose(Excluded);
-  // A target that failed is better than none: with a single target left, its
-  // agent may be back by now.
+  // An excluded target is better than none: the agent of the only remaining
+  // target may have recovered by now.
   if (!Chosen && Chosen.error().Code == ResultCode::NoTargetAvailable &&
       !Excluded.empty())
     Chosen = Choose({});
@@ -120,10 +121,10 @@
                m_History.Attempts);
 }
 
-/// A target whose exclusion has passed gets one attempt, whatever it costs:
-/// left to the weighing, the attempt that may be the probe goes to a target
-/// that is measured better, and nobody finds out that the other one is back. A
-/// first attempt of work that may be repeated, as a probe may fail.
+/// Selects an ejected target that is due for a probe, regardless of its cost: a
+/// choice by cost would keep preferring targets with better measurements, and
+/// the recovery would never be detected. Only the first attempt of repeatable
+/// work is used, because a probe may fail.
 std::optional<route::Choice>
 Call::chooseProbe(const ServingState &Now,
                   const std::vector<std::string> &NotPreferred) {
@@ -144,7 +145,7 @@
   return std::nullopt;
 }
 
-/// All that the choice weighed, and what was left out of it.
+/// Logs the cost of every candidate and the excluded targets at debug level.
 void Call::logChosen(const route::TargetView &Target,
                      const std::vector<route::Considered> &Account,
                      const std::vector<std::string> &Excluded) const {
