--- a/Services/figlift-entry/CallContext.cpp
+++ b/Services/figlift-entry/CallContext.cpp
@@ -1,4 +1,4 @@
-//===- CallContext.cpp - What all calls of an entry share -----------------===//
+//===- CallContext.cpp - State shared by all calls of an entry ------------===//
 //
 // See CallContext.h.
 //
@@ -10,10 +10,10 @@
 
 RefusedWork::RefusedWork(metrics::Registry &Into, const std::string &BackEnd)
     : PrefillTokens(Into.counter("entry_refused_prefill_tokens_total",
-                                 "Prompt tokens refused before any agent.",
+                                 "Prompt tokens refused by the entry.",
                                  {{"back_end", BackEnd}})),
       DecodeTokens(Into.counter("entry_refused_decode_tokens_total",
-                                "Output tokens refused before any agent.",
+                                "Output tokens refused by the entry.",
                                 {{"back_end", BackEnd}})) {}
 
 CallMetrics::CallMetrics(metrics::Registry &Into)
@@ -27,13 +27,13 @@
       Continuations(Into.counter("entry_continuations_total",
                                  "Answers continued on another target.")),
       TakenOver(Into.counter("entry_answers_taken_over_total",
-                             "Held answers of earlier calls with the same "
-                             "idempotency key.")),
-      FramesDropped(Into.counter(
-          "entry_frames_dropped_total",
-          "Frames of other attempts and of tokens delivered before.")),
+                             "Answers taken over from earlier calls with the "
+                             "same idempotency key.")),
+      FramesDropped(
+          Into.counter("entry_frames_dropped_total",
+                       "Dropped frames: other attempts or duplicate tokens.")),
       AnswerGaps(Into.counter("entry_answer_gaps_total",
-                              "Attempts given up for a gap in their tokens.")),
+                              "Attempts abandoned because of missing tokens.")),
       Tokens(
           Into.counter("entry_tokens_total", "Tokens delivered to callers.")),
       InFlight(Into.gauge("entry_requests_in_flight",
--- a/Services/figlift-entry/CallContext.h
+++ b/Services/figlift-entry/CallContext.h
@@ -1,6 +1,6 @@
-//===- CallContext.h - What all calls of an entry share ---------*- C++ -*-===//
+//===- CallContext.h - State shared by all calls of an entry ----*- C++ -*-===//
 //
-// Services and books that a call uses; they outlive every call.
+// Services and trackers that calls use. They outlive every call.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,8 +26,8 @@
 
 namespace figlift::entry {
 
-/// Totals of the work of one back end that this entry refused early. The
-/// planner counts them as demand, which agents cannot report.
+/// Totals of the work that this entry refused for one back end before any agent
+/// received it. The planner adds them to the demand that agents report.
 struct RefusedWork {
   RefusedWork(metrics::Registry &Into, const std::string &BackEnd);
 
@@ -35,12 +35,12 @@
   metrics::Counter &DecodeTokens;
 };
 
-/// Metrics of the request path, made once.
+/// Metrics of the request path.
 struct CallMetrics {
   explicit CallMetrics(metrics::Registry &Into);
 
   void ended(ResultCode Code);
-  /// Work that this entry refused although no agent has seen it.
+  /// Records work that was refused before any agent received it.
   void refusedEarly(const std::string &BackEnd, uint64_t PrefillTokens,
                     uint64_t DecodeTokens);
 
@@ -58,10 +58,10 @@
   metrics::Summary &WholeTime;
 };
 
-/// Requests in flight of each workspace.
+/// Counts the requests in flight of each workspace.
 class WorkspaceBook {
 public:
-  /// False when the workspace has \p Maximum in flight.
+  /// Returns false when the workspace has \p Maximum requests in flight.
   bool enter(const std::string &Workspace, unsigned Maximum);
   void leave(const std::string &Workspace);
 
@@ -81,9 +81,9 @@
   WorkspaceBook &Workspaces;
   const route::Policy &Routing;
   const retry::RetrySettings &Retrying;
-  /// Highest configuration revision seen anywhere.
+  /// Called with every configuration revision seen in a message.
   std::function<void(uint64_t)> OnRevision;
-  /// A home refused because its slice has moved.
+  /// Called when the home of a key is unknown, unreachable or has moved.
   std::function<void(const std::string &BackEnd)> OnHomeMoved;
 };
 
