--- a/Services/figlift-entry/CallerApi.cpp
+++ b/Services/figlift-entry/CallerApi.cpp
@@ -1,4 +1,4 @@
-//===- CallerApi.cpp - Routes of callers ----------------------------------===//
+//===- CallerApi.cpp - HTTP routes for callers ----------------------------===//
 //
 // See CallerApi.h.
 //
@@ -19,7 +19,7 @@
 using Reader = std::function<Result<CallerRequest>(const http::Request &,
                                                    const ReadContext &)>;
 
-/// What is read once at the beginning of a request.
+/// Parts of the serving state that are read once per request.
 struct Beginning {
   config::SnapshotPointer Configuration;
   std::optional<Error> NotReady;
@@ -31,8 +31,8 @@
   });
 }
 
-/// Every answer names the configuration that its request was read with, so
-/// that a caller can see that a change is in force.
+/// Every response names the configuration revision that its request was parsed
+/// with, so that callers can see whether a change is in force.
 void nameRevision(http::Exchange &Caller, const Beginning &Read) {
   Caller.addHeader("X-Figlift-Revision",
                    std::to_string(Read.Configuration->revision()));
@@ -53,8 +53,8 @@
     Caller->setRequestId(callerIdOf(Caller->request(), FreshId));
     const Beginning Now = beginningOf(With);
     nameRevision(*Caller, Now);
-    // Before the request is read: without records nothing in it is known, and
-    // "unknown model" would not be true.
+    // Checked before parsing: without configuration records every model would
+    // be reported as unknown.
     if (Now.NotReady)
       return refuse(With, *Caller, *Now.NotReady);
     Result<CallerRequest> Request =
--- a/Services/figlift-entry/CallerApi.h
+++ b/Services/figlift-entry/CallerApi.h
@@ -1,4 +1,4 @@
-//===- CallerApi.h - Routes of callers --------------------------*- C++ -*-===//
+//===- CallerApi.h - HTTP routes for callers --------------------*- C++ -*-===//
 //
 // POST /v1/completions, POST /v1/chat/completions, GET /v1/models and
 // everything below /v1/services/.
@@ -16,7 +16,7 @@
 
 namespace figlift::entry {
 
-/// \p With must outlive the server.
+/// \p Context must outlive the server.
 std::vector<http::Route>
 callerRoutes(const CallContext &With,
              std::chrono::milliseconds DefaultDeadline);
