--- a/Services/figlift-entry/CallerRequest.cpp
+++ b/Services/figlift-entry/CallerRequest.cpp
@@ -1,6 +1,6 @@
-//===- CallerRequest.cpp - Headers common to all callers' requests --------===//
+//===- CallerRequest.cpp - Parsing of headers and service calls -----------===//
 //
-// See CallerRequest.h; also calls to plain services.
+// See CallerRequest.h. Completions are parsed in CompletionRequest.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,7 @@
   return Method == "GET" || Method == "HEAD" || Method == "OPTIONS";
 }
 
-/// Whether \p Path lies under one of the prefixes, by whole segments.
+/// Whether \p Path starts with one of the prefixes, compared by whole segments.
 bool isUnder(const std::string &Path,
              const std::vector<std::string> &Prefixes) {
   return std::any_of(Prefixes.begin(), Prefixes.end(), [&](std::string Prefix) {
@@ -40,8 +40,8 @@
   });
 }
 
-/// Escapes that move the borders between segments: what was checked here and
-/// what the target gets would be different paths.
+/// Detects escapes that change or hide segments of the path: the entry would
+/// check another path than the target resolves.
 bool movesSegments(const std::string &RawPath, size_t NameEnd) {
   if (RawPath.substr(0, NameEnd).find('%') != std::string::npos)
     return true;
@@ -49,14 +49,15 @@
          RawPath.find("%2F") != std::string::npos;
 }
 
-/// A NUL or a line break ends the path for some targets: "/slots%00/x".
+/// Some targets end the path at a NUL or a line break, as in "/slots%00/x".
 bool isControl(char Each) {
   const auto Code = static_cast<unsigned char>(Each);
   return Code < 0x20 || Code == 0x7f;
 }
 
-/// Paths that a target could read as another path than we do: "/x/../slots"
-/// would pass for repeatable here and hold a slot there.
+/// Detects paths that a target may resolve differently from this entry:
+/// "/x/../slots" is repeatable by its text, but a target resolves it to a path
+/// that is not.
 bool isAmbiguous(const std::string &Path) {
   return Path.find("//") != std::string::npos ||
          Path.find("/./") != std::string::npos ||
@@ -83,8 +84,7 @@
   Into.Workspace = From.header("x-figlift-workspace");
   if (!Into.Workspace.empty() && !With.Configuration.workspace(Into.Workspace))
     return failure(ResultCode::InvalidInput,
-                   "no record describes the workspace \"" + Into.Workspace +
-                       "\"",
+                   "unknown workspace \"" + Into.Workspace + "\"",
                    "X-Figlift-Workspace");
   Into.Deadline = With.DefaultDeadline;
   const std::string Deadline = From.header("x-figlift-deadline");
@@ -95,7 +95,7 @@
       Parsed.value() > MaximumDeadline)
     return failure(ResultCode::InvalidInput,
                    "found \"" + Deadline +
-                       "\"; allowed is a duration up to 1h, such as 2s",
+                       "\"; expected a duration of at most 1h, such as 2s",
                    "X-Figlift-Deadline");
   Into.Deadline = Parsed.value();
   return success();
@@ -105,7 +105,7 @@
   std::string Key = From.header("idempotency-key");
   if (Key.size() > MaximumKeyLength || !isVisibleAscii(Key))
     return failure(ResultCode::InvalidInput,
-                   "allowed are up to 256 visible ASCII characters",
+                   "expected at most 256 visible ASCII characters",
                    "Idempotency-Key");
   return Key;
 }
@@ -130,15 +130,14 @@
   const record::BackEnd *BackEnd = With.Configuration.backEnd(Read.BackEnd);
   if (!BackEnd || BackEnd->Type != record::BackEndType::Service)
     return failure(ResultCode::UnknownBackEnd,
-                   "no record describes the service \"" + Read.BackEnd + "\"",
-                   "path");
+                   "unknown service \"" + Read.BackEnd + "\"", "path");
   const std::string Path =
       Slash == std::string::npos ? "/" : Rest.substr(Slash);
   const size_t RawSlash = From.RawPath.find('/', ServicesPath.size());
   if (isAmbiguous(Path) || movesSegments(From.RawPath, RawSlash))
     return failure(ResultCode::InvalidInput,
-                   "the path has empty or dot segments, or letters that "
-                   "targets read differently",
+                   "the path has empty or dot segments, or characters that "
+                   "targets interpret differently",
                    "path");
   applyClass(With, *BackEnd, !From.header("x-figlift-deadline").empty(), Read);
   if (isUnder(Path, BackEnd->ImmediatePaths))
--- a/Services/figlift-entry/CallerRequest.h
+++ b/Services/figlift-entry/CallerRequest.h
@@ -1,6 +1,6 @@
-//===- CallerRequest.h - What a caller asks for -----------------*- C++ -*-===//
+//===- CallerRequest.h - Parsed request of a caller -------------*- C++ -*-===//
 //
-// The typed form of a caller's HTTP request, checked against the records in
+// A caller's HTTP request, parsed and validated against the configuration in
 // force.
 //
 //===----------------------------------------------------------------------===//
@@ -18,60 +18,60 @@
 
 namespace figlift::entry {
 
-/// Shape of a completion's answer.
+/// Response format of a completion.
 enum class CompletionApi { Text, Chat };
 
 struct CompletionWork {
   CompletionApi Api = CompletionApi::Text;
   bool Streamed = false;
-  /// As the caller wrote it; stands in the answer.
+  /// Model name as sent by the caller; repeated in the response.
   std::string ModelAsAsked;
   /// "name" or "name@version".
   std::string Model;
   std::string Prompt;
   uint32_t MaximumTokens = 0;
 
-  /// Estimated from its length.
+  /// Token count of the prompt, estimated from its length.
   uint32_t promptTokens() const;
 };
 
 struct ServiceWork {
   std::string Method;
-  /// Path below the service with its query, as received.
+  /// Path below the service, including the query, as received.
   std::string Path;
   std::string ContentType;
   std::string Body;
 };
 
 struct CallerRequest {
-  /// Value of X-Request-Id: the caller's, or one made here.
+  /// Value of X-Request-Id: sent by the caller, or generated.
   std::string CallerId;
-  /// Names the request between figlift's processes. Never the caller's own
-  /// value alone: agents hold answers by it, and two callers with the same
-  /// X-Request-Id would get each other's answers.
+  /// Identifies the request among figlift's processes. Always generated: agents
+  /// hold answers by this id, and two callers with the same X-Request-Id would
+  /// receive each other's answers.
   std::string RequestId;
   std::string Workspace;
   std::string BackEnd;
   record::ServiceClass Class = record::ServiceClass::Interactive;
-  /// Time that the caller gives the request.
+  /// Time until the request must be answered.
   std::chrono::milliseconds Deadline{0};
   bool Repeatable = true;
-  /// Set only for work that may not be repeated: other work needs no home.
+  /// Set only for non-repeatable work; other work needs no home.
   std::string IdempotencyKey;
-  /// Of a completion with an idempotency key: digest of the key and of all
-  /// that the answer depends on. A caller who comes back with the same request
-  /// gets the answer that an agent still holds under it.
+  /// For a completion with an idempotency key: digest of the key and of
+  /// everything that the answer depends on. A caller that retries the same
+  /// request receives the answer that an agent still holds under this key.
   std::string ResumeKey;
   std::variant<CompletionWork, ServiceWork> Work;
 
   bool keyed() const { return !IdempotencyKey.empty(); }
 };
 
-/// What reading a request needs beside the request.
+/// Inputs of request parsing other than the HTTP request.
 struct ReadContext {
   const config::Snapshot &Configuration;
   std::chrono::milliseconds DefaultDeadline;
-  /// A fresh unique id.
+  /// A newly generated unique id.
   std::string FreshId;
 };
 
@@ -83,7 +83,8 @@
 Result<CallerRequest> readServiceCall(const http::Request &From,
                                       const ReadContext &With);
 
-/// Value of X-Request-Id, or \p FreshId when there is none or an unfit one.
+/// Returns the value of X-Request-Id, or \p FreshId when it is missing or
+/// invalid.
 std::string callerIdOf(const http::Request &From, const std::string &FreshId);
 
 inline constexpr std::string_view ServicesPath = "/v1/services/";
--- a/Services/figlift-entry/CompletionRequest.cpp
+++ b/Services/figlift-entry/CompletionRequest.cpp
@@ -1,8 +1,8 @@
-//===- CompletionRequest.cpp - Completions in the widespread form ---------===//
+//===- CompletionRequest.cpp - Parsing of completion requests -------------===//
 //
-// Reads the JSON bodies that OpenAI-style clients send. Fields that do not
-// change what figlift does are ignored; those that ask for what it cannot do
-// are refused, so that no caller believes that they had an effect.
+// Parses the JSON bodies of OpenAI-compatible clients. Fields without a meaning
+// for figlift are ignored. Fields that request unsupported features are
+// rejected, so that they are not silently ineffective.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +32,7 @@
 Result<std::string> readText(const json &Body, const std::string &Field) {
   const auto Found = Body.find(Field);
   if (Found == Body.end() || !Found->is_string())
-    return invalid("a text is required", Field);
+    return invalid("expected a string", Field);
   return Found->get<std::string>();
 }
 
@@ -41,7 +41,7 @@
   if (Found == Body.end() || Found->is_null())
     return false;
   if (!Found->is_boolean())
-    return invalid("allowed are true and false", Field);
+    return invalid("expected true or false", Field);
   return Found->get<bool>();
 }
 
@@ -52,7 +52,7 @@
       continue;
     if (!Found->is_number_unsigned() || Found->get<uint64_t>() == 0 ||
         Found->get<uint64_t>() > LargestMaximumTokens)
-      return invalid("allowed is a whole number from 1 to " +
+      return invalid("expected an integer from 1 to " +
                          std::to_string(LargestMaximumTokens),
                      Field);
     return Found->get<uint32_t>();
@@ -60,18 +60,19 @@
   return DefaultMaximumTokens;
 }
 
-/// Text of one chat message: a string, or parts of type "text".
+/// Returns the text of one chat message: a string, or parts of type "text".
 Result<std::string> readContent(const json &Content) {
   if (Content.is_string())
     return Content.get<std::string>();
   std::string All;
   if (!Content.is_array())
-    return invalid("a text, or a list of text parts, is required",
+    return invalid("expected a string or a list of text parts",
                    "messages.content");
   for (const json &Part : Content) {
     if (!Part.is_object() || Part.value("type", "") != "text" ||
         !Part.contains("text") || !Part["text"].is_string())
-      return invalid("only parts of type text are served", "messages.content");
+      return invalid("only parts of type text are supported",
+                     "messages.content");
     All += Part["text"].get<std::string>();
   }
   return All;
@@ -80,7 +81,7 @@
 Result<std::string> readMessages(const json &Body) {
   const auto Found = Body.find("messages");
   if (Found == Body.end() || !Found->is_array() || Found->empty())
-    return invalid("a list of at least one message is required", "messages");
+    return invalid("expected a list of at least one message", "messages");
   std::string Prompt;
   for (const json &Message : *Found) {
     if (!Message.is_object() || !Message.contains("content"))
@@ -96,11 +97,11 @@
   for (const char *Field : {"n", "best_of"})
     if (const auto Found = Body.find(Field);
         Found != Body.end() && !Found->is_null() && *Found != 1)
-      return invalid("only one answer for each request is served", Field);
+      return invalid("only one answer per request is supported", Field);
   for (const char *Field : {"tools", "functions", "suffix"})
     if (const auto Found = Body.find(Field);
         Found != Body.end() && !Found->is_null() && !Found->empty())
-      return invalid("this field is not served", Field);
+      return invalid("this field is not supported", Field);
   return success();
 }
 
@@ -111,8 +112,8 @@
   return false;
 }
 
-/// "back end/model", or a model that only one back end serves, or the name of
-/// a back end with a single model.
+/// Accepts "back end/model", a model that only one back end serves, or the name
+/// of a back end with a single model.
 Result<void> resolveModel(const config::Snapshot &Records,
                           const std::string &Asked, CallerRequest &Into,
                           std::string &Model) {
@@ -122,7 +123,7 @@
     const record::BackEnd *Found = Records.backEnd(Into.BackEnd);
     if (!Found)
       return failure(ResultCode::UnknownBackEnd,
-                     "no record describes \"" + Into.BackEnd + "\"", "model");
+                     "unknown back end \"" + Into.BackEnd + "\"", "model");
     if (!serves(*Found, Model))
       return failure(
           ResultCode::UnknownModel,
@@ -151,8 +152,8 @@
   return success();
 }
 
-/// Without the customer and the request in it, a key that is used for another
-/// request would bring that request's answer.
+/// Includes the workspace and the request, so that a key reused for another
+/// request does not return the answer of the first one.
 std::string resumeKeyOf(const std::string &Key, const std::string &Workspace,
                         const CompletionWork &Work) {
   return digestOf({Key, Workspace, Work.ModelAsAsked, Work.Prompt,
--- a/Services/figlift-entry/Digest.cpp
+++ b/Services/figlift-entry/Digest.cpp
@@ -1,4 +1,4 @@
-//===- Digest.cpp - Digest of several texts -------------------------------===//
+//===- Digest.cpp - Digest of several strings -----------------------------===//
 //
 // See Digest.h.
 //
--- a/Services/figlift-entry/Digest.h
+++ b/Services/figlift-entry/Digest.h
@@ -1,6 +1,6 @@
-//===- Digest.h - Digest of several texts -----------------------*- C++ -*-===//
+//===- Digest.h - Digest of several strings ---------------------*- C++ -*-===//
 //
-// Tells requests apart that carry the same idempotency key.
+// Distinguishes requests that carry the same idempotency key.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,8 @@
 
 namespace figlift::entry {
 
-/// 32 hexadecimal digits; depends on where one part ends and the next begins.
+/// Returns 32 hexadecimal digits. The boundaries between the parts are part of
+/// the input: {"ab", "c"} and {"a", "bc"} differ.
 std::string digestOf(std::initializer_list<std::string_view> Parts);
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/RequestHeaders.h
+++ b/Services/figlift-entry/RequestHeaders.h
@@ -1,6 +1,6 @@
-//===- RequestHeaders.h - What all callers' requests share ------*- C++ -*-===//
+//===- RequestHeaders.h - Headers common to all requests --------*- C++ -*-===//
 //
-// Internal to the reading of callers' requests.
+// Internal to the parsing of callers' requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,10 +14,11 @@
 Result<void> readHeaders(const http::Request &From, const ReadContext &With,
                          CallerRequest &Into);
 
-/// Reads Idempotency-Key; empty when there is none.
+/// Reads Idempotency-Key; empty when it is missing.
 Result<std::string> readKey(const http::Request &From);
 
-/// Sets class and, without an own one, deadline from the records.
+/// Sets the service class from the configuration, and the deadline unless the
+/// request specifies one.
 void applyClass(const ReadContext &With, const record::BackEnd &BackEnd,
                 bool HasOwnDeadline, CallerRequest &Into);
 
