--- a/Services/figlift-entry/EntryShardView.cpp
+++ b/Services/figlift-entry/EntryShardView.cpp
@@ -1,4 +1,4 @@
-//===- EntryShardView.cpp - The planner's view of the fleet ---------------===//
+//===- EntryShardView.cpp - The planner's interface to the fleet ----------===//
 //
 // See EntryShardView.h.
 //
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Receives the one answer to an order.
+/// Receives the single reply to an order.
 class OrderListener final : public wire::StreamListener {
 public:
   OrderListener(planner::OrderSender::Done Answered, timeline::Timeline &Events)
@@ -41,7 +41,7 @@
     if (std::exchange(m_Told, true))
       return;
     m_Answered(failure(ResultCode::PeerUnreachable,
-                       "the agent's answer to the order did not come"));
+                       "the agent did not reply to the order"));
   }
 
 private:
@@ -57,7 +57,8 @@
     return HomeState::Gone;
   const bool Reported = Known.Connected && Known.Report;
   if (!Reported)
-    // An operator who retires an unreachable target says that it has stopped.
+    // Retiring an unreachable target is an operator's confirmation that it has
+    // stopped.
     return Known.Wish == TargetIntent::Retire ? HomeState::Gone
                                               : HomeState::CutOff;
   if (Known.Wish != TargetIntent::Serve ||
@@ -125,8 +126,8 @@
     if (Known.Listed.BackEnd == Shard.BackEnd)
       Targets.push_back(describe(Known));
   }
-  // Homes of other regions are alive as far as this entry can tell: without
-  // them in the view, their slices would be taken for those of a dead home.
+  // Homes in other regions are listed but not connected. If they were missing
+  // from the view, their slices would be treated as slices of a dead home.
   for (const std::string &Id : m_Fleet.listedIds())
     if (!Described.contains(Id)) {
       ShardTarget Elsewhere;
--- a/Services/figlift-entry/EntryShardView.h
+++ b/Services/figlift-entry/EntryShardView.h
@@ -1,7 +1,7 @@
-//===- EntryShardView.h - The planner's view of the fleet -------*- C++ -*-===//
+//===- EntryShardView.h - The planner's interface to the fleet --*- C++ -*-===//
 //
-// Shows the planner what this entry knows of the targets, and takes its orders
-// to their agents. Control thread only.
+// Provides the planner with the state of the targets and sends its orders to
+// their agents. Used on the control thread only.
 //
 //===----------------------------------------------------------------------===//
 
