--- a/Services/figlift-entry/EventLoop.cpp
+++ b/Services/figlift-entry/EventLoop.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Longest sleep: the condition variable does not count suspension of the VM,
-/// so a due time may pass unnoticed for at most this long.
+/// Bound of each wait: the clock of the condition variable stops while the VM
+/// is suspended, so after a resume a task can be late by at most this much.
 constexpr std::chrono::milliseconds MaximumSleep{1000};
 
 } // namespace
@@ -33,8 +33,8 @@
 }
 
 void EventLoop::cancel(const TimerId &Which) {
-  // Declared before the lock, so that it is destroyed after the lock is given
-  // back: what the task captured may call this loop.
+  // Declared before the lock, so that the task is destroyed after the lock is
+  // released: destructors of its captures may call this loop.
   Task Dropped;
   const std::lock_guard Lock(m_Mutex);
   if (const auto Found = m_Tasks.find(Which); Found != m_Tasks.end()) {
--- a/Services/figlift-entry/EventLoop.h
+++ b/Services/figlift-entry/EventLoop.h
@@ -1,7 +1,7 @@
 //===- EventLoop.h - Thread for tasks and timers ----------------*- C++ -*-===//
 //
-// One thread that runs tasks in the order of their due times. Control state is
-// owned by such a loop, so that it needs no locks.
+// Runs tasks on one thread in the order of their due times. State that is only
+// accessed by tasks of one loop needs no locks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
 
 namespace figlift::entry {
 
-/// Members may be called from any thread.
+/// Thread-safe.
 class EventLoop {
 public:
   using Task = std::function<void()>;
@@ -35,9 +35,9 @@
     return after(std::chrono::milliseconds(0), std::move(What));
   }
   TimerId after(std::chrono::milliseconds Delay, Task What);
-  /// A task that runs at this moment is not waited for.
+  /// Does not wait for a task that is already running.
   void cancel(const TimerId &Which);
-  /// Drops what is not due yet and joins the thread; later tasks never run.
+  /// Drops pending tasks and joins the thread. Tasks added later never run.
   void stop();
 
 private:
@@ -45,7 +45,7 @@
 
   std::mutex m_Mutex;
   std::condition_variable m_Wake;
-  /// By due time, then by order of arrival.
+  /// Ordered by due time, then by insertion.
   std::map<TimerId, Task> m_Tasks;
   uint64_t m_Count = 0;
   bool m_Stopped = false;
