--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-/// Other entries that this one keeps connections to, to fetch the
-/// configuration from when the platform is out.
+/// Number of other entries to stay connected to. The configuration is fetched
+/// from them while the platform is unreachable.
 constexpr size_t MaximumPeers = 6;
 
 membership::Options membershipOptions(const settings::EntrySettings &From) {
@@ -50,7 +50,7 @@
 }
 
 std::chrono::milliseconds Fleet::jittered(std::chrono::milliseconds Mean) {
-  // Entries that started together must not ask the platform together.
+  // Spreads the polls of entries that started at the same time.
   std::uniform_real_distribution<double> Factor(0.75, 1.25);
   return std::chrono::milliseconds(static_cast<int64_t>(
       static_cast<double>(Mean.count()) * Factor(m_Random)));
@@ -138,8 +138,8 @@
         "the platform's list says that the VM is leaving");
 }
 
-/// With a connection from every entry to every other, heartbeats alone would
-/// take more than an entry's whole budget of control bytes at 200 entries.
+/// Selects a bounded number of peers. In a full mesh of 200 entries, heartbeats
+/// alone would exceed the control traffic budget of an entry.
 std::vector<platform::Vm>
 Fleet::peersToAsk(std::vector<platform::Vm> Peers) const {
   const auto Count =
@@ -179,8 +179,8 @@
 }
 
 void Fleet::openSync(TargetLink &Link) {
-  // Whole: the agent may have nothing yet, and does not say before it was
-  // told something.
+  // Starts with the full configuration: the agent may have none, and sends no
+  // report before it receives the first message.
   Link.openSync(syncMessage(0));
 }
 
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -1,8 +1,9 @@
 //===- Fleet.h - Connections to the targets ---------------------*- C++ -*-===//
 //
-// Shell of the membership machine: reads the platform's list, holds the links
-// to agents, pushes configuration to them and publishes the serving state.
-// All members belong to the control thread unless they say otherwise.
+// Executes the actions of the membership state machine: polls the platform's VM
+// list, maintains the links to agents, pushes the configuration to them and
+// publishes the serving state. Members are used on the control thread unless
+// documented otherwise.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +29,7 @@
 
 namespace figlift::entry {
 
-/// What a status page shows of the fleet.
+/// Snapshot of the fleet for status pages.
 struct FleetStatus {
   std::vector<membership::TargetState> Targets;
   std::vector<platform::Vm> Peers;
@@ -45,47 +46,48 @@
     platform::VmList &List;
     ServingStatePointer &Published;
   };
-  /// Endpoints of the other entries changed.
+  /// Called when the endpoints of the other entries change.
   using PeersObserver = std::function<void(std::vector<Endpoint>)>;
-  /// A message showed that this revision exists; any thread.
+  /// Called on any thread with a configuration revision seen in a message.
   using RevisionObserver = std::function<void(uint64_t)>;
 
   explicit Fleet(Parts Of);
 
   void start(PeersObserver OnPeers, RevisionObserver OnRevision);
-  /// Puts a configuration in force and pushes it.
+  /// Puts a configuration in force and pushes it to the agents.
   void setConfiguration(config::SnapshotPointer Next);
-  /// Why no new request may be taken; nothing when all is well.
+  /// Sets the reason for refusing new requests, or none to accept them.
   void setNotReady(std::optional<Error> Reason);
-  /// Learns the homes of a back end's slices from the table.
+  /// Adds the homes of a back end's slices that were read from the table.
   void learnHomes(const std::string &BackEnd,
                   const idempotency::GrantTable &Grants);
-  /// Channels to agents that are up.
+  /// Connected channels to agents.
   std::vector<std::shared_ptr<wire::Channel>> upChannels() const;
-  /// \name What the planner sees; control thread.
+  /// \name Interface of the planner; control thread only.
   /// @{
   struct LastReport {
     wire::SyncDown Message;
     BootTime ArrivedAt;
   };
   const membership::Membership &membership() const { return m_Membership; }
-  /// Null when the target's agent has not reported on its present connection.
+  /// Null until the target's agent has reported on its current connection.
   const LastReport *lastReport(const std::string &Target) const;
-  /// Ids of all machines on the platform's list, of every region.
+  /// Ids of all VMs on the platform's list, in every region.
   const std::set<std::string> &listedIds() const { return m_ListedIds; }
-  /// Null before the first.
+  /// Null until a configuration has been set.
   const config::SnapshotPointer &configuration() const {
     return m_Configuration;
   }
-  /// Null without a connection.
+  /// Null when the target is not connected.
   std::shared_ptr<wire::Channel> channelTo(const std::string &Target) const;
-  /// Back ends to all whose targets this entry stays connected.
+  /// Sets the back ends for which this entry connects to every target, not just
+  /// to its subset.
   void setPlanned(std::set<std::string> BackEnds);
   /// @}
-  /// Drops every link; requests in flight keep theirs.
+  /// Drops every link. Requests in flight keep their links open.
   void stop();
 
-  /// Any thread.
+  /// Thread-safe.
   std::shared_ptr<const FleetStatus> status() const { return m_Status.load(); }
   retry::HealthBook &healthBook() { return m_Health; }
 
@@ -116,7 +118,7 @@
 
   struct Linked {
     std::shared_ptr<TargetLink> Link;
-    /// Tells callbacks of this link from those of an earlier one.
+    /// Distinguishes callbacks of this link from those of an earlier one.
     uint64_t Generation = 0;
   };
 
@@ -129,7 +131,7 @@
   std::map<std::string, Linked> m_Links;
   std::map<std::string, LastReport> m_Reports;
   std::set<std::string> m_ListedIds;
-  /// Null before the first.
+  /// Null until a configuration has been set.
   config::SnapshotPointer m_Configuration;
   std::optional<Error> m_NotReady;
   ByName<idempotency::HomeDirectory> m_Homes;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -1,6 +1,6 @@
-//===- FleetPublish.cpp - The serving state from the membership -----------===//
+//===- FleetPublish.cpp - Publication of the serving state ----------------===//
 //
-// Builds the snapshot that requests read.
+// Builds the snapshot that the request path reads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Changes that come together are published together.
+/// Batches changes that arrive close together into one publication.
 constexpr std::chrono::milliseconds PublishDelay{5};
 constexpr std::chrono::milliseconds NotReadyRetryAfter{500};
 
--- a/Services/figlift-entry/LoadMessage.cpp
+++ b/Services/figlift-entry/LoadMessage.cpp
@@ -1,4 +1,4 @@
-//===- LoadMessage.cpp - Agents' reports in memory form -------------------===//
+//===- LoadMessage.cpp - Conversion of agent reports ----------------------===//
 //
 // See LoadMessage.h.
 //
--- a/Services/figlift-entry/LoadMessage.h
+++ b/Services/figlift-entry/LoadMessage.h
@@ -1,6 +1,6 @@
-//===- LoadMessage.h - Agents' reports in memory form -----------*- C++ -*-===//
+//===- LoadMessage.h - Conversion of agent reports --------------*- C++ -*-===//
 //
-// Converts the wire's messages into the types of routing and membership.
+// Converts wire messages into the types of LibRoute and LibMembership.
 //
 //===----------------------------------------------------------------------===//
 
