--- a/Services/figlift-entry/HomeReader.cpp
+++ b/Services/figlift-entry/HomeReader.cpp
@@ -1,4 +1,4 @@
-//===- HomeReader.cpp - Homes of slices from the table --------------------===//
+//===- HomeReader.cpp - Reads the homes of slices from the table ----------===//
 //
 // See HomeReader.h.
 //
--- a/Services/figlift-entry/HomeReader.h
+++ b/Services/figlift-entry/HomeReader.h
@@ -1,8 +1,8 @@
-//===- HomeReader.h - Homes of slices from the table ------------*- C++ -*-===//
+//===- HomeReader.h - Reads the homes of slices from the table --*- C++ -*-===//
 //
-// Reads the row of a back end's slices when a keyed call found no home or the
-// wrong one. Homes are usually learned from the agents' own reports; this read
-// is bounded in rate, however many calls fail.
+// Reads the slice grants of a back end when a keyed call found no home or an
+// outdated one. Homes are usually learned from the reports of the agents. The
+// reads are rate-limited, regardless of how many calls fail.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,10 +25,10 @@
   HomeReader(EventLoop &Control, platform::Table &Store, Fleet &Learner)
       : m_Control(Control), m_Store(Store), m_Learner(Learner) {}
 
-  /// Any thread.
+  /// Requests a read of the grants of a back end. Thread-safe.
   void wanted(const std::string &BackEnd);
-  /// Reads the rows of these back ends until every slice has a home, so that
-  /// the first keyed calls find one. Any thread.
+  /// Polls the grants of these back ends until every slice has a home, so that
+  /// the first keyed calls find one. Thread-safe.
   void watch(std::vector<std::string> BackEnds);
 
 private:
@@ -38,9 +38,9 @@
   EventLoop &m_Control;
   platform::Table &m_Store;
   Fleet &m_Learner;
-  /// Of the last read; control thread.
+  /// Time of the last read by back end; control thread.
   std::map<std::string, BootTime> m_LastRead;
-  /// Back ends some of whose slices have no known home; control thread.
+  /// Back ends with slices that have no known home; control thread.
   std::set<std::string> m_Watched;
   bool m_WatchDue = false;
 };
