--- a/Services/figlift-entry/PeerConfiguration.cpp
+++ b/Services/figlift-entry/PeerConfiguration.cpp
@@ -1,6 +1,7 @@
-//===- PeerConfiguration.cpp - Configuration from other processes ---------===//
+//===- PeerConfiguration.cpp - Configuration fetched from peers -----------===//
 //
-// See PeerConfiguration.h. All state belongs to the control thread.
+// See PeerConfiguration.h. State without a mutex is used on the control thread
+// only.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,11 +17,11 @@
 
 namespace {
 
-/// Agents asked beside the other entries.
+/// Number of agents queried in addition to the other entries.
 constexpr size_t MaximumAgentsAsked = 3;
-/// Processes asked when one answer is enough.
+/// Number of processes queried when one reply is enough.
 constexpr size_t MaximumAskedForOne = 2;
-/// An entry that has not answered for so many polls counts as unreachable.
+/// An entry is reported as unreachable after this many polls without a reply.
 constexpr int PollsUntilSilent = 4;
 
 class IgnoreState final : public wire::ChannelListener {
@@ -32,7 +33,7 @@
 
 using Answered = std::function<void(std::optional<config::Delta>)>;
 
-/// One set of questions; the newest answer wins.
+/// One round of queries, which ends with the newest revision received.
 class PeerConfiguration::Round {
 public:
   explicit Round(platform::Callback<config::Delta> Done)
@@ -53,7 +54,7 @@
       Done(std::move(*m_Best));
     else
       Done(failure(ResultCode::PeerUnreachable,
-                   "no other process gave its configuration"));
+                   "no other process returned a configuration"));
   }
 
 private:
@@ -64,7 +65,7 @@
 
 class PeerConfiguration::Question final : public wire::StreamListener {
 public:
-  /// \p Then is called once, on the control thread.
+  /// \p OnReply is called once, on the control thread.
   Question(EventLoop &Control, Answered Then, uint64_t After)
       : m_Control(Control), m_Then(std::move(Then)), m_After(After) {}
 
--- a/Services/figlift-entry/PeerConfiguration.h
+++ b/Services/figlift-entry/PeerConfiguration.h
@@ -1,7 +1,7 @@
-//===- PeerConfiguration.h - Configuration from other processes -*- C++ -*-===//
+//===- PeerConfiguration.h - Configuration fetched from peers ---*- C++ -*-===//
 //
-// Asks other entries, and agents when there are none, for the configuration,
-// so that a process that starts during an outage of the table gets it too.
+// Fetches the configuration from other entries and from agents, so that a
+// process that starts during an outage of the table receives it too.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,25 +32,25 @@
     wire::Client &Transport;
     timeline::Timeline &Events;
     std::string ProcessId;
-    /// Bound of one round of questions.
+    /// Time limit of one round of queries.
     std::chrono::milliseconds Timeout;
-    /// Between two questions to every other entry.
+    /// Interval between polls of the other entries.
     std::chrono::milliseconds PollInterval;
-    /// Revision that this entry has.
+    /// Returns the configuration revision of this entry.
     std::function<uint64_t()> Revision;
   };
-  /// Channels to agents that are up; control thread.
+  /// Returns the connected channels to agents; called on the control thread.
   using AgentChannels =
       std::function<std::vector<std::shared_ptr<wire::Channel>>()>;
 
   PeerConfiguration(Parts Of, AgentChannels Agents)
       : m_Parts(std::move(Of)), m_Agents(std::move(Agents)) {}
 
-  /// Asks every other entry again and again what it has in force: a change
-  /// spreads so also from an entry that has it to one that is cut off from the
-  /// table, and this entry can tell operators of the others. Control thread.
+  /// Polls the connected entries for their configuration. A change thereby also
+  /// reaches entries that cannot read the table, and operators can see the
+  /// revision of each entry. Control thread.
   void startPolling(std::function<void(config::Delta)> OnAnswer);
-  /// Revision in force at an entry that answered lately; any thread.
+  /// Revision in force at an entry that replied recently. Thread-safe.
   std::optional<uint64_t> revisionOf(const Endpoint &Peer) const;
   /// Connects to these entries and no others. Control thread.
   void setPeers(const std::vector<Endpoint> &Peers);
@@ -59,7 +59,7 @@
     m_OnAnswer = nullptr;
     setPeers({});
   }
-  /// May be called from any thread, as long as this object lives.
+  /// The returned function is thread-safe and must not outlive this object.
   config::PeerFetcher fetcher();
 
 private:
@@ -80,7 +80,7 @@
   const Parts m_Parts;
   const AgentChannels m_Agents;
   std::map<Endpoint, std::shared_ptr<wire::Channel>> m_Peers;
-  /// Null when not polling.
+  /// Null while not polling.
   std::function<void(config::Delta)> m_OnAnswer;
   mutable std::mutex m_HeardMutex;
   std::map<Endpoint, Heard> m_Heard;
--- a/Services/figlift-entry/PeerServer.cpp
+++ b/Services/figlift-entry/PeerServer.cpp
@@ -1,4 +1,4 @@
-//===- PeerServer.cpp - What other processes ask an entry -----------------===//
+//===- PeerServer.cpp - Requests from other processes ---------------------===//
 //
 // See PeerServer.h.
 //
--- a/Services/figlift-entry/PeerServer.h
+++ b/Services/figlift-entry/PeerServer.h
@@ -1,7 +1,7 @@
-//===- PeerServer.h - What other processes ask an entry ---------*- C++ -*-===//
+//===- PeerServer.h - Requests from other processes -------------*- C++ -*-===//
 //
-// Answers the Configuration method; every other one is refused, provably
-// unprocessed.
+// Serves the Configuration method. Streams of other methods are refused, which
+// guarantees to the sender that they were not processed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 class PeerServer final : public wire::ServerListener {
 public:
-  /// Null before the first configuration; any thread.
+  /// Null until a configuration has been received. Called on any thread.
   using CurrentConfiguration = std::function<config::SnapshotPointer()>;
 
   explicit PeerServer(CurrentConfiguration Current)
