--- a/Services/figlift-entry/Rcu.h
+++ b/Services/figlift-entry/Rcu.h
@@ -1,6 +1,6 @@
-//===- Rcu.h - Read-copy-update of whole snapshots --------------*- C++ -*-===//
+//===- Rcu.h - Read-copy-update of snapshots --------------------*- C++ -*-===//
 //
-// The request path reads the routing table and the configuration without a
+// Lets the request path read the routing table and the configuration without a
 // lock and without writing to memory that other threads read.
 //
 //===----------------------------------------------------------------------===//
@@ -15,7 +15,7 @@
 
 namespace figlift::entry {
 
-/// Holds one snapshot. One thread publishes; any thread reads.
+/// Holds one snapshot. Only one thread may publish; any thread may read.
 template <typename T> class RcuPointer {
 public:
   RcuPointer() : m_Now(new T()) {}
@@ -23,15 +23,15 @@
   RcuPointer(const RcuPointer &) = delete;
   RcuPointer &operator=(const RcuPointer &) = delete;
 
-  /// Calls \p Use with the snapshot inside a read-side critical section:
-  /// \p Use must not block and must keep no reference into the snapshot.
+  /// Calls \p Use with the snapshot inside a read-side critical section. \p Use
+  /// must not block and must not keep references into the snapshot.
   template <typename Function> auto read(Function &&Use) const {
     const config::RcuReadSection Section;
     return Use(*m_Now.load(std::memory_order_acquire));
   }
 
-  /// Replaces the snapshot; returns when the old one is destroyed. Not inside
-  /// read().
+  /// Replaces the snapshot and destroys the old one once all its readers have
+  /// finished. Must not be called inside read().
   void publish(std::unique_ptr<const T> Next) {
     const std::unique_ptr<const T> Old(
         m_Now.exchange(Next.release(), std::memory_order_acq_rel));
--- a/Services/figlift-entry/ServingState.h
+++ b/Services/figlift-entry/ServingState.h
@@ -1,7 +1,7 @@
-//===- ServingState.h - What the request path reads -------------*- C++ -*-===//
+//===- ServingState.h - State read by the request path ----------*- C++ -*-===//
 //
-// One immutable snapshot of configuration, routing table and homes. Built by
-// the control thread, published by read-copy-update.
+// Immutable snapshot of configuration, routing table and homes. Built by the
+// control thread and published by read-copy-update.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
 template <typename T> using ByName = std::map<std::string, T, std::less<>>;
 
 struct ServingState {
-  /// Why no new request is taken; empty while serving.
+  /// Reason for refusing new requests; empty while serving.
   std::optional<Error> NotReady{Error{ResultCode::NotReady,
                                       "the entry has no configuration yet",
                                       {},
@@ -33,7 +33,7 @@
   /// Never null.
   config::SnapshotPointer Configuration = config::Snapshot::empty();
   route::RoutingTable Table;
-  /// Targets with a usable channel, by id.
+  /// Connected targets by id.
   ByName<std::shared_ptr<TargetLink>> Links;
   /// By back end.
   ByName<idempotency::HomeDirectory> Homes;
--- a/Services/figlift-entry/TargetLink.cpp
+++ b/Services/figlift-entry/TargetLink.cpp
@@ -1,7 +1,7 @@
 //===- TargetLink.cpp - Connection to one target's agent ------------------===//
 //
-// See TargetLink.h. Listeners hold the link weakly, because the link owns the
-// channel which owns them.
+// See TargetLink.h. Listeners hold a weak pointer to the link, because the link
+// owns the channel and the channel owns the listeners.
 //
 //===----------------------------------------------------------------------===//
 
@@ -40,7 +40,8 @@
   const std::weak_ptr<TargetLink> m_Owner;
 };
 
-/// The agent's own report says what came of it.
+/// Ignores the reply to a Drain request: the agent reports the result in its
+/// state.
 class TargetLink::IgnoredReply final : public wire::StreamListener {
 public:
   void onMessage(std::string_view) override {}
--- a/Services/figlift-entry/TargetLink.h
+++ b/Services/figlift-entry/TargetLink.h
@@ -1,7 +1,7 @@
 //===- TargetLink.h - Connection to one target's agent ----------*- C++ -*-===//
 //
-// The channel to an agent with its Sync stream, and what the request path
-// needs beside it: the load gauge and the health of the target.
+// The channel to an agent with its Sync stream, and the load gauge and health
+// of the target for the request path.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +20,8 @@
 
 namespace figlift::entry {
 
-/// Kept by the fleet and by every attempt at the target; the channel is closed
-/// when the last of them lets go, so that no request is cut when the target
+/// Shared by the fleet and all attempts at the target. The channel is closed
+/// with the last reference, so that no request is interrupted when the target
 /// leaves the subset.
 class TargetLink : public std::enable_shared_from_this<TargetLink> {
 public:
@@ -49,12 +49,12 @@
   route::TargetGauge &gauge() { return *m_Parts.Gauge; }
   retry::TargetHealth &health() { return *m_Parts.Health; }
 
-  /// Opens the Sync stream anew; \p First is its first message. Control
-  /// thread only, as the next one.
+  /// Replaces the Sync stream by a new one that starts with \p First. Control
+  /// thread only, like sendSync().
   void openSync(const wire::SyncUp &First);
-  /// False when there is no Sync stream.
+  /// Returns false when there is no Sync stream.
   bool sendSync(const wire::SyncUp &Message);
-  /// Asks the agent to drain, or takes such a wish back. Any thread.
+  /// Asks the agent to drain, or to resume work if \p Undo is set. Thread-safe.
   void askToDrain(const std::string &Reason, bool Undo = false);
 
 private:
