--- a/Services/figlift-entry/Main.cpp
+++ b/Services/figlift-entry/Main.cpp
@@ -1,7 +1,7 @@
 //===- Main.cpp - figlift-entry -------------------------------------------===//
 //
-// Where callers and operators reach figlift: reads the settings, starts the
-// entry and takes it out of service on SIGTERM.
+// The process that serves callers and operators: reads the settings, starts the
+// entry and shuts it down on SIGTERM or SIGINT.
 //
 //===----------------------------------------------------------------------===//
 
@@ -47,16 +47,16 @@
   int Which = 0;
   sigwait(&Signals, &Which);
   const bool Whole = Running.value()->leave();
-  // Without destructors: a late answer of the platform or an agent, on a
-  // thread of a library's pool, would find its receiver gone and crash a stop
-  // that was in good order.
+  // Skips destructors: a late reply from the platform or an agent, handled on
+  // a library's thread pool, would use a destroyed receiver and crash an
+  // otherwise clean shutdown.
   std::quick_exit(Whole ? EXIT_SUCCESS : EXIT_FAILURE);
 }
 
 } // namespace
 
 int main(int ArgumentCount, char **Arguments) {
-  // Blocked before any thread is made, so that only main waits for them.
+  // Blocked before any thread starts, so that only main receives them.
   const sigset_t Signals = stopSignals();
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
--- a/Services/figlift-entry/OperatorApi.cpp
+++ b/Services/figlift-entry/OperatorApi.cpp
@@ -1,4 +1,4 @@
-//===- OperatorApi.cpp - Routes of operators ------------------------------===//
+//===- OperatorApi.cpp - HTTP routes for operators ------------------------===//
 //
 // See OperatorApi.h.
 //
--- a/Services/figlift-entry/OperatorApi.h
+++ b/Services/figlift-entry/OperatorApi.h
@@ -1,7 +1,7 @@
-//===- OperatorApi.h - Routes of operators ----------------------*- C++ -*-===//
+//===- OperatorApi.h - HTTP routes for operators ----------------*- C++ -*-===//
 //
-// Hands what lies below /operator/v1/ to LibConfig's operator service, and
-// gives it this entry's view of the others.
+// Forwards requests below /operator/v1/ to LibConfig's operator service, and
+// provides it with the status of the targets and the other entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
 
 namespace figlift::entry {
 
-/// Any thread.
+/// Thread-safe.
 class EntryStatusProvider final : public config::StatusProvider {
 public:
   struct Parts {
