--- a/Services/figlift-entry/AnswerWriter.cpp
+++ b/Services/figlift-entry/AnswerWriter.cpp
@@ -45,7 +45,7 @@
       {"id", Id},
       {"object", IsChat ? "chat.completion.chunk" : "text_completion"},
       {"created", unixSeconds()},
-      {"model", Work.ModelAsAsked}};
+      {"model", Work.RequestedModel}};
   std::string Text = dump(Head);
   Text.pop_back();
   return Text + ",\"choices\":[{\"index\":0,";
@@ -56,17 +56,18 @@
 StreamedCompletion::StreamedCompletion(std::shared_ptr<http::Exchange> Caller,
                                        const CompletionWork &Work,
                                        std::string Id,
-                                       std::function<void()> Gone)
-    : m_Caller(std::move(Caller)), m_Gone(std::move(Gone)),
+                                       std::function<void()> OnDisconnect)
+    : m_Caller(std::move(Caller)), m_OnDisconnect(std::move(OnDisconnect)),
       m_IsChat(Work.Api == CompletionApi::Chat), m_Head(chunkHead(Work, Id)) {}
 
-void StreamedCompletion::begin() {
-  std::call_once(m_Begun,
-                 [this] { m_Stream = m_Caller->startEvents({}, m_Gone); });
+void StreamedCompletion::start() {
+  std::call_once(m_StartOnce, [this] {
+    m_Stream = m_Caller->startEvents({}, m_OnDisconnect);
+  });
 }
 
 bool StreamedCompletion::tokens(std::string_view Text) {
-  begin();
+  start();
   if (!m_Stream)
     return false;
   std::string Chunk = m_Head;
@@ -78,12 +79,12 @@
 }
 
 bool StreamedCompletion::keepAlive() {
-  begin();
+  start();
   return m_Stream && m_Stream->comment();
 }
 
 void StreamedCompletion::finish(const CompletionEnd &End) {
-  begin();
+  start();
   if (!m_Stream)
     return;
   std::string Chunk = m_Head;
@@ -95,27 +96,28 @@
   m_Stream->close();
 }
 
-void StreamedCompletion::fail(const Error &What) {
-  std::call_once(m_Begun, [&] { m_Caller->replyProblem(What); });
+void StreamedCompletion::fail(const Error &Failure) {
+  std::call_once(m_StartOnce, [&] { m_Caller->replyProblem(Failure); });
   if (!m_Stream)
     return;
   // The HTTP status has already been sent. Clients recognize the response as
   // incomplete because [DONE] is missing.
-  m_Stream->send("{\"error\":" + http::problemBody(What, {}) + "}");
+  m_Stream->send("{\"error\":" + http::problemBody(Failure, {}) + "}");
   m_Stream->close();
 }
 
-WholeCompletion::WholeCompletion(std::shared_ptr<http::Exchange> Caller,
-                                 const CompletionWork &Work, std::string Id)
-    : m_Caller(std::move(Caller)), m_Api(Work.Api), m_Model(Work.ModelAsAsked),
-      m_Id(std::move(Id)) {}
+BufferedCompletion::BufferedCompletion(std::shared_ptr<http::Exchange> Caller,
+                                       const CompletionWork &Work,
+                                       std::string Id)
+    : m_Caller(std::move(Caller)), m_Api(Work.Api),
+      m_Model(Work.RequestedModel), m_Id(std::move(Id)) {}
 
-bool WholeCompletion::tokens(std::string_view Text) {
+bool BufferedCompletion::tokens(std::string_view Text) {
   m_Text += Text;
   return true;
 }
 
-void WholeCompletion::finish(const CompletionEnd &End) {
+void BufferedCompletion::finish(const CompletionEnd &End) {
   const bool IsChat = m_Api == CompletionApi::Chat;
   ordered_json Choice = {{"index", 0}};
   if (IsChat)
@@ -130,12 +132,12 @@
       {"model", m_Model},
       {"choices", ordered_json::array({Choice})},
       {"usage", usage(End)}};
-  http::Response Answer;
-  Answer.Body = dump(Body);
-  m_Caller->reply(std::move(Answer));
+  http::Response Response;
+  Response.Body = dump(Body);
+  m_Caller->reply(std::move(Response));
 }
 
-void PlainAnswer::answer(const wire::ServiceAnswer &Answer) {
+void ServiceResponse::answer(const wire::ServiceAnswer &Answer) {
   http::Response Response;
   Response.Status = static_cast<int>(Answer.status());
   Response.ContentType = Answer.content_type();
@@ -146,16 +148,16 @@
 }
 
 AnswerWriter makeAnswerWriter(std::shared_ptr<http::Exchange> Caller,
-                              const CallerRequest &For,
-                              std::function<void()> Gone) {
-  const auto *Work = std::get_if<CompletionWork>(&For.Work);
+                              const CallerRequest &Request,
+                              std::function<void()> OnDisconnect) {
+  const auto *Work = std::get_if<CompletionWork>(&Request.Work);
   if (!Work)
-    return std::make_unique<PlainAnswer>(std::move(Caller));
+    return std::make_unique<ServiceResponse>(std::move(Caller));
   if (Work->Streamed)
-    return std::make_unique<StreamedCompletion>(std::move(Caller), *Work,
-                                                For.RequestId, std::move(Gone));
-  return std::make_unique<WholeCompletion>(std::move(Caller), *Work,
-                                           For.RequestId);
+    return std::make_unique<StreamedCompletion>(
+        std::move(Caller), *Work, Request.RequestId, std::move(OnDisconnect));
+  return std::make_unique<BufferedCompletion>(std::move(Caller), *Work,
+                                              Request.RequestId);
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/AnswerWriter.h
+++ b/Services/figlift-entry/AnswerWriter.h
@@ -35,39 +35,39 @@
 public:
   StreamedCompletion(std::shared_ptr<http::Exchange> Caller,
                      const CompletionWork &Work, std::string Id,
-                     std::function<void()> Gone);
+                     std::function<void()> OnDisconnect);
   /// Returns false when the caller has disconnected.
   bool tokens(std::string_view Text);
   /// Writes a comment event, which callers ignore, and starts the response if
   /// necessary. Thread-safe.
   bool keepAlive();
   void finish(const CompletionEnd &End);
-  void fail(const Error &What);
+  void fail(const Error &Failure);
 
 private:
-  void begin();
+  void start();
 
   const std::shared_ptr<http::Exchange> m_Caller;
-  const std::function<void()> m_Gone;
+  const std::function<void()> m_OnDisconnect;
   const bool m_IsChat;
   /// JSON prefix of every chunk, up to the generated text.
   std::string m_Head;
   /// Starts the event stream, or sends a problem response instead, only once:
   /// tokens, the keep-alive timer and a failure can race to be first.
-  std::once_flag m_Begun;
+  std::once_flag m_StartOnce;
   /// Null until the response starts; stays null for a problem response.
   std::shared_ptr<http::EventStream> m_Stream;
 };
 
 /// Buffers the tokens and sends one JSON object at the end.
-class WholeCompletion {
+class BufferedCompletion {
 public:
-  WholeCompletion(std::shared_ptr<http::Exchange> Caller,
-                  const CompletionWork &Work, std::string Id);
+  BufferedCompletion(std::shared_ptr<http::Exchange> Caller,
+                     const CompletionWork &Work, std::string Id);
   bool tokens(std::string_view Text);
   bool keepAlive() { return true; }
   void finish(const CompletionEnd &End);
-  void fail(const Error &What) { m_Caller->replyProblem(What); }
+  void fail(const Error &Failure) { m_Caller->replyProblem(Failure); }
 
 private:
   const std::shared_ptr<http::Exchange> m_Caller;
@@ -78,26 +78,26 @@
 };
 
 /// Forwards status and body of a service back end unchanged.
-class PlainAnswer {
+class ServiceResponse {
 public:
-  explicit PlainAnswer(std::shared_ptr<http::Exchange> Caller)
+  explicit ServiceResponse(std::shared_ptr<http::Exchange> Caller)
       : m_Caller(std::move(Caller)) {}
   void answer(const wire::ServiceAnswer &Answer);
   bool keepAlive() { return true; }
-  void fail(const Error &What) { m_Caller->replyProblem(What); }
+  void fail(const Error &Failure) { m_Caller->replyProblem(Failure); }
 
 private:
   const std::shared_ptr<http::Exchange> m_Caller;
 };
 
 using AnswerWriter = std::variant<std::unique_ptr<StreamedCompletion>,
-                                  std::unique_ptr<WholeCompletion>,
-                                  std::unique_ptr<PlainAnswer>>;
+                                  std::unique_ptr<BufferedCompletion>,
+                                  std::unique_ptr<ServiceResponse>>;
 
 /// Creates the writer for the kind of request. \p OnDisconnect is called when a
 /// write to the caller fails.
 AnswerWriter makeAnswerWriter(std::shared_ptr<http::Exchange> Caller,
-                              const CallerRequest &For,
-                              std::function<void()> Gone);
+                              const CallerRequest &Request,
+                              std::function<void()> OnDisconnect);
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -209,7 +209,7 @@
 }
 
 void Call::onServiceAnswer(Attempt &From, const wire::ServiceAnswer &Frame) {
-  auto *Writer = std::get_if<std::unique_ptr<PlainAnswer>>(&*m_Writer);
+  auto *Writer = std::get_if<std::unique_ptr<ServiceResponse>>(&*m_Writer);
   if (!Writer)
     return afterEnd(From.link(), retry::TargetFailed{});
   From.link()->health().succeeded();
--- a/Services/figlift-entry/CallerRequest.h
+++ b/Services/figlift-entry/CallerRequest.h
@@ -25,7 +25,7 @@
   CompletionApi Api = CompletionApi::Text;
   bool Streamed = false;
   /// Model name as sent by the caller; repeated in the response.
-  std::string ModelAsAsked;
+  std::string RequestedModel;
   /// "name" or "name@version".
   std::string Model;
   std::string Prompt;
--- a/Services/figlift-entry/CompletionRequest.cpp
+++ b/Services/figlift-entry/CompletionRequest.cpp
@@ -156,7 +156,7 @@
 /// request does not return the answer of the first one.
 std::string resumeKeyOf(const std::string &Key, const std::string &Workspace,
                         const CompletionWork &Work) {
-  return digestOf({Key, Workspace, Work.ModelAsAsked, Work.Prompt,
+  return digestOf({Key, Workspace, Work.RequestedModel, Work.Prompt,
                    std::to_string(Work.MaximumTokens)});
 }
 
@@ -178,7 +178,7 @@
                                                  : readText(Body, "prompt"));
   CompletionWork Work{.Api = Api,
                       .Streamed = Streamed,
-                      .ModelAsAsked = Model,
+                      .RequestedModel = Model,
                       .Model = {},
                       .Prompt = std::move(Prompt),
                       .MaximumTokens = MaximumTokens};
