--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -67,7 +67,7 @@
 Entry::Entry(const settings::EntrySettings &Settings)
     : m_Settings(Settings), m_Events(timelineOptions(Settings)),
       m_Budget(budgetSettings(Settings)), m_Retrying(retrySettings(Settings)),
-      m_Routing(routingArm(Settings.Policy.Routing)) {}
+      m_Routing(routingPolicyByName(Settings.Policy.Routing)) {}
 
 Entry::~Entry() = default;
 
--- a/Services/figlift-entry/PlannerHost.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -56,7 +56,7 @@
   Lease.Duration = m_Parts.Settings.Lease.Duration;
   Lease.Margin = m_Parts.Settings.Lease.Margin;
   plan::PlannerSettings Planning;
-  Planning.Roles = roleArm(m_Parts.Settings.Policy.Roles);
+  Planning.Roles = rolePolicyByName(m_Parts.Settings.Policy.Roles);
   return {m_Parts.Store,
           m_View,
           m_View,
--- a/Services/figlift-entry/PolicyByName.cpp
+++ b/Services/figlift-entry/PolicyByName.cpp
@@ -8,22 +8,22 @@
 
 namespace figlift::entry {
 
-route::Policy routingArm(std::string_view Name) {
+route::Policy routingPolicyByName(std::string_view Name) {
   if (Name == "random")
     return route::RandomPolicy{};
   if (Name == "round-robin")
     return route::RoundRobinPolicy{};
   if (Name == "least-loaded")
     return route::LeastLoadedPolicy{};
-  route::FigliftPolicy Own;
-  Own.PrefixAwareness = Name != "without-prefix";
-  Own.InFlightCorrection = Name != "without-in-flight";
-  Own.EarlyRefusal = Name != "without-refusal";
-  Own.ClassPriorities = Name != "without-classes";
-  return Own;
+  route::FigliftPolicy Policy;
+  Policy.PrefixAwareness = Name != "without-prefix";
+  Policy.InFlightCorrection = Name != "without-in-flight";
+  Policy.EarlyRefusal = Name != "without-refusal";
+  Policy.ClassPriorities = Name != "without-classes";
+  return Policy;
 }
 
-plan::PlanPolicy roleArm(std::string_view Name) {
+plan::PlanPolicy rolePolicyByName(std::string_view Name) {
   if (Name == "static")
     return plan::StaticPlan{};
   if (Name == "threshold")
--- a/Services/figlift-entry/PolicyByName.h
+++ b/Services/figlift-entry/PolicyByName.h
@@ -16,9 +16,9 @@
 
 /// \p Name is one of settings::RoutingArms. Unknown names select the production
 /// policy.
-route::Policy routingArm(std::string_view Name);
+route::Policy routingPolicyByName(std::string_view Name);
 /// \p Name is one of settings::RoleArms. Unknown names select the production
 /// policy.
-plan::PlanPolicy roleArm(std::string_view Name);
+plan::PlanPolicy rolePolicyByName(std::string_view Name);
 
 } // namespace figlift::entry
