--- a/Services/figlift-entry/Attempt.cpp
+++ b/Services/figlift-entry/Attempt.cpp
@@ -16,53 +16,53 @@
 namespace figlift::entry {
 
 Attempt::Attempt(std::shared_ptr<Call> Owner, std::shared_ptr<TargetLink> Link,
-                 Identity Names, route::InFlightTicket Ticket,
-                 uint32_t PrefixTokensBelieved)
-    : m_Owner(std::move(Owner)), m_Link(std::move(Link)),
-      m_Names(std::move(Names)), m_Ticket(std::move(Ticket)),
-      m_PrefixTokensBelieved(PrefixTokensBelieved) {}
+                 Identity Ids, route::InFlightTicket Ticket,
+                 uint32_t ExpectedPrefixTokens)
+    : m_Owner(std::move(Owner)), m_Link(std::move(Link)), m_Ids(std::move(Ids)),
+      m_Ticket(std::move(Ticket)),
+      m_ExpectedPrefixTokens(ExpectedPrefixTokens) {}
 
 Attempt::~Attempt() = default;
 
-void Attempt::send(wire::Method What, std::string FirstMessage) {
-  std::shared_ptr<wire::Stream> Opened =
-      m_Link->channel().open(What, std::move(FirstMessage), shared_from_this());
-  m_Stream.store(Opened);
+void Attempt::send(wire::Method Method, std::string FirstMessage) {
+  std::shared_ptr<wire::Stream> Stream = m_Link->channel().open(
+      Method, std::move(FirstMessage), shared_from_this());
+  m_Stream.store(Stream);
   // cancel() may have run before the stream was stored, with nothing to reset.
-  if (Opened && m_CancelWanted.load())
-    Opened->cancel();
+  if (Stream && m_CancelRequested.load())
+    Stream->cancel();
 }
 
 void Attempt::cancel() {
-  m_CancelWanted.store(true);
-  if (const auto Open = m_Stream.load())
-    Open->cancel();
+  m_CancelRequested.store(true);
+  if (const auto Stream = m_Stream.load())
+    Stream->cancel();
 }
 
-bool Attempt::isOwn(const wire::RunFrame &Frame) const {
-  return Frame.request_id() == m_Names.RequestId &&
-         Frame.attempt_id() == m_Names.AttemptId;
+bool Attempt::belongsToAttempt(const wire::RunFrame &Frame) const {
+  return Frame.request_id() == m_Ids.RequestId &&
+         Frame.attempt_id() == m_Ids.AttemptId;
 }
 
 void Attempt::onMessage(std::string_view Message) {
-  if (m_Settled)
+  if (m_Ended)
     return;
   // The call may drop its last reference to this attempt while it handles the
   // end of the attempt.
   const auto Self = shared_from_this();
   wire::RunFrame Frame;
   if (!Frame.ParseFromArray(Message.data(), static_cast<int>(Message.size()))) {
-    log::logRequest(log::Level::Warning, "frame-malformed", m_Names.RequestId,
-                    m_Names.AttemptId, {{"bytes", Message.size()}});
+    log::logRequest(log::Level::Warning, "frame-malformed", m_Ids.RequestId,
+                    m_Ids.AttemptId, {{"bytes", Message.size()}});
     return cancel();
   }
-  if (!isOwn(Frame))
+  if (!belongsToAttempt(Frame))
     return m_Owner->context().Metrics.FramesDropped.add();
-  learn(Frame);
-  pass(Frame);
+  updateTarget(Frame);
+  dispatch(Frame);
 }
 
-void Attempt::learn(const wire::RunFrame &Frame) {
+void Attempt::updateTarget(const wire::RunFrame &Frame) {
   m_Owner->context().Events.received(Frame.clock());
   m_Owner->context().OnRevision(Frame.revision());
   if (!Frame.has_load())
@@ -71,34 +71,34 @@
   m_Ticket.settle();
 }
 
-void Attempt::learnHit(uint32_t CachedPromptTokens) {
-  if (m_PrefixTokensBelieved > 0)
-    m_Link->gauge().learnHit(m_PrefixTokensBelieved, CachedPromptTokens);
+void Attempt::recordPrefixHit(uint32_t CachedPromptTokens) {
+  if (m_ExpectedPrefixTokens > 0)
+    m_Link->gauge().learnHit(m_ExpectedPrefixTokens, CachedPromptTokens);
 }
 
-void Attempt::pass(const wire::RunFrame &Frame) {
+void Attempt::dispatch(const wire::RunFrame &Frame) {
   using Body = wire::RunFrame::BodyCase;
   switch (Frame.body_case()) {
   case Body::kAccepted:
     return m_Owner->onAccepted();
   case Body::kTokens:
-    m_Settled = !m_Owner->onTokens(*this, Frame.tokens());
+    m_Ended = !m_Owner->onTokens(*this, Frame.tokens());
     break;
   case Body::kFinished:
-    learnHit(Frame.finished().cached_prompt_tokens());
-    m_Settled = true;
+    recordPrefixHit(Frame.finished().cached_prompt_tokens());
+    m_Ended = true;
     m_Owner->onFinished(*this, Frame.finished());
     break;
   case Body::kRefusal:
-    m_Settled = true;
+    m_Ended = true;
     m_Owner->onRefusal(*this, Frame.refusal());
     break;
   case Body::kServiceAnswer:
-    m_Settled = true;
+    m_Ended = true;
     m_Owner->onServiceAnswer(*this, Frame.service_answer());
     break;
   case Body::kFailure:
-    m_Settled = true;
+    m_Ended = true;
     m_Owner->onFailure(*this, Frame.failure());
     break;
   case Body::BODY_NOT_SET:
@@ -109,7 +109,7 @@
 void Attempt::onEnd(wire::StreamEnd End) {
   m_Ticket.settle();
   const auto Self = shared_from_this();
-  if (std::exchange(m_Settled, true))
+  if (std::exchange(m_Ended, true))
     return;
   m_Owner->onBroken(*this, End);
 }
--- a/Services/figlift-entry/Attempt.h
+++ b/Services/figlift-entry/Attempt.h
@@ -30,36 +30,36 @@
   };
 
   Attempt(std::shared_ptr<Call> Owner, std::shared_ptr<TargetLink> Link,
-          Identity Names, route::InFlightTicket Ticket,
-          uint32_t PrefixTokensBelieved);
+          Identity Ids, route::InFlightTicket Ticket,
+          uint32_t ExpectedPrefixTokens);
   ~Attempt() override;
 
   /// Opens the stream. onEnd() may be called before this returns.
-  void send(wire::Method What, std::string FirstMessage);
+  void send(wire::Method Method, std::string FirstMessage);
   /// Resets the stream, which then ends as Cancelled.
   void cancel();
 
-  const Identity &identity() const { return m_Names; }
+  const Identity &identity() const { return m_Ids; }
   const std::shared_ptr<TargetLink> &link() const { return m_Link; }
 
   void onMessage(std::string_view Message) override;
   void onEnd(wire::StreamEnd End) override;
 
 private:
-  bool isOwn(const wire::RunFrame &Frame) const;
-  void learn(const wire::RunFrame &Frame);
-  void pass(const wire::RunFrame &Frame);
-  void learnHit(uint32_t CachedPromptTokens);
+  bool belongsToAttempt(const wire::RunFrame &Frame) const;
+  void updateTarget(const wire::RunFrame &Frame);
+  void dispatch(const wire::RunFrame &Frame);
+  void recordPrefixHit(uint32_t CachedPromptTokens);
 
   const std::shared_ptr<Call> m_Owner;
   const std::shared_ptr<TargetLink> m_Link;
-  const Identity m_Names;
+  const Identity m_Ids;
   route::InFlightTicket m_Ticket;
-  const uint32_t m_PrefixTokensBelieved;
+  const uint32_t m_ExpectedPrefixTokens;
   /// The end has been reported to the call. Later frames are dropped, because
   /// the next attempt of the call may already run on another thread.
-  bool m_Settled = false;
-  std::atomic<bool> m_CancelWanted{false};
+  bool m_Ended = false;
+  std::atomic<bool> m_CancelRequested{false};
   std::atomic<std::shared_ptr<wire::Stream>> m_Stream;
 };
 
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -55,7 +55,7 @@
   struct Destination {
     std::shared_ptr<TargetLink> Link;
     route::InFlightTicket Ticket;
-    uint32_t PrefixTokensBelieved = 0;
+    uint32_t ExpectedPrefixTokens = 0;
     /// Epoch of the slice grant; only for keyed work.
     uint64_t SliceEpoch = 0;
   };
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -121,7 +121,7 @@
       Attempt::Identity{What == wire::Method::Resume ? m_HeldAs
                                                      : m_Request.RequestId,
                         std::move(AttemptId)},
-      std::move(To.Ticket), To.PrefixTokensBelieved);
+      std::move(To.Ticket), To.ExpectedPrefixTokens);
   m_Live.store(Next);
   // stop() sets the flag before it reads the live attempt, and this stores the
   // attempt before it reads the flag, so a stop cannot be missed.
