--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -64,7 +64,7 @@
 Call::~Call() {
   m_Context.Metrics.InFlight.add(-1);
   if (m_Counted)
-    m_Context.Workspaces.leave(m_Request.Workspace);
+    m_Context.Workspaces.release(m_Request.Workspace);
 }
 
 bool Call::admit() {
@@ -82,7 +82,7 @@
   }
   if (!Maximum)
     return true;
-  m_Counted = m_Context.Workspaces.enter(m_Request.Workspace, *Maximum);
+  m_Counted = m_Context.Workspaces.tryAcquire(m_Request.Workspace, *Maximum);
   if (!m_Counted)
     fail(Error{ResultCode::LimitReached,
                "the workspace has " + std::to_string(*Maximum) +
@@ -283,17 +283,17 @@
       !std::holds_alternative<CompletionWork>(m_Request.Work))
     return;
   const route::RequestShape Shape = shape();
-  m_Context.Metrics.refusedEarly(m_Request.BackEnd, Shape.PromptTokens,
-                                 Shape.MaximumTokens);
+  m_Context.Metrics.recordRefusal(m_Request.BackEnd, Shape.PromptTokens,
+                                  Shape.MaximumTokens);
 }
 
 void Call::finish(ResultCode Code) {
   m_Done.store(true);
   m_Live.store(nullptr);
   m_Context.Timers.cancel(m_DeadlineTimer);
-  m_Context.Metrics.ended(Code);
+  m_Context.Metrics.recordEnd(Code);
   const auto Took = BootClock::now() - m_Began;
-  m_Context.Metrics.WholeTime.observe(Took);
+  m_Context.Metrics.RequestTime.observe(Took);
   const bool IsRefusal = resultCodeInfo(Code).Executed == Execution::NotRun;
   if (Code == ResultCode::Success)
     m_Context.Budget.earn();
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -143,8 +143,9 @@
   }
   if (m_Asking)
     return askHolders();
-  const retry::Decision Next = retry::decide(
-      m_Context.Retrying, m_History, End, m_Context.Budget, BootClock::now());
+  const retry::Decision Next =
+      retry::decide(m_Context.RetryOptions, m_History, End, m_Context.Budget,
+                    BootClock::now());
   const bool MayHaveRun = retry::mayHaveRun(m_History, End);
   m_History.EarlierMayHaveRun |= MayHaveRun;
   const bool IsOver = !std::holds_alternative<retry::ResumeSame>(Next);
--- a/Services/figlift-entry/CallContext.cpp
+++ b/Services/figlift-entry/CallContext.cpp
@@ -8,56 +8,60 @@
 
 namespace figlift::entry {
 
-RefusedWork::RefusedWork(metrics::Registry &Into, const std::string &BackEnd)
-    : PrefillTokens(Into.counter("entry_refused_prefill_tokens_total",
-                                 "Prompt tokens refused by the entry.",
-                                 {{"back_end", BackEnd}})),
-      DecodeTokens(Into.counter("entry_refused_decode_tokens_total",
-                                "Output tokens refused by the entry.",
-                                {{"back_end", BackEnd}})) {}
+RefusedWork::RefusedWork(metrics::Registry &Registry,
+                         const std::string &BackEnd)
+    : PrefillTokens(Registry.counter("entry_refused_prefill_tokens_total",
+                                     "Prompt tokens refused by the entry.",
+                                     {{"back_end", BackEnd}})),
+      DecodeTokens(Registry.counter("entry_refused_decode_tokens_total",
+                                    "Output tokens refused by the entry.",
+                                    {{"back_end", BackEnd}})) {}
 
-CallMetrics::CallMetrics(metrics::Registry &Into)
-    : Metrics(Into),
-      Attempts(Into.counter("entry_attempts_total",
-                            "Attempts sent to agents, resumes included.")),
-      Retries(Into.counter("entry_retries_total",
-                           "Attempts after the first of a request.")),
-      Resumes(Into.counter("entry_resumes_total",
-                           "Answers resumed at the agent that held them.")),
-      Continuations(Into.counter("entry_continuations_total",
-                                 "Answers continued on another target.")),
-      TakenOver(Into.counter("entry_answers_taken_over_total",
-                             "Answers taken over from earlier calls with the "
-                             "same idempotency key.")),
-      FramesDropped(
-          Into.counter("entry_frames_dropped_total",
-                       "Dropped frames: other attempts or duplicate tokens.")),
-      AnswerGaps(Into.counter("entry_answer_gaps_total",
-                              "Attempts abandoned because of missing tokens.")),
-      Tokens(
-          Into.counter("entry_tokens_total", "Tokens delivered to callers.")),
-      InFlight(Into.gauge("entry_requests_in_flight",
-                          "Requests that have not ended.")),
-      FirstTokenTime(Into.summary("entry_first_token_seconds",
-                                  "Time until the first token.")),
-      WholeTime(Into.summary("entry_request_seconds",
-                             "Time until the end of the answer.")) {}
+CallMetrics::CallMetrics(metrics::Registry &Registry)
+    : Metrics(Registry),
+      Attempts(Registry.counter("entry_attempts_total",
+                                "Attempts sent to agents, resumes included.")),
+      Retries(Registry.counter("entry_retries_total",
+                               "Attempts after the first of a request.")),
+      Resumes(Registry.counter("entry_resumes_total",
+                               "Answers resumed at the agent that held them.")),
+      Continuations(Registry.counter("entry_continuations_total",
+                                     "Answers continued on another target.")),
+      TakenOver(
+          Registry.counter("entry_answers_taken_over_total",
+                           "Answers taken over from earlier calls with the "
+                           "same idempotency key.")),
+      FramesDropped(Registry.counter(
+          "entry_frames_dropped_total",
+          "Dropped frames: other attempts or duplicate tokens.")),
+      AnswerGaps(
+          Registry.counter("entry_answer_gaps_total",
+                           "Attempts abandoned because of missing tokens.")),
+      Tokens(Registry.counter("entry_tokens_total",
+                              "Tokens delivered to callers.")),
+      InFlight(Registry.gauge("entry_requests_in_flight",
+                              "Requests that have not ended.")),
+      FirstTokenTime(Registry.summary("entry_first_token_seconds",
+                                      "Time until the first token.")),
+      RequestTime(Registry.summary("entry_request_seconds",
+                                   "Time until the end of the answer.")) {}
 
-void CallMetrics::ended(ResultCode Code) {
+void CallMetrics::recordEnd(ResultCode Code) {
   Metrics
       .counter("entry_requests_total", "Requests ended, by result code.",
                {{"code", std::to_string(static_cast<int>(Code))}})
       .add();
 }
 
-void CallMetrics::refusedEarly(const std::string &BackEnd,
-                               uint64_t PrefillTokens, uint64_t DecodeTokens) {
+void CallMetrics::recordRefusal(const std::string &BackEnd,
+                                uint64_t PrefillTokens, uint64_t DecodeTokens) {
   const RefusedWork Totals(Metrics, BackEnd);
   Totals.PrefillTokens.add(PrefillTokens);
   Totals.DecodeTokens.add(DecodeTokens);
 }
 
-bool WorkspaceBook::enter(const std::string &Workspace, unsigned Maximum) {
+bool WorkspaceTracker::tryAcquire(const std::string &Workspace,
+                                  unsigned Maximum) {
   const std::lock_guard Lock(m_Mutex);
   unsigned &InFlight = m_InFlight[Workspace];
   if (InFlight >= Maximum)
@@ -66,11 +70,11 @@
   return true;
 }
 
-void WorkspaceBook::leave(const std::string &Workspace) {
+void WorkspaceTracker::release(const std::string &Workspace) {
   const std::lock_guard Lock(m_Mutex);
-  const auto Found = m_InFlight.find(Workspace);
-  if (Found != m_InFlight.end() && --Found->second == 0)
-    m_InFlight.erase(Found);
+  const auto Iterator = m_InFlight.find(Workspace);
+  if (Iterator != m_InFlight.end() && --Iterator->second == 0)
+    m_InFlight.erase(Iterator);
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/CallContext.h
+++ b/Services/figlift-entry/CallContext.h
@@ -29,7 +29,7 @@
 /// Totals of the work that this entry refused for one back end before any agent
 /// received it. The planner adds them to the demand that agents report.
 struct RefusedWork {
-  RefusedWork(metrics::Registry &Into, const std::string &BackEnd);
+  RefusedWork(metrics::Registry &Registry, const std::string &BackEnd);
 
   metrics::Counter &PrefillTokens;
   metrics::Counter &DecodeTokens;
@@ -37,12 +37,12 @@
 
 /// Metrics of the request path.
 struct CallMetrics {
-  explicit CallMetrics(metrics::Registry &Into);
+  explicit CallMetrics(metrics::Registry &Registry);
 
-  void ended(ResultCode Code);
+  void recordEnd(ResultCode Code);
   /// Records work that was refused before any agent received it.
-  void refusedEarly(const std::string &BackEnd, uint64_t PrefillTokens,
-                    uint64_t DecodeTokens);
+  void recordRefusal(const std::string &BackEnd, uint64_t PrefillTokens,
+                     uint64_t DecodeTokens);
 
   metrics::Registry &Metrics;
   metrics::Counter &Attempts;
@@ -55,15 +55,15 @@
   metrics::Counter &Tokens;
   metrics::Gauge &InFlight;
   metrics::Summary &FirstTokenTime;
-  metrics::Summary &WholeTime;
+  metrics::Summary &RequestTime;
 };
 
 /// Counts the requests in flight of each workspace.
-class WorkspaceBook {
+class WorkspaceTracker {
 public:
   /// Returns false when the workspace has \p Maximum requests in flight.
-  bool enter(const std::string &Workspace, unsigned Maximum);
-  void leave(const std::string &Workspace);
+  bool tryAcquire(const std::string &Workspace, unsigned Maximum);
+  void release(const std::string &Workspace);
 
 private:
   std::mutex m_Mutex;
@@ -78,9 +78,9 @@
   UuidGenerator &Ids;
   retry::RetryBudget &Budget;
   retry::HealthBook &Health;
-  WorkspaceBook &Workspaces;
+  WorkspaceTracker &Workspaces;
   const route::Policy &Routing;
-  const retry::RetrySettings &Retrying;
+  const retry::RetrySettings &RetryOptions;
   /// Called with every configuration revision seen in a message.
   std::function<void(uint64_t)> OnRevision;
   /// Called when the home of a key is unknown, unreachable or has moved.
--- a/Services/figlift-entry/CallerApi.cpp
+++ b/Services/figlift-entry/CallerApi.cpp
@@ -40,7 +40,7 @@
 
 void refuse(const CallContext &With, http::Exchange &Caller,
             const Error &Reason) {
-  With.Metrics.ended(Reason.Code);
+  With.Metrics.recordEnd(Reason.Code);
   Caller.replyProblem(Reason);
 }
 
--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -66,7 +66,8 @@
 
 Entry::Entry(const settings::EntrySettings &Settings)
     : m_Settings(Settings), m_Events(timelineOptions(Settings)),
-      m_Budget(budgetSettings(Settings)), m_Retrying(retrySettings(Settings)),
+      m_Budget(budgetSettings(Settings)),
+      m_RetryOptions(retrySettings(Settings)),
       m_Routing(routingPolicyByName(Settings.Policy.Routing)) {}
 
 Entry::~Entry() = default;
@@ -261,7 +262,7 @@
 Result<void> Entry::listenToCallers() {
   m_Calls = std::make_unique<CallContext>(CallContext{
       m_State, m_Timers, m_Events, m_CallMetrics, m_Ids, m_Budget,
-      m_Fleet->healthBook(), m_Workspaces, m_Routing, m_Retrying,
+      m_Fleet->healthBook(), m_Workspaces, m_Routing, m_RetryOptions,
       [this](uint64_t Revision) { m_Configuration->sawRevision(Revision); },
       [this](const std::string &BackEnd) { m_Homes->wanted(BackEnd); }});
 
--- a/Services/figlift-entry/Entry.h
+++ b/Services/figlift-entry/Entry.h
@@ -62,8 +62,8 @@
   CallMetrics m_CallMetrics{m_Metrics};
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
-  WorkspaceBook m_Workspaces;
-  const retry::RetrySettings m_Retrying;
+  WorkspaceTracker m_Workspaces;
+  const retry::RetrySettings m_RetryOptions;
   const route::Policy m_Routing;
   ServingStatePointer m_State;
   /// Runs control tasks and polls.
--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -202,7 +202,7 @@
   m_Client = std::move(wire::Client::create(Options).value());
   m_Context = std::make_unique<entry::CallContext>(
       entry::CallContext{m_State, m_Timers, m_Events, Counters, m_Ids, m_Budget,
-                         m_Health, m_Workspaces, m_Routing, m_Retrying,
+                         m_Health, m_Workspaces, m_Routing, m_RetryOptions,
                          [](uint64_t) {}, [](const std::string &) {}});
 }
 
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -138,9 +138,9 @@
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
   retry::HealthBook m_Health;
-  entry::WorkspaceBook m_Workspaces;
+  entry::WorkspaceTracker m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
-  retry::RetrySettings m_Retrying;
+  retry::RetrySettings m_RetryOptions;
   route::InFlightBook m_Book;
   entry::ServingStatePointer m_State;
   entry::EventLoop m_Timers;
