--- a/Services/figlift-entry/Attempt.cpp
+++ b/Services/figlift-entry/Attempt.cpp
@@ -111,7 +111,7 @@
   const auto Self = shared_from_this();
   if (std::exchange(m_Ended, true))
     return;
-  m_Owner->onBroken(*this, End);
+  m_Owner->onStreamEnd(*this, End);
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -22,35 +22,36 @@
 constexpr milliseconds DeadlineGrace{150};
 /// A keep-alive is written to a stream that has been idle for this long, which
 /// also detects callers that have disconnected.
-constexpr milliseconds Silence{2000};
-constexpr milliseconds SilenceCheckInterval{1000};
+constexpr milliseconds KeepAliveIdleTime{2000};
+constexpr milliseconds KeepAliveCheckInterval{1000};
 constexpr milliseconds DefaultRetryAfter{1000};
 
 } // namespace
 
-void Call::start(const CallContext &With,
+void Call::start(const CallContext &Context,
                  std::shared_ptr<http::Exchange> Caller,
                  CallerRequest Request) {
   // Not std::make_shared: long-lived timers hold weak pointers, which would
   // keep the memory of a combined allocation alive.
-  const std::shared_ptr<Call> Made(new Call(With, std::move(Request)));
-  std::weak_ptr<Call> Weak = Made;
-  Made->m_Writer.emplace(
-      makeAnswerWriter(std::move(Caller), Made->m_Request, [Weak] {
-        if (const auto Alive = Weak.lock())
-          Alive->stop(StopReason::CallerGone);
+  const std::shared_ptr<Call> NewCall(new Call(Context, std::move(Request)));
+  std::weak_ptr<Call> Weak = NewCall;
+  NewCall->m_Writer.emplace(
+      makeAnswerWriter(std::move(Caller), NewCall->m_Request, [Weak] {
+        if (const auto Self = Weak.lock())
+          Self->stop(StopReason::CallerDisconnected);
       }));
-  if (!Made->admit())
+  if (!NewCall->admit())
     return;
-  Made->arm();
-  if (!Made->m_Request.ResumeKey.empty())
-    Made->findHolders();
-  Made->askHolders();
+  NewCall->startTimers();
+  if (!NewCall->m_Request.ResumeKey.empty())
+    NewCall->findHolders();
+  NewCall->queryNextHolder();
 }
 
-Call::Call(const CallContext &With, CallerRequest Request)
-    : m_Context(With), m_Request(std::move(Request)),
-      m_Deadline(m_Began + m_Request.Deadline), m_HeldAs(m_Request.RequestId) {
+Call::Call(const CallContext &Context, CallerRequest Request)
+    : m_Context(Context), m_Request(std::move(Request)),
+      m_Deadline(m_StartTime + m_Request.Deadline),
+      m_HeldRequestId(m_Request.RequestId) {
   m_History.Repeatable = m_Request.Repeatable;
   m_History.Keyed = m_Request.keyed();
   m_History.Deadline = m_Deadline;
@@ -63,7 +64,7 @@
 
 Call::~Call() {
   m_Context.Metrics.InFlight.add(-1);
-  if (m_Counted)
+  if (m_IsCounted)
     m_Context.Workspaces.release(m_Request.Workspace);
 }
 
@@ -71,9 +72,9 @@
   std::optional<unsigned> Maximum;
   const std::optional<Error> NotReady =
       m_Context.State.read([&](const ServingState &Now) {
-        if (const auto *Customer =
+        if (const auto *Workspace =
                 Now.Configuration->workspace(m_Request.Workspace))
-          Maximum = Customer->MaximumConcurrentRequests;
+          Maximum = Workspace->MaximumConcurrentRequests;
         return Now.NotReady;
       });
   if (NotReady) {
@@ -82,33 +83,33 @@
   }
   if (!Maximum)
     return true;
-  m_Counted = m_Context.Workspaces.tryAcquire(m_Request.Workspace, *Maximum);
-  if (!m_Counted)
+  m_IsCounted = m_Context.Workspaces.tryAcquire(m_Request.Workspace, *Maximum);
+  if (!m_IsCounted)
     fail(Error{ResultCode::LimitReached,
                "the workspace has " + std::to_string(*Maximum) +
                    " requests in flight, which is its limit",
                {},
                DefaultRetryAfter});
-  return m_Counted;
+  return m_IsCounted;
 }
 
-void Call::arm() {
-  m_LastWrite = m_Began.time_since_epoch().count();
+void Call::startTimers() {
+  m_LastWrite = m_StartTime.time_since_epoch().count();
   std::weak_ptr<Call> Weak = weak_from_this();
   m_DeadlineTimer =
       m_Context.Timers.after(m_Request.Deadline + DeadlineGrace, [Weak] {
-        if (const auto Alive = Weak.lock())
-          Alive->stop(StopReason::DeadlinePassed);
+        if (const auto Self = Weak.lock())
+          Self->stop(StopReason::DeadlinePassed);
       });
   if (std::holds_alternative<std::unique_ptr<StreamedCompletion>>(*m_Writer))
-    keepAliveLater();
+    scheduleKeepAlive();
 }
 
-void Call::keepAliveLater() {
+void Call::scheduleKeepAlive() {
   std::weak_ptr<Call> Weak = weak_from_this();
-  m_Context.Timers.after(SilenceCheckInterval, [Weak] {
-    if (const auto Alive = Weak.lock(); Alive && !Alive->m_Done.load())
-      Alive->keepAlive();
+  m_Context.Timers.after(KeepAliveCheckInterval, [Weak] {
+    if (const auto Self = Weak.lock(); Self && !Self->m_Done.load())
+      Self->keepAlive();
   });
 }
 
@@ -117,22 +118,22 @@
   const BootTime Last{std::chrono::nanoseconds(m_LastWrite.load())};
   // Until an agent accepts the work it may still be refused, and a refusal must
   // be reported with its own HTTP status.
-  if (m_Accepted.load() && Now - Last >= Silence) {
+  if (m_Accepted.load() && Now - Last >= KeepAliveIdleTime) {
     m_LastWrite = Now.time_since_epoch().count();
     auto Write = [](auto &Writer) { return Writer->keepAlive(); };
     if (!std::visit(Write, *m_Writer))
-      stop(StopReason::CallerGone);
+      stop(StopReason::CallerDisconnected);
   }
-  keepAliveLater();
+  scheduleKeepAlive();
 }
 
-void Call::stop(StopReason Why) {
+void Call::stop(StopReason Reason) {
   if (m_Done.load())
     return;
-  StopReason Before = StopReason::None;
-  m_Stop.compare_exchange_strong(Before, Why);
-  if (const auto Live = m_Live.load())
-    Live->cancel();
+  StopReason Unset = StopReason::None;
+  m_StopReason.compare_exchange_strong(Unset, Reason);
+  if (const auto Attempt = m_LiveAttempt.load())
+    Attempt->cancel();
 }
 
 milliseconds Call::timeLeft() const {
@@ -145,8 +146,8 @@
   m_Accepted.store(true);
 }
 
-bool Call::onTokens(Attempt &From, const wire::Tokens &Frame) {
-  takeOver(From);
+bool Call::onTokens(Attempt &Source, const wire::Tokens &Frame) {
+  takeOver(Source);
   m_History.AcceptedSeen = true;
   m_History.LinksLost.reset();
   m_Accepted.store(true);
@@ -156,9 +157,9 @@
     return true;
   }
   if (Frame.first_index() != Expected)
-    return giveUpAnswer(From);
+    return abandonAttempt(Source);
   if (Expected == 0)
-    m_Context.Metrics.FirstTokenTime.observe(BootClock::now() - m_Began);
+    m_Context.Metrics.FirstTokenTime.observe(BootClock::now() - m_StartTime);
   m_History.TokensDelivered += Frame.count();
   m_History.LastToken = BootClock::now();
   m_DeliveredText += Frame.text();
@@ -171,31 +172,32 @@
       return true;
   };
   if (!std::visit(Write, *m_Writer))
-    stop(StopReason::CallerGone);
+    stop(StopReason::CallerDisconnected);
   return true;
 }
 
 /// Tokens are missing, or the total does not match the number delivered, so the
 /// rest of the stream cannot be trusted. Handled like a lost connection: the
 /// answer is fetched again from the first missing token.
-bool Call::giveUpAnswer(Attempt &From) {
+bool Call::abandonAttempt(Attempt &Source) {
   m_Context.Metrics.AnswerGaps.add();
-  log::logRequest(log::Level::Warning, "answer-gap", From.identity().RequestId,
-                  From.identity().AttemptId,
+  log::logRequest(log::Level::Warning, "answer-gap",
+                  Source.identity().RequestId, Source.identity().AttemptId,
                   {{"expected", m_History.TokensDelivered}});
-  From.cancel();
-  afterEnd(From.link(), retry::StreamBroke{wire::StreamEnd::ConnectionLost});
+  Source.cancel();
+  onAttemptEnd(Source.link(),
+               retry::StreamBroke{wire::StreamEnd::ConnectionLost});
   return false;
 }
 
-void Call::onFinished(Attempt &From, const wire::Finished &Frame) {
+void Call::onFinished(Attempt &Source, const wire::Finished &Frame) {
   const auto *Work = std::get_if<CompletionWork>(&m_Request.Work);
   if (!Work || Frame.total_tokens() != m_History.TokensDelivered) {
-    giveUpAnswer(From);
+    abandonAttempt(Source);
     return;
   }
-  takeOver(From);
-  From.link()->health().succeeded();
+  takeOver(Source);
+  Source.link()->health().succeeded();
   const CompletionEnd End{.FinishReason = Frame.finish_reason(),
                           .PromptTokens = shape().PromptTokens,
                           .TotalTokens = Frame.total_tokens(),
@@ -208,16 +210,16 @@
   finish(ResultCode::Success);
 }
 
-void Call::onServiceAnswer(Attempt &From, const wire::ServiceAnswer &Frame) {
+void Call::onServiceAnswer(Attempt &Source, const wire::ServiceAnswer &Frame) {
   auto *Writer = std::get_if<std::unique_ptr<ServiceResponse>>(&*m_Writer);
   if (!Writer)
-    return afterEnd(From.link(), retry::TargetFailed{});
-  From.link()->health().succeeded();
+    return onAttemptEnd(Source.link(), retry::TargetFailed{});
+  Source.link()->health().succeeded();
   (*Writer)->answer(Frame);
   finish(ResultCode::Success);
 }
 
-void Call::onRefusal(Attempt &From, const wire::Refusal &Frame) {
+void Call::onRefusal(Attempt &Source, const wire::Refusal &Frame) {
   m_History.LinksLost.reset();
   m_LastMessage = Frame.message();
   retry::AgentRefused End;
@@ -227,10 +229,10 @@
     End.RetryAfter = milliseconds(Frame.retry_after_milliseconds());
   if (End.Code == ResultCode::HomeMoved)
     m_Context.OnHomeMoved(m_Request.BackEnd);
-  afterEnd(From.link(), End);
+  onAttemptEnd(Source.link(), End);
 }
 
-void Call::onFailure(Attempt &From, const wire::Failure &Frame) {
+void Call::onFailure(Attempt &Source, const wire::Failure &Frame) {
   m_History.LinksLost.reset();
   m_LastMessage = Frame.message();
   ResultCode Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
@@ -241,15 +243,15 @@
       timeLeft().count() > 0)
     Code = ResultCode::TargetFailed;
   if (Code == ResultCode::TargetFailed)
-    From.link()->health().failed(BootClock::now());
-  afterEnd(From.link(), retry::TargetFailed{Code});
+    Source.link()->health().failed(BootClock::now());
+  onAttemptEnd(Source.link(), retry::TargetFailed{Code});
 }
 
-void Call::onBroken(Attempt &From, wire::StreamEnd End) {
+void Call::onStreamEnd(Attempt &Source, wire::StreamEnd End) {
   if (End == wire::StreamEnd::ConnectionLost ||
       End == wire::StreamEnd::NeverSent) {
     const BootTime Now = BootClock::now();
-    From.link()->health().failed(Now);
+    Source.link()->health().failed(Now);
     if (!m_History.LinksLost)
       m_History.LinksLost = Now;
   }
@@ -257,25 +259,25 @@
   // as a reset.
   if (End == wire::StreamEnd::Finished)
     End = wire::StreamEnd::ResetByPeer;
-  afterEnd(From.link(), retry::StreamBroke{End});
+  onAttemptEnd(Source.link(), retry::StreamBroke{End});
 }
 
-void Call::fail(Error What) {
-  countAsDemand(What.Code);
-  if (!What.RetryAfter && resultCodeInfo(What.Code).MayRetry)
-    What.RetryAfter = DefaultRetryAfter;
+void Call::fail(Error Failure) {
+  recordRefusedDemand(Failure.Code);
+  if (!Failure.RetryAfter && resultCodeInfo(Failure.Code).MayRetry)
+    Failure.RetryAfter = DefaultRetryAfter;
   log::logRequest(log::Level::Info, "request-failed", m_Request.RequestId, {},
-                  {{"code", static_cast<int>(What.Code)},
+                  {{"code", static_cast<int>(Failure.Code)},
                    {"callerId", m_Request.CallerId},
                    {"attempts", m_History.Attempts},
-                   {"message", What.Message}});
-  std::visit([&](auto &Writer) { Writer->fail(What); }, *m_Writer);
-  finish(What.Code);
+                   {"message", Failure.Message}});
+  std::visit([&](auto &Writer) { Writer->fail(Failure); }, *m_Writer);
+  finish(Failure.Code);
 }
 
 /// Counts work that the entry refused for lack of capacity. Agents never see it
 /// and cannot report it as demand.
-void Call::countAsDemand(ResultCode Code) {
+void Call::recordRefusedDemand(ResultCode Code) {
   const bool WantsEngines = Code == ResultCode::Overloaded ||
                             Code == ResultCode::DeadlineUnreachable ||
                             Code == ResultCode::NoTargetAvailable;
@@ -289,20 +291,20 @@
 
 void Call::finish(ResultCode Code) {
   m_Done.store(true);
-  m_Live.store(nullptr);
+  m_LiveAttempt.store(nullptr);
   m_Context.Timers.cancel(m_DeadlineTimer);
   m_Context.Metrics.recordEnd(Code);
-  const auto Took = BootClock::now() - m_Began;
-  m_Context.Metrics.RequestTime.observe(Took);
+  const auto Elapsed = BootClock::now() - m_StartTime;
+  m_Context.Metrics.RequestTime.observe(Elapsed);
   const bool IsRefusal = resultCodeInfo(Code).Executed == Execution::NotRun;
   if (Code == ResultCode::Success)
     m_Context.Budget.earn();
-  m_Context.Events.record(Code == ResultCode::Success
-                              ? timeline::kinds::RequestAnswered
-                          : IsRefusal ? timeline::kinds::RequestRefused
-                                      : timeline::kinds::RequestFailed,
-                          {SubjectType::Request, m_Request.RequestId},
-                          {{"code", static_cast<int>(Code)}, {"took", Took}});
+  m_Context.Events.record(
+      Code == ResultCode::Success ? timeline::kinds::RequestAnswered
+      : IsRefusal                 ? timeline::kinds::RequestRefused
+                                  : timeline::kinds::RequestFailed,
+      {SubjectType::Request, m_Request.RequestId},
+      {{"code", static_cast<int>(Code)}, {"took", Elapsed}});
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -31,7 +31,7 @@
 class Call : public std::enable_shared_from_this<Call> {
 public:
   /// Starts the call, which answers the exchange exactly once.
-  static void start(const CallContext &With,
+  static void start(const CallContext &Context,
                     std::shared_ptr<http::Exchange> Caller,
                     CallerRequest Request);
   ~Call();
@@ -41,15 +41,15 @@
   // Called by the live attempt.
   void onAccepted();
   /// Returns false when these tokens made the call abandon the attempt.
-  bool onTokens(Attempt &From, const wire::Tokens &Frame);
-  void onFinished(Attempt &From, const wire::Finished &Frame);
-  void onServiceAnswer(Attempt &From, const wire::ServiceAnswer &Frame);
-  void onRefusal(Attempt &From, const wire::Refusal &Frame);
-  void onFailure(Attempt &From, const wire::Failure &Frame);
-  void onBroken(Attempt &From, wire::StreamEnd End);
+  bool onTokens(Attempt &Source, const wire::Tokens &Frame);
+  void onFinished(Attempt &Source, const wire::Finished &Frame);
+  void onServiceAnswer(Attempt &Source, const wire::ServiceAnswer &Frame);
+  void onRefusal(Attempt &Source, const wire::Refusal &Frame);
+  void onFailure(Attempt &Source, const wire::Failure &Frame);
+  void onStreamEnd(Attempt &Source, wire::StreamEnd End);
 
 private:
-  enum class StopReason { None, CallerGone, DeadlinePassed };
+  enum class StopReason { None, CallerDisconnected, DeadlinePassed };
 
   /// Target of an attempt.
   struct Destination {
@@ -60,77 +60,77 @@
     uint64_t SliceEpoch = 0;
   };
 
-  Call(const CallContext &With, CallerRequest Request);
+  Call(const CallContext &Context, CallerRequest Request);
 
   bool admit();
-  void arm();
+  void startTimers();
   void keepAlive();
-  void keepAliveLater();
-  void stop(StopReason Why);
+  void scheduleKeepAlive();
+  void stop(StopReason Reason);
   Error stopError() const;
 
-  Result<Destination> choose();
+  Result<Destination> chooseDestination();
   Result<Destination> chooseTarget(const ServingState &Now);
   std::optional<route::Choice>
   chooseProbe(const ServingState &Now,
-              const std::vector<std::string> &NotPreferred);
+              const std::vector<std::string> &NonPreferred);
   /// Targets that failed this request, and targets that are ejected.
   std::vector<std::string> excludedTargets();
   uint64_t routingSeed() const;
-  void logChosen(const route::TargetView &Target,
-                 const std::vector<route::Considered> &Account,
-                 const std::vector<std::string> &Excluded) const;
+  void logChosenTarget(const route::TargetView &Target,
+                       const std::vector<route::Considered> &Candidates,
+                       const std::vector<std::string> &Excluded) const;
   Result<Destination> chooseHome(const ServingState &Now);
-  Result<Destination> destination(const ServingState &Now,
-                                  const route::Choice &Best);
+  Result<Destination> makeDestination(const ServingState &Now,
+                                      const route::Choice &Chosen);
   route::RequestShape shape() const;
   void pinModel(const route::TargetView &Target);
-  void attempt();
+  void startAttempt();
   void resume(std::shared_ptr<TargetLink> Link);
-  void launch(wire::Method What, std::string Message, Destination To,
-              std::string AttemptId);
+  void sendAttempt(wire::Method Method, std::string Message, Destination Target,
+                   std::string AttemptId);
   wire::RunRequest runRequest(const std::string &AttemptId,
                               uint64_t SliceEpoch) const;
-  void describe(const CompletionWork &Work, wire::RunRequest &Into) const;
-  void describe(const ServiceWork &Work, wire::RunRequest &Into) const;
+  void fillRequest(const CompletionWork &Work, wire::RunRequest &Request) const;
+  void fillRequest(const ServiceWork &Work, wire::RunRequest &Request) const;
 
   /// For a completion with an idempotency key: all targets except those
   /// preferred by the key.
   std::vector<std::string>
-  withoutPreferred(const ServingState &Now,
-                   const route::RequestShape &Shape) const;
+  nonPreferredTargets(const ServingState &Now,
+                      const route::RequestShape &Shape) const;
   /// Lists the agents that may hold the answer of an earlier call.
   void findHolders();
   /// Requests the held answer from the next of these agents, or sends the first
   /// attempt when none is left.
-  void askHolders();
+  void queryNextHolder();
   /// Adopts the answer held by the agent of \p Source.
-  void takeOver(const Attempt &From);
+  void takeOver(const Attempt &Source);
 
-  bool giveUpAnswer(Attempt &From);
-  void afterEnd(const std::shared_ptr<TargetLink> &Link,
-                const retry::AttemptEnd &End);
+  bool abandonAttempt(Attempt &Source);
+  void onAttemptEnd(const std::shared_ptr<TargetLink> &Link,
+                    const retry::AttemptEnd &End);
   void perform(const retry::RetryElsewhere &Next);
   void perform(const retry::ResumeSame &Next);
   void perform(const retry::ContinueElsewhere &Next);
   void perform(const retry::AskHomeAgain &Next);
   void perform(const retry::WaitForBudget &Next);
   void perform(const retry::GiveUp &Next);
-  void newAttemptAfter(std::chrono::milliseconds Delay);
-  void runAfter(std::chrono::milliseconds Delay, EventLoop::Task What);
-  void fail(Error What);
-  void countAsDemand(ResultCode Code);
+  void scheduleNewAttempt(std::chrono::milliseconds Delay);
+  void runAfter(std::chrono::milliseconds Delay, EventLoop::Task Task);
+  void fail(Error Failure);
+  void recordRefusedDemand(ResultCode Code);
   void finish(ResultCode Code);
   std::chrono::milliseconds timeLeft() const;
 
   const CallContext &m_Context;
   CallerRequest m_Request;
-  const BootTime m_Began = BootClock::now();
+  const BootTime m_StartTime = BootClock::now();
   const BootTime m_Deadline;
   std::optional<AnswerWriter> m_Writer;
   retry::RequestHistory m_History;
   /// Targets that failed or refused this request.
-  std::vector<std::string> m_Excluded;
+  std::vector<std::string> m_FailedTargets;
   /// Completions only: text of the tokens delivered to the caller.
   std::string m_DeliveredText;
   /// Message of the last refusal or failure.
@@ -145,18 +145,18 @@
   std::vector<std::shared_ptr<TargetLink>> m_Holders;
   /// The live attempt looks for a held answer. Nothing has run for this call
   /// yet; if the attempt ends in any way, the next holder is asked.
-  bool m_Asking = false;
+  bool m_IsQueryingHolder = false;
   /// The answer was started by an earlier call of the same caller.
   bool m_TakenOver = false;
-  /// Name under which the agent of the last attempt holds the answer.
-  std::string m_HeldAs;
-  bool m_Counted = false;
+  /// Request id under which the agent of the last attempt holds the answer.
+  std::string m_HeldRequestId;
+  bool m_IsCounted = false;
   EventLoop::TimerId m_DeadlineTimer;
 
   std::atomic<bool> m_Accepted{false};
-  std::atomic<StopReason> m_Stop{StopReason::None};
+  std::atomic<StopReason> m_StopReason{StopReason::None};
   std::atomic<bool> m_Done{false};
-  std::atomic<std::shared_ptr<Attempt>> m_Live;
+  std::atomic<std::shared_ptr<Attempt>> m_LiveAttempt;
   /// BootClock time of the last write to the caller, in nanoseconds.
   std::atomic<int64_t> m_LastWrite{0};
 };
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr size_t MaximumHashesSent = 512;
+constexpr size_t MaximumPrefixHashes = 512;
 
 } // namespace
 
@@ -41,123 +41,125 @@
                                                 : m_Request.ResumeKey);
   Message.set_repeatable(m_Request.Repeatable);
   Message.set_slice_epoch(SliceEpoch);
-  std::visit([&](const auto &Work) { describe(Work, Message); },
+  std::visit([&](const auto &Work) { fillRequest(Work, Message); },
              m_Request.Work);
   return Message;
 }
 
-void Call::describe(const CompletionWork &Work, wire::RunRequest &Into) const {
-  wire::Completion &Out = *Into.mutable_completion();
-  Out.set_model(m_PinnedModel.empty() ? Work.Model : m_PinnedModel);
-  Out.set_prompt(Work.Prompt);
-  Out.set_prompt_tokens(Work.promptTokens());
-  Out.set_maximum_tokens(Work.MaximumTokens);
-  Out.set_first_token(m_History.TokensDelivered);
-  Out.set_delivered_text(m_DeliveredText);
-  const size_t Count = std::min(m_PrefixHashes.size(), MaximumHashesSent);
-  Out.mutable_prefix_hashes()->Assign(m_PrefixHashes.begin(),
-                                      m_PrefixHashes.begin() +
-                                          static_cast<ptrdiff_t>(Count));
-}
-
-void Call::describe(const ServiceWork &Work, wire::RunRequest &Into) const {
-  wire::ServiceCall &Out = *Into.mutable_service_call();
-  Out.set_service(m_Request.BackEnd);
-  Out.set_method(Work.Method);
-  Out.set_path(Work.Path);
-  Out.set_content_type(Work.ContentType);
-  Out.set_body(Work.Body);
+void Call::fillRequest(const CompletionWork &Work,
+                       wire::RunRequest &Request) const {
+  wire::Completion &Message = *Request.mutable_completion();
+  Message.set_model(m_PinnedModel.empty() ? Work.Model : m_PinnedModel);
+  Message.set_prompt(Work.Prompt);
+  Message.set_prompt_tokens(Work.promptTokens());
+  Message.set_maximum_tokens(Work.MaximumTokens);
+  Message.set_first_token(m_History.TokensDelivered);
+  Message.set_delivered_text(m_DeliveredText);
+  const size_t Count = std::min(m_PrefixHashes.size(), MaximumPrefixHashes);
+  Message.mutable_prefix_hashes()->Assign(m_PrefixHashes.begin(),
+                                          m_PrefixHashes.begin() +
+                                              static_cast<ptrdiff_t>(Count));
+}
+
+void Call::fillRequest(const ServiceWork &Work,
+                       wire::RunRequest &Request) const {
+  wire::ServiceCall &Message = *Request.mutable_service_call();
+  Message.set_service(m_Request.BackEnd);
+  Message.set_method(Work.Method);
+  Message.set_path(Work.Path);
+  Message.set_content_type(Work.ContentType);
+  Message.set_body(Work.Body);
   if (m_Request.keyed())
     // Lets the agent reject a key that is reused for a different request.
-    Into.set_fingerprint(
+    Request.set_fingerprint(
         digestOf({Work.Method, Work.Path, Work.ContentType, Work.Body}));
 }
 
-void Call::attempt() {
+void Call::startAttempt() {
   if (const auto *Work = std::get_if<CompletionWork>(&m_Request.Work);
       Work && m_PrefixHashes.empty())
     m_PrefixHashes = route::prefixHashes(Work->Prompt);
-  Result<Destination> To = choose();
-  if (!To) {
-    m_LastMessage = To.error().Message;
-    return afterEnd(nullptr,
-                    retry::NothingSent{To.error().Code, To.error().RetryAfter});
+  Result<Destination> Target = chooseDestination();
+  if (!Target) {
+    m_LastMessage = Target.error().Message;
+    return onAttemptEnd(nullptr, retry::NothingSent{Target.error().Code,
+                                                    Target.error().RetryAfter});
   }
   const std::string AttemptId = m_Context.Ids.nextText();
-  wire::RunRequest Message = runRequest(AttemptId, To.value().SliceEpoch);
+  wire::RunRequest Message = runRequest(AttemptId, Target.value().SliceEpoch);
   const timeline::Stamp Sent = m_Context.Events.record(
       timeline::kinds::AttemptSent, {SubjectType::Request, m_Request.RequestId},
-      {{"attempt", AttemptId}, {"target", To.value().Link->target().Id}});
+      {{"attempt", AttemptId}, {"target", Target.value().Link->target().Id}});
   Message.set_clock(Sent.Value);
-  launch(wire::Method::Run, Message.SerializeAsString(), std::move(To.value()),
-         AttemptId);
+  sendAttempt(wire::Method::Run, Message.SerializeAsString(),
+              std::move(Target.value()), AttemptId);
 }
 
 void Call::resume(std::shared_ptr<TargetLink> Link) {
   const std::string AttemptId = m_Context.Ids.nextText();
   wire::ResumeRequest Message;
-  Message.set_request_id(m_HeldAs);
+  Message.set_request_id(m_HeldRequestId);
   Message.set_attempt_id(AttemptId);
   Message.set_first_token(m_History.TokensDelivered);
-  if (!m_Asking)
+  if (!m_IsQueryingHolder)
     m_Context.Metrics.Resumes.add();
   m_Context.Events.record(timeline::kinds::AnswerResumed,
                           {SubjectType::Request, m_Request.RequestId},
                           {{"attempt", AttemptId},
                            {"target", Link->target().Id},
                            {"firstToken", m_History.TokensDelivered}});
-  Destination To;
-  To.Link = std::move(Link);
-  launch(wire::Method::Resume, Message.SerializeAsString(), std::move(To),
-         AttemptId);
+  Destination Target;
+  Target.Link = std::move(Link);
+  sendAttempt(wire::Method::Resume, Message.SerializeAsString(),
+              std::move(Target), AttemptId);
 }
 
-void Call::launch(wire::Method What, std::string Message, Destination To,
-                  std::string AttemptId) {
+void Call::sendAttempt(wire::Method Method, std::string Message,
+                       Destination Target, std::string AttemptId) {
   m_Context.Metrics.Attempts.add();
-  m_LastLink = To.Link;
+  m_LastLink = Target.Link;
   const auto Next = std::make_shared<Attempt>(
-      shared_from_this(), To.Link,
-      Attempt::Identity{What == wire::Method::Resume ? m_HeldAs
-                                                     : m_Request.RequestId,
+      shared_from_this(), Target.Link,
+      Attempt::Identity{Method == wire::Method::Resume ? m_HeldRequestId
+                                                       : m_Request.RequestId,
                         std::move(AttemptId)},
-      std::move(To.Ticket), To.ExpectedPrefixTokens);
-  m_Live.store(Next);
+      std::move(Target.Ticket), Target.ExpectedPrefixTokens);
+  m_LiveAttempt.store(Next);
   // stop() sets the flag before it reads the live attempt, and this stores the
   // attempt before it reads the flag, so a stop cannot be missed.
-  if (m_Stop.load() != StopReason::None)
-    return afterEnd(nullptr, retry::NothingSent{ResultCode::Cancelled, {}});
-  Next->send(What, std::move(Message));
+  if (m_StopReason.load() != StopReason::None)
+    return onAttemptEnd(nullptr, retry::NothingSent{ResultCode::Cancelled, {}});
+  Next->send(Method, std::move(Message));
 }
 
-void Call::afterEnd(const std::shared_ptr<TargetLink> &Link,
-                    const retry::AttemptEnd &End) {
-  m_Live.store(nullptr);
+void Call::onAttemptEnd(const std::shared_ptr<TargetLink> &Link,
+                        const retry::AttemptEnd &End) {
+  m_LiveAttempt.store(nullptr);
   m_Context.Events.record(timeline::kinds::AttemptEnded,
                           {SubjectType::Request, m_Request.RequestId},
                           {{"tokens", m_History.TokensDelivered}});
-  if (m_Stop.load() != StopReason::None) {
+  if (m_StopReason.load() != StopReason::None) {
     m_History.EarlierMayHaveRun |=
-        !m_Asking && retry::mayHaveRun(m_History, End);
+        !m_IsQueryingHolder && retry::mayHaveRun(m_History, End);
     return fail(stopError());
   }
-  if (m_Asking)
-    return askHolders();
+  if (m_IsQueryingHolder)
+    return queryNextHolder();
   const retry::Decision Next =
       retry::decide(m_Context.RetryOptions, m_History, End, m_Context.Budget,
                     BootClock::now());
   const bool MayHaveRun = retry::mayHaveRun(m_History, End);
   m_History.EarlierMayHaveRun |= MayHaveRun;
-  const bool IsOver = !std::holds_alternative<retry::ResumeSame>(Next);
-  if (IsOver && MayHaveRun)
+  const bool IsFinal = !std::holds_alternative<retry::ResumeSame>(Next);
+  if (IsFinal && MayHaveRun)
     ++m_History.Runs;
-  if (Link && IsOver)
-    m_Excluded.push_back(Link->target().Id);
-  std::visit([this](const auto &Which) { perform(Which); }, Next);
+  if (Link && IsFinal)
+    m_FailedTargets.push_back(Link->target().Id);
+  std::visit([this](const auto &Action) { perform(Action); }, Next);
 }
 
 Error Call::stopError() const {
-  if (m_Stop.load() == StopReason::CallerGone)
+  if (m_StopReason.load() == StopReason::CallerDisconnected)
     return {ResultCode::Cancelled, "the caller disconnected", {}, std::nullopt};
   const bool MayHaveRun =
       m_History.EarlierMayHaveRun || m_History.TokensDelivered > 0;
@@ -172,33 +174,33 @@
           std::nullopt};
 }
 
-void Call::runAfter(milliseconds Delay, EventLoop::Task What) {
+void Call::runAfter(milliseconds Delay, EventLoop::Task Task) {
   if (Delay.count() <= 0)
-    return What();
-  m_Context.Timers.after(Delay, std::move(What));
+    return Task();
+  m_Context.Timers.after(Delay, std::move(Task));
 }
 
-void Call::newAttemptAfter(milliseconds Delay) {
+void Call::scheduleNewAttempt(milliseconds Delay) {
   ++m_History.Attempts;
   m_History.Resumes = 0;
   m_History.AcceptedSeen = false;
-  m_HeldAs = m_Request.RequestId;
+  m_HeldRequestId = m_Request.RequestId;
   m_Context.Metrics.Retries.add();
   // Between two attempts only this task keeps the call alive.
-  runAfter(Delay, [Self = shared_from_this()] { Self->attempt(); });
+  runAfter(Delay, [Self = shared_from_this()] { Self->startAttempt(); });
 }
 
 void Call::perform(const retry::RetryElsewhere &Next) {
-  newAttemptAfter(Next.Delay);
+  scheduleNewAttempt(Next.Delay);
 }
 
 void Call::perform(const retry::ContinueElsewhere &Next) {
   m_Context.Metrics.Continuations.add();
-  newAttemptAfter(Next.Delay);
+  scheduleNewAttempt(Next.Delay);
 }
 
 void Call::perform(const retry::AskHomeAgain &Next) {
-  newAttemptAfter(Next.Delay);
+  scheduleNewAttempt(Next.Delay);
 }
 
 void Call::perform(const retry::ResumeSame &Next) {
@@ -209,8 +211,8 @@
 
 void Call::perform(const retry::WaitForBudget &Next) {
   runAfter(Next.Delay, [Self = shared_from_this()] {
-    Self->afterEnd(nullptr,
-                   retry::NothingSent{ResultCode::RetryBudgetSpent, {}});
+    Self->onAttemptEnd(nullptr,
+                       retry::NothingSent{ResultCode::RetryBudgetSpent, {}});
   });
 }
 
--- a/Services/figlift-entry/CallHeldAnswer.cpp
+++ b/Services/figlift-entry/CallHeldAnswer.cpp
@@ -31,32 +31,32 @@
 
 Ranking rank(std::span<const route::TargetView> Targets,
              const std::string &ResumeKey) {
-  Ranking All;
+  Ranking Ranked;
   for (const route::TargetView &Target : Targets)
-    All.push_back(&Target);
+    Ranked.push_back(&Target);
   const uint64_t Key = route::rendezvousKey(ResumeKey);
-  std::ranges::sort(All, std::ranges::greater{},
+  std::ranges::sort(Ranked, std::ranges::greater{},
                     [Key](const route::TargetView *Target) {
                       return route::rendezvousWeight(Key, Target->Id);
                     });
-  return All;
+  return Ranked;
 }
 
 } // namespace
 
 std::vector<std::string>
-Call::withoutPreferred(const ServingState &Now,
-                       const route::RequestShape &Shape) const {
-  std::vector<std::string> Others;
+Call::nonPreferredTargets(const ServingState &Now,
+                          const route::RequestShape &Shape) const {
+  std::vector<std::string> NonPreferred;
   if (m_Request.ResumeKey.empty() || m_History.Attempts > 1)
-    return Others;
+    return NonPreferred;
   size_t Preferred = 0;
   for (const route::TargetView *Target :
        rank(Now.Table.targets(m_Request.BackEnd), m_Request.ResumeKey))
     if (!Target->Accepting || !Target->serves(Shape.Model) ||
         ++Preferred > PreferredTargets)
-      Others.push_back(Target->Id);
-  return Others;
+      NonPreferred.push_back(Target->Id);
+  return NonPreferred;
 }
 
 void Call::findHolders() {
@@ -76,27 +76,27 @@
   std::ranges::reverse(m_Holders);
 }
 
-void Call::askHolders() {
-  m_Asking = !m_Holders.empty();
-  if (!m_Asking) {
-    m_HeldAs = m_Request.RequestId;
+void Call::queryNextHolder() {
+  m_IsQueryingHolder = !m_Holders.empty();
+  if (!m_IsQueryingHolder) {
+    m_HeldRequestId = m_Request.RequestId;
     m_LastLink = nullptr;
     m_LastMessage.clear();
-    return attempt();
+    return startAttempt();
   }
-  m_HeldAs = stream::nameOfKey(m_Request.ResumeKey);
+  m_HeldRequestId = stream::nameOfKey(m_Request.ResumeKey);
   std::shared_ptr<TargetLink> Next = std::move(m_Holders.back());
   m_Holders.pop_back();
   resume(std::move(Next));
 }
 
-void Call::takeOver(const Attempt &From) {
-  if (!std::exchange(m_Asking, false))
+void Call::takeOver(const Attempt &Source) {
+  if (!std::exchange(m_IsQueryingHolder, false))
     return;
   m_TakenOver = true;
   m_Context.Metrics.TakenOver.add();
   m_Context.State.read([&](const ServingState &Now) {
-    if (const auto *Target = Now.Table.find(From.link()->target().Id))
+    if (const auto *Target = Now.Table.find(Source.link()->target().Id))
       pinModel(*Target);
     return 0;
   });
--- a/Services/figlift-entry/CallRouting.cpp
+++ b/Services/figlift-entry/CallRouting.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-Result<Call::Destination> Call::choose() {
+Result<Call::Destination> Call::chooseDestination() {
   if (m_History.TokensDelivered == 0)
     m_PinnedModel.clear();
   return m_Context.State.read([&](const ServingState &Now) {
@@ -74,22 +74,22 @@
 
 Result<Call::Destination> Call::chooseTarget(const ServingState &Now) {
   const route::RequestShape Shape = shape();
-  std::vector<std::string> Others = withoutPreferred(Now, Shape);
-  if (auto Probe = chooseProbe(Now, Others))
-    return destination(Now, *Probe);
+  std::vector<std::string> NonPreferred = nonPreferredTargets(Now, Shape);
+  if (auto Probe = chooseProbe(Now, NonPreferred))
+    return makeDestination(Now, *Probe);
   const std::vector<std::string> Excluded = excludedTargets();
   const uint64_t Seed = routingSeed();
-  std::vector<route::Considered> Account;
-  auto Choose = [&](std::span<const std::string> Without) {
+  std::vector<route::Considered> Candidates;
+  auto Choose = [&](std::span<const std::string> ExcludedIds) {
     return route::chooseTarget(
-        m_Context.Routing, Now.Table, Shape, Without, Seed,
-        log::isOn(log::Level::Debug) ? &Account : nullptr);
+        m_Context.Routing, Now.Table, Shape, ExcludedIds, Seed,
+        log::isOn(log::Level::Debug) ? &Candidates : nullptr);
   };
-  if (!Others.empty()) {
-    Others.insert(Others.end(), Excluded.begin(), Excluded.end());
-    if (auto Preferred = Choose(Others)) {
-      logChosen(*Preferred.value().Target, Account, Others);
-      return destination(Now, Preferred.value());
+  if (!NonPreferred.empty()) {
+    NonPreferred.insert(NonPreferred.end(), Excluded.begin(), Excluded.end());
+    if (auto Preferred = Choose(NonPreferred)) {
+      logChosenTarget(*Preferred.value().Target, Candidates, NonPreferred);
+      return makeDestination(Now, Preferred.value());
     }
   }
   auto Chosen = Choose(Excluded);
@@ -100,19 +100,20 @@
     Chosen = Choose({});
   if (!Chosen)
     return outcome::failure(Chosen.error());
-  logChosen(*Chosen.value().Target, Account, Excluded);
-  return destination(Now, Chosen.value());
+  logChosenTarget(*Chosen.value().Target, Candidates, Excluded);
+  return makeDestination(Now, Chosen.value());
 }
 
 std::vector<std::string> Call::excludedTargets() {
   std::vector<std::string> Excluded = m_Context.Health.excluded();
   const BootTime Now = BootClock::now();
   if (!m_Request.Repeatable)
-    std::erase_if(Excluded, [&](const std::string &Each) {
-      const auto Health = m_Context.Health.health(Each);
+    std::erase_if(Excluded, [&](const std::string &Target) {
+      const auto Health = m_Context.Health.health(Target);
       return Health->probeIsOverdue(Now) && Health->allows(Now);
     });
-  Excluded.insert(Excluded.end(), m_Excluded.begin(), m_Excluded.end());
+  Excluded.insert(Excluded.end(), m_FailedTargets.begin(),
+                  m_FailedTargets.end());
   return Excluded;
 }
 
@@ -127,12 +128,12 @@
 /// work is used, because a probe may fail.
 std::optional<route::Choice>
 Call::chooseProbe(const ServingState &Now,
-                  const std::vector<std::string> &NotPreferred) {
+                  const std::vector<std::string> &NonPreferred) {
   if (!m_Request.Repeatable || m_History.Attempts > 1)
     return std::nullopt;
   for (const std::string &Target :
        m_Context.Health.wantingProbes(BootClock::now())) {
-    if (std::ranges::find(NotPreferred, Target) != NotPreferred.end())
+    if (std::ranges::find(NonPreferred, Target) != NonPreferred.end())
       continue;
     route::RequestShape Shape = shape();
     Shape.OnlyTarget = Target;
@@ -146,37 +147,37 @@
 }
 
 /// Logs the cost of every candidate and the excluded targets at debug level.
-void Call::logChosen(const route::TargetView &Target,
-                     const std::vector<route::Considered> &Account,
-                     const std::vector<std::string> &Excluded) const {
+void Call::logChosenTarget(const route::TargetView &Target,
+                           const std::vector<route::Considered> &Candidates,
+                           const std::vector<std::string> &Excluded) const {
   if (!log::isOn(log::Level::Debug))
     return;
-  std::string Weighed;
-  for (const route::Considered &Each : Account)
-    Weighed += fmt::format(
+  std::string Costs;
+  for (const route::Considered &Candidate : Candidates)
+    Costs += fmt::format(
         "{}{}: cost {} us (wait {}, total {}), {} sequences, {:.0f} prompt and "
         "{:.0f} decode tokens/s{}",
-        Weighed.empty() ? "" : "; ", Each.Target, Each.Cost.count(),
-        Each.Wait.count(), Each.Total.count(), Each.Sequences,
-        Each.PrefillTokensPerSecond, Each.DecodeTokensPerSecond,
-        Each.Acceptable ? "" : ", not acceptable");
+        Costs.empty() ? "" : "; ", Candidate.Target, Candidate.Cost.count(),
+        Candidate.Wait.count(), Candidate.Total.count(), Candidate.Sequences,
+        Candidate.PrefillTokensPerSecond, Candidate.DecodeTokensPerSecond,
+        Candidate.Acceptable ? "" : ", not acceptable");
   log::logRequest(log::Level::Debug, "target-chosen", m_Request.RequestId, {},
                   {{"target", Target.Id},
                    {"attempt", m_History.Attempts},
-                   {"weighed", Weighed},
+                   {"weighed", Costs},
                    {"excluded", fmt::format("{}", fmt::join(Excluded, " "))}});
 }
 
-Result<Call::Destination> Call::destination(const ServingState &Now,
-                                            const route::Choice &Best) {
-  const auto Link = Now.Links.find(Best.Target->Id);
+Result<Call::Destination> Call::makeDestination(const ServingState &Now,
+                                                const route::Choice &Chosen) {
+  const auto Link = Now.Links.find(Chosen.Target->Id);
   if (Link == Now.Links.end())
     return failure(ResultCode::NoTargetAvailable,
                    "the chosen target was disconnected");
   const route::RequestShape Shape = shape();
-  pinModel(*Best.Target);
-  return Destination{Link->second, Best.enter(Shape), Best.PrefixTokensBelieved,
-                     0};
+  pinModel(*Chosen.Target);
+  return Destination{Link->second, Chosen.enter(Shape),
+                     Chosen.PrefixTokensBelieved, 0};
 }
 
 Result<Call::Destination> Call::chooseHome(const ServingState &Now) {
@@ -195,10 +196,10 @@
                   : "the home of this idempotency key cannot be reached",
               "Idempotency-Key", HomeRetryAfter});
   }
-  Destination To;
-  To.Link = Link->second;
-  To.SliceEpoch = Home.Epoch;
-  return To;
+  Destination HomeTarget;
+  HomeTarget.Link = Link->second;
+  HomeTarget.SliceEpoch = Home.Epoch;
+  return HomeTarget;
 }
 
 } // namespace figlift::entry
