--- a/Services/figlift-entry/CallerApi.cpp
+++ b/Services/figlift-entry/CallerApi.cpp
@@ -16,52 +16,53 @@
 
 namespace {
 
-using Reader = std::function<Result<CallerRequest>(const http::Request &,
-                                                   const ReadContext &)>;
+using RequestParser = std::function<Result<CallerRequest>(const http::Request &,
+                                                          const ReadContext &)>;
 
 /// Parts of the serving state that are read once per request.
-struct Beginning {
+struct ServingSnapshot {
   config::SnapshotPointer Configuration;
   std::optional<Error> NotReady;
 };
 
-Beginning beginningOf(const CallContext &With) {
-  return With.State.read([](const ServingState &Now) {
-    return Beginning{Now.Configuration, Now.NotReady};
+ServingSnapshot readServingState(const CallContext &Context) {
+  return Context.State.read([](const ServingState &Now) {
+    return ServingSnapshot{Now.Configuration, Now.NotReady};
   });
 }
 
 /// Every response names the configuration revision that its request was parsed
 /// with, so that callers can see whether a change is in force.
-void nameRevision(http::Exchange &Caller, const Beginning &Read) {
+void addRevisionHeader(http::Exchange &Caller,
+                       const ServingSnapshot &Snapshot) {
   Caller.addHeader("X-Figlift-Revision",
-                   std::to_string(Read.Configuration->revision()));
+                   std::to_string(Snapshot.Configuration->revision()));
 }
 
-void refuse(const CallContext &With, http::Exchange &Caller,
-            const Error &Reason) {
-  With.Metrics.recordEnd(Reason.Code);
-  Caller.replyProblem(Reason);
+void refuse(const CallContext &Context, http::Exchange &Caller,
+            const Error &Failure) {
+  Context.Metrics.recordEnd(Failure.Code);
+  Caller.replyProblem(Failure);
 }
 
-http::Handler handlerOf(const CallContext &With,
-                        std::chrono::milliseconds DefaultDeadline,
-                        Reader Read) {
-  return [&With, DefaultDeadline,
-          Read = std::move(Read)](std::shared_ptr<http::Exchange> Caller) {
-    const std::string FreshId = With.Ids.nextText();
-    Caller->setRequestId(callerIdOf(Caller->request(), FreshId));
-    const Beginning Now = beginningOf(With);
-    nameRevision(*Caller, Now);
+http::Handler makeHandler(const CallContext &Context,
+                          std::chrono::milliseconds DefaultDeadline,
+                          RequestParser Parse) {
+  return [&Context, DefaultDeadline,
+          Parse = std::move(Parse)](std::shared_ptr<http::Exchange> Caller) {
+    const std::string GeneratedId = Context.Ids.nextText();
+    Caller->setRequestId(callerIdOf(Caller->request(), GeneratedId));
+    const ServingSnapshot Now = readServingState(Context);
+    addRevisionHeader(*Caller, Now);
     // Checked before parsing: without configuration records every model would
     // be reported as unknown.
     if (Now.NotReady)
-      return refuse(With, *Caller, *Now.NotReady);
-    Result<CallerRequest> Request =
-        Read(Caller->request(), {*Now.Configuration, DefaultDeadline, FreshId});
+      return refuse(Context, *Caller, *Now.NotReady);
+    Result<CallerRequest> Request = Parse(
+        Caller->request(), {*Now.Configuration, DefaultDeadline, GeneratedId});
     if (!Request)
-      return refuse(With, *Caller, Request.error());
-    Call::start(With, std::move(Caller), std::move(Request.value()));
+      return refuse(Context, *Caller, Request.error());
+    Call::start(Context, std::move(Caller), std::move(Request.value()));
   };
 }
 
@@ -69,12 +70,12 @@
   return {"POST", std::move(Path), false, std::move(Handle), false};
 }
 
-void listModels(const CallContext &With, http::Exchange &Caller) {
-  const Beginning Now = beginningOf(With);
-  nameRevision(Caller, Now);
+void listModels(const CallContext &Context, http::Exchange &Caller) {
+  const ServingSnapshot Now = readServingState(Context);
+  addRevisionHeader(Caller, Now);
   nlohmann::ordered_json Models = nlohmann::ordered_json::array();
-  for (const config::Item *Known : Now.Configuration->list("backEnd")) {
-    const std::string &Name = Known->Stored.Name;
+  for (const config::Item *Item : Now.Configuration->list("backEnd")) {
+    const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = Now.Configuration->backEnd(Name);
     if (!BackEnd)
       continue;
@@ -83,34 +84,36 @@
                         {"object", "model"},
                         {"owned_by", Name}});
   }
-  http::Response Answer;
-  Answer.Body =
+  http::Response Response;
+  Response.Body =
       nlohmann::ordered_json{{"object", "list"}, {"data", Models}}.dump();
-  Caller.reply(std::move(Answer));
+  Caller.reply(std::move(Response));
 }
 
 } // namespace
 
 std::vector<http::Route>
-callerRoutes(const CallContext &With,
+callerRoutes(const CallContext &Context,
              std::chrono::milliseconds DefaultDeadline) {
   auto Completion = [&](CompletionApi Api) {
-    return handlerOf(With, DefaultDeadline,
-                     [Api](const http::Request &From, const ReadContext &How) {
-                       return readCompletion(From, Api, How);
-                     });
+    return makeHandler(
+        Context, DefaultDeadline,
+        [Api](const http::Request &Request, const ReadContext &Inputs) {
+          return readCompletion(Request, Api, Inputs);
+        });
   };
   std::vector<http::Route> Routes;
   Routes.push_back(post("/v1/completions", Completion(CompletionApi::Text)));
   Routes.push_back(
       post("/v1/chat/completions", Completion(CompletionApi::Chat)));
   Routes.push_back({"GET", "/v1/models", false,
-                    [&With](std::shared_ptr<http::Exchange> Caller) {
-                      listModels(With, *Caller);
+                    [&Context](std::shared_ptr<http::Exchange> Caller) {
+                      listModels(Context, *Caller);
                     },
                     false});
   Routes.push_back({http::AnyMethod, std::string(ServicesPath), true,
-                    handlerOf(With, DefaultDeadline, readServiceCall), false});
+                    makeHandler(Context, DefaultDeadline, readServiceCall),
+                    false});
   return Routes;
 }
 
--- a/Services/figlift-entry/CallerApi.h
+++ b/Services/figlift-entry/CallerApi.h
@@ -18,7 +18,7 @@
 
 /// \p Context must outlive the server.
 std::vector<http::Route>
-callerRoutes(const CallContext &With,
+callerRoutes(const CallContext &Context,
              std::chrono::milliseconds DefaultDeadline);
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/CallerRequest.cpp
+++ b/Services/figlift-entry/CallerRequest.cpp
@@ -70,17 +70,18 @@
 
 } // namespace
 
-std::string callerIdOf(const http::Request &From, const std::string &FreshId) {
+std::string callerIdOf(const http::Request &From,
+                       const std::string &GeneratedId) {
   const std::string Given = From.header("x-request-id");
   const bool IsFit = !Given.empty() && Given.size() <= MaximumIdLength &&
                      isVisibleAscii(Given);
-  return IsFit ? Given : FreshId;
+  return IsFit ? Given : GeneratedId;
 }
 
 Result<void> readHeaders(const http::Request &From, const ReadContext &With,
                          CallerRequest &Into) {
-  Into.CallerId = callerIdOf(From, With.FreshId);
-  Into.RequestId = With.FreshId;
+  Into.CallerId = callerIdOf(From, With.GeneratedId);
+  Into.RequestId = With.GeneratedId;
   Into.Workspace = From.header("x-figlift-workspace");
   if (!Into.Workspace.empty() && !With.Configuration.workspace(Into.Workspace))
     return failure(ResultCode::InvalidInput,
--- a/Services/figlift-entry/CallerRequest.h
+++ b/Services/figlift-entry/CallerRequest.h
@@ -72,7 +72,7 @@
   const config::Snapshot &Configuration;
   std::chrono::milliseconds DefaultDeadline;
   /// A newly generated unique id.
-  std::string FreshId;
+  std::string GeneratedId;
 };
 
 /// POST /v1/completions and /v1/chat/completions.
@@ -83,9 +83,10 @@
 Result<CallerRequest> readServiceCall(const http::Request &From,
                                       const ReadContext &With);
 
-/// Returns the value of X-Request-Id, or \p FreshId when it is missing or
+/// Returns the value of X-Request-Id, or \p GeneratedId when it is missing or
 /// invalid.
-std::string callerIdOf(const http::Request &From, const std::string &FreshId);
+std::string callerIdOf(const http::Request &From,
+                       const std::string &GeneratedId);
 
 inline constexpr std::string_view ServicesPath = "/v1/services/";
 
