--- a/Services/figlift-entry/CallerRequest.cpp
+++ b/Services/figlift-entry/CallerRequest.cpp
@@ -21,8 +21,9 @@
 constexpr std::chrono::hours MaximumDeadline{1};
 
 bool isVisibleAscii(const std::string &Text) {
-  return std::all_of(Text.begin(), Text.end(),
-                     [](char Letter) { return Letter > ' ' && Letter < 127; });
+  return std::all_of(Text.begin(), Text.end(), [](char Character) {
+    return Character > ' ' && Character < 127;
+  });
 }
 
 bool isReadOnly(const std::string &Method) {
@@ -42,7 +43,7 @@
 
 /// Detects escapes that change or hide segments of the path: the entry would
 /// check another path than the target resolves.
-bool movesSegments(const std::string &RawPath, size_t NameEnd) {
+bool hasUnsafeEscapes(const std::string &RawPath, size_t NameEnd) {
   if (RawPath.substr(0, NameEnd).find('%') != std::string::npos)
     return true;
   return RawPath.find("%2f") != std::string::npos ||
@@ -50,8 +51,8 @@
 }
 
 /// Some targets end the path at a NUL or a line break, as in "/slots%00/x".
-bool isControl(char Each) {
-  const auto Code = static_cast<unsigned char>(Each);
+bool isControl(char Character) {
+  const auto Code = static_cast<unsigned char>(Character);
   return Code < 0x20 || Code == 0x7f;
 }
 
@@ -70,25 +71,27 @@
 
 } // namespace
 
-std::string callerIdOf(const http::Request &From,
+std::string callerIdOf(const http::Request &Request,
                        const std::string &GeneratedId) {
-  const std::string Given = From.header("x-request-id");
-  const bool IsFit = !Given.empty() && Given.size() <= MaximumIdLength &&
-                     isVisibleAscii(Given);
-  return IsFit ? Given : GeneratedId;
+  const std::string HeaderValue = Request.header("x-request-id");
+  const bool IsValid = !HeaderValue.empty() &&
+                       HeaderValue.size() <= MaximumIdLength &&
+                       isVisibleAscii(HeaderValue);
+  return IsValid ? HeaderValue : GeneratedId;
 }
 
-Result<void> readHeaders(const http::Request &From, const ReadContext &With,
-                         CallerRequest &Into) {
-  Into.CallerId = callerIdOf(From, With.GeneratedId);
-  Into.RequestId = With.GeneratedId;
-  Into.Workspace = From.header("x-figlift-workspace");
-  if (!Into.Workspace.empty() && !With.Configuration.workspace(Into.Workspace))
+Result<void> readHeaders(const http::Request &Request,
+                         const ReadContext &Context, CallerRequest &Output) {
+  Output.CallerId = callerIdOf(Request, Context.GeneratedId);
+  Output.RequestId = Context.GeneratedId;
+  Output.Workspace = Request.header("x-figlift-workspace");
+  if (!Output.Workspace.empty() &&
+      !Context.Configuration.workspace(Output.Workspace))
     return failure(ResultCode::InvalidInput,
-                   "unknown workspace \"" + Into.Workspace + "\"",
+                   "unknown workspace \"" + Output.Workspace + "\"",
                    "X-Figlift-Workspace");
-  Into.Deadline = With.DefaultDeadline;
-  const std::string Deadline = From.header("x-figlift-deadline");
+  Output.Deadline = Context.DefaultDeadline;
+  const std::string Deadline = Request.header("x-figlift-deadline");
   if (Deadline.empty())
     return success();
   const auto Parsed = settings::parseDuration(Deadline);
@@ -98,12 +101,12 @@
                    "found \"" + Deadline +
                        "\"; expected a duration of at most 1h, such as 2s",
                    "X-Figlift-Deadline");
-  Into.Deadline = Parsed.value();
+  Output.Deadline = Parsed.value();
   return success();
 }
 
-Result<std::string> readKey(const http::Request &From) {
-  std::string Key = From.header("idempotency-key");
+Result<std::string> readKey(const http::Request &Request) {
+  std::string Key = Request.header("idempotency-key");
   if (Key.size() > MaximumKeyLength || !isVisibleAscii(Key))
     return failure(ResultCode::InvalidInput,
                    "expected at most 256 visible ASCII characters",
@@ -111,51 +114,52 @@
   return Key;
 }
 
-void applyClass(const ReadContext &With, const record::BackEnd &BackEnd,
-                bool HasOwnDeadline, CallerRequest &Into) {
-  const auto *Customer = With.Configuration.workspace(Into.Workspace);
-  if (Customer && Customer->DefaultClass)
-    Into.Class = *Customer->DefaultClass;
-  if (const auto Limits = BackEnd.Classes.find(Into.Class);
-      Limits != BackEnd.Classes.end() && !HasOwnDeadline)
-    Into.Deadline = Limits->second.DefaultDeadline;
+void applyClass(const ReadContext &Context, const record::BackEnd &BackEnd,
+                bool HasExplicitDeadline, CallerRequest &Output) {
+  const auto *Workspace = Context.Configuration.workspace(Output.Workspace);
+  if (Workspace && Workspace->DefaultClass)
+    Output.Class = *Workspace->DefaultClass;
+  if (const auto Limits = BackEnd.Classes.find(Output.Class);
+      Limits != BackEnd.Classes.end() && !HasExplicitDeadline)
+    Output.Deadline = Limits->second.DefaultDeadline;
 }
 
-Result<CallerRequest> readServiceCall(const http::Request &From,
-                                      const ReadContext &With) {
-  CallerRequest Read;
-  FIGLIFT_TRY(readHeaders(From, With, Read));
-  const std::string Rest = From.Path.substr(ServicesPath.size());
-  const size_t Slash = Rest.find('/');
-  Read.BackEnd = Rest.substr(0, Slash);
-  const record::BackEnd *BackEnd = With.Configuration.backEnd(Read.BackEnd);
+Result<CallerRequest> readServiceCall(const http::Request &Request,
+                                      const ReadContext &Context) {
+  CallerRequest Call;
+  FIGLIFT_TRY(readHeaders(Request, Context, Call));
+  const std::string Remainder = Request.Path.substr(ServicesPath.size());
+  const size_t Slash = Remainder.find('/');
+  Call.BackEnd = Remainder.substr(0, Slash);
+  const record::BackEnd *BackEnd = Context.Configuration.backEnd(Call.BackEnd);
   if (!BackEnd || BackEnd->Type != record::BackEndType::Service)
     return failure(ResultCode::UnknownBackEnd,
-                   "unknown service \"" + Read.BackEnd + "\"", "path");
+                   "unknown service \"" + Call.BackEnd + "\"", "path");
   const std::string Path =
-      Slash == std::string::npos ? "/" : Rest.substr(Slash);
-  const size_t RawSlash = From.RawPath.find('/', ServicesPath.size());
-  if (isAmbiguous(Path) || movesSegments(From.RawPath, RawSlash))
+      Slash == std::string::npos ? "/" : Remainder.substr(Slash);
+  const size_t RawSlash = Request.RawPath.find('/', ServicesPath.size());
+  if (isAmbiguous(Path) || hasUnsafeEscapes(Request.RawPath, RawSlash))
     return failure(ResultCode::InvalidInput,
                    "the path has empty or dot segments, or characters that "
                    "targets interpret differently",
                    "path");
-  applyClass(With, *BackEnd, !From.header("x-figlift-deadline").empty(), Read);
+  applyClass(Context, *BackEnd, !Request.header("x-figlift-deadline").empty(),
+             Call);
   if (isUnder(Path, BackEnd->ImmediatePaths))
-    Read.Class = record::ServiceClass::Immediate;
-  Read.Repeatable =
-      isReadOnly(From.Method) || !isUnder(Path, BackEnd->NonRepeatablePaths);
-  FIGLIFT_TRY(Key, readKey(From));
-  if (!Read.Repeatable)
-    Read.IdempotencyKey = Key;
+    Call.Class = record::ServiceClass::Immediate;
+  Call.Repeatable =
+      isReadOnly(Request.Method) || !isUnder(Path, BackEnd->NonRepeatablePaths);
+  FIGLIFT_TRY(Key, readKey(Request));
+  if (!Call.Repeatable)
+    Call.IdempotencyKey = Key;
 
   std::string RawPath =
-      RawSlash == std::string::npos ? "/" : From.RawPath.substr(RawSlash);
-  if (!From.RawQuery.empty())
-    RawPath += "?" + From.RawQuery;
-  Read.Work = ServiceWork{From.Method, std::move(RawPath),
-                          From.header("content-type"), From.Body};
-  return Read;
+      RawSlash == std::string::npos ? "/" : Request.RawPath.substr(RawSlash);
+  if (!Request.RawQuery.empty())
+    RawPath += "?" + Request.RawQuery;
+  Call.Work = ServiceWork{Request.Method, std::move(RawPath),
+                          Request.header("content-type"), Request.Body};
+  return Call;
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/CallerRequest.h
+++ b/Services/figlift-entry/CallerRequest.h
@@ -76,16 +76,16 @@
 };
 
 /// POST /v1/completions and /v1/chat/completions.
-Result<CallerRequest> readCompletion(const http::Request &From,
+Result<CallerRequest> readCompletion(const http::Request &Request,
                                      CompletionApi Api,
-                                     const ReadContext &With);
+                                     const ReadContext &Context);
 /// Anything below /v1/services/{name}/.
-Result<CallerRequest> readServiceCall(const http::Request &From,
-                                      const ReadContext &With);
+Result<CallerRequest> readServiceCall(const http::Request &Request,
+                                      const ReadContext &Context);
 
 /// Returns the value of X-Request-Id, or \p GeneratedId when it is missing or
 /// invalid.
-std::string callerIdOf(const http::Request &From,
+std::string callerIdOf(const http::Request &Request,
                        const std::string &GeneratedId);
 
 inline constexpr std::string_view ServicesPath = "/v1/services/";
--- a/Services/figlift-entry/CompletionRequest.cpp
+++ b/Services/figlift-entry/CompletionRequest.cpp
@@ -30,32 +30,32 @@
 }
 
 Result<std::string> readText(const json &Body, const std::string &Field) {
-  const auto Found = Body.find(Field);
-  if (Found == Body.end() || !Found->is_string())
+  const auto Value = Body.find(Field);
+  if (Value == Body.end() || !Value->is_string())
     return invalid("expected a string", Field);
-  return Found->get<std::string>();
+  return Value->get<std::string>();
 }
 
 Result<bool> readFlag(const json &Body, const std::string &Field) {
-  const auto Found = Body.find(Field);
-  if (Found == Body.end() || Found->is_null())
+  const auto Value = Body.find(Field);
+  if (Value == Body.end() || Value->is_null())
     return false;
-  if (!Found->is_boolean())
+  if (!Value->is_boolean())
     return invalid("expected true or false", Field);
-  return Found->get<bool>();
+  return Value->get<bool>();
 }
 
 Result<uint32_t> readMaximumTokens(const json &Body) {
   for (const char *Field : {"max_completion_tokens", "max_tokens"}) {
-    const auto Found = Body.find(Field);
-    if (Found == Body.end() || Found->is_null())
+    const auto Value = Body.find(Field);
+    if (Value == Body.end() || Value->is_null())
       continue;
-    if (!Found->is_number_unsigned() || Found->get<uint64_t>() == 0 ||
-        Found->get<uint64_t>() > LargestMaximumTokens)
+    if (!Value->is_number_unsigned() || Value->get<uint64_t>() == 0 ||
+        Value->get<uint64_t>() > LargestMaximumTokens)
       return invalid("expected an integer from 1 to " +
                          std::to_string(LargestMaximumTokens),
                      Field);
-    return Found->get<uint32_t>();
+    return Value->get<uint32_t>();
   }
   return DefaultMaximumTokens;
 }
@@ -64,7 +64,7 @@
 Result<std::string> readContent(const json &Content) {
   if (Content.is_string())
     return Content.get<std::string>();
-  std::string All;
+  std::string Text;
   if (!Content.is_array())
     return invalid("expected a string or a list of text parts",
                    "messages.content");
@@ -73,17 +73,17 @@
         !Part.contains("text") || !Part["text"].is_string())
       return invalid("only parts of type text are supported",
                      "messages.content");
-    All += Part["text"].get<std::string>();
+    Text += Part["text"].get<std::string>();
   }
-  return All;
+  return Text;
 }
 
 Result<std::string> readMessages(const json &Body) {
-  const auto Found = Body.find("messages");
-  if (Found == Body.end() || !Found->is_array() || Found->empty())
+  const auto Value = Body.find("messages");
+  if (Value == Body.end() || !Value->is_array() || Value->empty())
     return invalid("expected a list of at least one message", "messages");
   std::string Prompt;
-  for (const json &Message : *Found) {
+  for (const json &Message : *Value) {
     if (!Message.is_object() || !Message.contains("content"))
       return invalid("each message needs role and content", "messages");
     FIGLIFT_TRY(Role, readText(Message, "role"));
@@ -95,19 +95,19 @@
 
 Result<void> refuseUnsupported(const json &Body) {
   for (const char *Field : {"n", "best_of"})
-    if (const auto Found = Body.find(Field);
-        Found != Body.end() && !Found->is_null() && *Found != 1)
+    if (const auto Value = Body.find(Field);
+        Value != Body.end() && !Value->is_null() && *Value != 1)
       return invalid("only one answer per request is supported", Field);
   for (const char *Field : {"tools", "functions", "suffix"})
-    if (const auto Found = Body.find(Field);
-        Found != Body.end() && !Found->is_null() && !Found->empty())
+    if (const auto Value = Body.find(Field);
+        Value != Body.end() && !Value->is_null() && !Value->empty())
       return invalid("this field is not supported", Field);
   return success();
 }
 
 bool serves(const record::BackEnd &BackEnd, const std::string &Model) {
-  for (const record::ModelReference &Known : BackEnd.Models)
-    if (Model == Known.Name || Model == Known.Name + "@" + Known.Version)
+  for (const record::ModelReference &Served : BackEnd.Models)
+    if (Model == Served.Name || Model == Served.Name + "@" + Served.Version)
       return true;
   return false;
 }
@@ -115,40 +115,44 @@
 /// Accepts "back end/model", a model that only one back end serves, or the name
 /// of a back end with a single model.
 Result<void> resolveModel(const config::Snapshot &Records,
-                          const std::string &Asked, CallerRequest &Into,
-                          std::string &Model) {
-  if (const size_t Slash = Asked.find('/'); Slash != std::string::npos) {
-    Into.BackEnd = Asked.substr(0, Slash);
-    Model = Asked.substr(Slash + 1);
-    const record::BackEnd *Found = Records.backEnd(Into.BackEnd);
-    if (!Found)
+                          const std::string &RequestedName,
+                          CallerRequest &Output, std::string &Model) {
+  if (const size_t Slash = RequestedName.find('/');
+      Slash != std::string::npos) {
+    Output.BackEnd = RequestedName.substr(0, Slash);
+    Model = RequestedName.substr(Slash + 1);
+    const record::BackEnd *BackEnd = Records.backEnd(Output.BackEnd);
+    if (!BackEnd)
       return failure(ResultCode::UnknownBackEnd,
-                     "unknown back end \"" + Into.BackEnd + "\"", "model");
-    if (!serves(*Found, Model))
-      return failure(
-          ResultCode::UnknownModel,
-          "\"" + Into.BackEnd + "\" does not serve \"" + Model + "\"", "model");
+                     "unknown back end \"" + Output.BackEnd + "\"", "model");
+    if (!serves(*BackEnd, Model))
+      return failure(ResultCode::UnknownModel,
+                     "\"" + Output.BackEnd + "\" does not serve \"" + Model +
+                         "\"",
+                     "model");
     return success();
   }
-  for (const config::Item *Known : Records.list("backEnd")) {
-    const std::string &Name = Known->Stored.Name;
+  for (const config::Item *Item : Records.list("backEnd")) {
+    const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = Records.backEnd(Name);
     if (!BackEnd)
       continue;
-    const bool ByItsName = Name == Asked && BackEnd->Models.size() == 1;
-    if (!ByItsName && !serves(*BackEnd, Asked))
+    const bool IsBackEndName =
+        Name == RequestedName && BackEnd->Models.size() == 1;
+    if (!IsBackEndName && !serves(*BackEnd, RequestedName))
       continue;
-    if (!Into.BackEnd.empty())
+    if (!Output.BackEnd.empty())
       return failure(ResultCode::UnknownModel,
-                     "several back ends serve \"" + Asked + "\"; write \"" +
-                         Into.BackEnd + "/" + Asked + "\"",
+                     "several back ends serve \"" + RequestedName +
+                         "\"; write \"" + Output.BackEnd + "/" + RequestedName +
+                         "\"",
                      "model");
-    Into.BackEnd = Name;
-    Model = ByItsName ? BackEnd->Models.front().Name : Asked;
+    Output.BackEnd = Name;
+    Model = IsBackEndName ? BackEnd->Models.front().Name : RequestedName;
   }
-  if (Into.BackEnd.empty())
+  if (Output.BackEnd.empty())
     return failure(ResultCode::UnknownModel,
-                   "no back end serves \"" + Asked + "\"", "model");
+                   "no back end serves \"" + RequestedName + "\"", "model");
   return success();
 }
 
@@ -162,12 +166,12 @@
 
 } // namespace
 
-Result<CallerRequest> readCompletion(const http::Request &From,
+Result<CallerRequest> readCompletion(const http::Request &Request,
                                      CompletionApi Api,
-                                     const ReadContext &With) {
-  CallerRequest Read;
-  FIGLIFT_TRY(readHeaders(From, With, Read));
-  FIGLIFT_TRY(Body, http::parseJsonBody(From.Body));
+                                     const ReadContext &Context) {
+  CallerRequest Parsed;
+  FIGLIFT_TRY(readHeaders(Request, Context, Parsed));
+  FIGLIFT_TRY(Body, http::parseJsonBody(Request.Body));
   if (!Body.is_object())
     return invalid("the body is not a JSON object", "body");
   FIGLIFT_TRY(refuseUnsupported(Body));
@@ -182,14 +186,14 @@
                       .Model = {},
                       .Prompt = std::move(Prompt),
                       .MaximumTokens = MaximumTokens};
-  FIGLIFT_TRY(resolveModel(With.Configuration, Model, Read, Work.Model));
-  applyClass(With, *With.Configuration.backEnd(Read.BackEnd),
-             !From.header("x-figlift-deadline").empty(), Read);
-  FIGLIFT_TRY(Key, readKey(From));
+  FIGLIFT_TRY(resolveModel(Context.Configuration, Model, Parsed, Work.Model));
+  applyClass(Context, *Context.Configuration.backEnd(Parsed.BackEnd),
+             !Request.header("x-figlift-deadline").empty(), Parsed);
+  FIGLIFT_TRY(Key, readKey(Request));
   if (!Key.empty())
-    Read.ResumeKey = resumeKeyOf(Key, Read.Workspace, Work);
-  Read.Work = std::move(Work);
-  return Read;
+    Parsed.ResumeKey = resumeKeyOf(Key, Parsed.Workspace, Work);
+  Parsed.Work = std::move(Work);
+  return Parsed;
 }
 
 uint32_t CompletionWork::promptTokens() const {
--- a/Services/figlift-entry/Digest.cpp
+++ b/Services/figlift-entry/Digest.cpp
@@ -13,10 +13,10 @@
 namespace figlift::entry {
 
 std::string digestOf(std::initializer_list<std::string_view> Parts) {
-  std::string All;
+  std::string Encoded;
   for (const std::string_view Part : Parts)
-    All.append(std::to_string(Part.size())).append(":").append(Part);
-  const XXH128_hash_t Hash = XXH3_128bits(All.data(), All.size());
+    Encoded.append(std::to_string(Part.size())).append(":").append(Part);
+  const XXH128_hash_t Hash = XXH3_128bits(Encoded.data(), Encoded.size());
   char Text[33];
   std::snprintf(Text, sizeof Text, "%016llx%016llx",
                 static_cast<unsigned long long>(Hash.high64),
--- a/Services/figlift-entry/RequestHeaders.h
+++ b/Services/figlift-entry/RequestHeaders.h
@@ -11,15 +11,15 @@
 namespace figlift::entry {
 
 /// Reads X-Request-Id, X-Figlift-Workspace and X-Figlift-Deadline.
-Result<void> readHeaders(const http::Request &From, const ReadContext &With,
-                         CallerRequest &Into);
+Result<void> readHeaders(const http::Request &Request,
+                         const ReadContext &Context, CallerRequest &Output);
 
 /// Reads Idempotency-Key; empty when it is missing.
-Result<std::string> readKey(const http::Request &From);
+Result<std::string> readKey(const http::Request &Request);
 
 /// Sets the service class from the configuration, and the deadline unless the
 /// request specifies one.
-void applyClass(const ReadContext &With, const record::BackEnd &BackEnd,
-                bool HasOwnDeadline, CallerRequest &Into);
+void applyClass(const ReadContext &Context, const record::BackEnd &BackEnd,
+                bool HasExplicitDeadline, CallerRequest &Output);
 
 } // namespace figlift::entry
--- a/Tests/FigliftEntry/TestCallerRequest.cpp
+++ b/Tests/FigliftEntry/TestCallerRequest.cpp
@@ -15,24 +15,24 @@
 
 TEST_GROUP(CallerRequest) {
   config::SnapshotPointer Records = test::recordsInForce();
-  ReadContext With{*Records, std::chrono::seconds(30), "fresh"};
+  ReadContext Context{*Records, std::chrono::seconds(30), "fresh"};
 
   http::Request completion(const std::string &Body) {
-    http::Request Asked;
-    Asked.Method = "POST";
-    Asked.Path = "/v1/completions";
-    Asked.Body = Body;
-    return Asked;
+    http::Request Request;
+    Request.Method = "POST";
+    Request.Path = "/v1/completions";
+    Request.Body = Body;
+    return Request;
   }
   Result<CallerRequest> read(const std::string &Body) {
-    return readCompletion(completion(Body), CompletionApi::Text, With);
+    return readCompletion(completion(Body), CompletionApi::Text, Context);
   }
   http::Request service(const std::string &Method, const std::string &Path) {
-    http::Request Asked;
-    Asked.Method = Method;
-    Asked.Path = Path;
-    Asked.RawPath = Path;
-    return Asked;
+    http::Request Request;
+    Request.Method = Method;
+    Request.Path = Path;
+    Request.RawPath = Path;
+    return Request;
   }
   ResultCode codeOf(const Result<CallerRequest> &Read) {
     return Read ? ResultCode::Success : Read.error().Code;
@@ -67,45 +67,45 @@
   // Sequence: two callers send the same X-Request-Id; agents hold answers by
   // the id of the request and resume one for the other.
   // Cause: the caller's id was taken for a unique one.
-  http::Request Asked = completion(R"({"prompt":"p","model":"desk"})");
-  Asked.Headers["x-request-id"] = "mine";
-  const auto Read = readCompletion(Asked, CompletionApi::Text, With);
+  http::Request Request = completion(R"({"prompt":"p","model":"desk"})");
+  Request.Headers["x-request-id"] = "mine";
+  const auto Read = readCompletion(Request, CompletionApi::Text, Context);
   STRCMP_EQUAL("mine", Read.value().CallerId.c_str());
   STRCMP_EQUAL("fresh", Read.value().RequestId.c_str());
 }
 
 TEST(CallerRequest, DeadlinesNeedAUnitAndAWorkspaceNeedsARecord) {
-  http::Request Asked = completion(R"({"prompt":"p","model":"desk"})");
-  Asked.Headers["x-figlift-deadline"] = "2s";
-  const auto Read = readCompletion(Asked, CompletionApi::Text, With);
+  http::Request Request = completion(R"({"prompt":"p","model":"desk"})");
+  Request.Headers["x-figlift-deadline"] = "2s";
+  const auto Read = readCompletion(Request, CompletionApi::Text, Context);
   CHECK(std::chrono::seconds(2) == Read.value().Deadline);
-  Asked.Headers["x-figlift-deadline"] = "2";
+  Request.Headers["x-figlift-deadline"] = "2";
   CHECK(ResultCode::InvalidInput ==
-        codeOf(readCompletion(Asked, CompletionApi::Text, With)));
-  Asked.Headers["x-figlift-deadline"] = "2s";
-  Asked.Headers["x-figlift-workspace"] = "nobody";
+        codeOf(readCompletion(Request, CompletionApi::Text, Context)));
+  Request.Headers["x-figlift-deadline"] = "2s";
+  Request.Headers["x-figlift-workspace"] = "nobody";
   CHECK(ResultCode::InvalidInput ==
-        codeOf(readCompletion(Asked, CompletionApi::Text, With)));
+        codeOf(readCompletion(Request, CompletionApi::Text, Context)));
 }
 
 TEST(CallerRequest, RecordsSayWhichCallsMayNotBeRepeated) {
   http::Request Hold = service("POST", "/v1/services/booking-core/slots/7");
   Hold.Headers["idempotency-key"] = "key";
   Hold.RawQuery = "a=%20b";
-  const auto Read = readServiceCall(Hold, With);
+  const auto Read = readServiceCall(Hold, Context);
   CHECK_FALSE(Read.value().Repeatable);
   CHECK_TRUE(Read.value().keyed());
   STRCMP_EQUAL("/slots/7?a=%20b",
                std::get<ServiceWork>(Read.value().Work).Path.c_str());
 
   const auto Look = readServiceCall(
-      service("GET", "/v1/services/booking-core/slots/7"), With);
+      service("GET", "/v1/services/booking-core/slots/7"), Context);
   CHECK_TRUE(Look.value().Repeatable);
   const auto Similar = readServiceCall(
-      service("POST", "/v1/services/booking-core/slotsman"), With);
+      service("POST", "/v1/services/booking-core/slotsman"), Context);
   CHECK_TRUE(Similar.value().Repeatable);
   const auto Waiver = readServiceCall(
-      service("GET", "/v1/services/booking-core/waivers/3"), With);
+      service("GET", "/v1/services/booking-core/waivers/3"), Context);
   CHECK(record::ServiceClass::Immediate == Waiver.value().Class);
 }
 
@@ -117,12 +117,13 @@
   for (const char *Path :
        {"/x/../slots/7", "//slots/7", "/./slots/7", "/slots/..", "/a%2fb",
         "/slots;x/7", "/slots\n/7", "/slots\x7f"}) {
-    http::Request Asked =
+    http::Request Request =
         service("POST", std::string("/v1/services/booking-core") + Path);
-    CHECK_TRUE_TEXT(
-        ResultCode::InvalidInput == codeOf(readServiceCall(Asked, With)), Path);
+    CHECK_TRUE_TEXT(ResultCode::InvalidInput ==
+                        codeOf(readServiceCall(Request, Context)),
+                    Path);
   }
   http::Request Escaped = service("POST", "/v1/services/booking-core/slots/7");
   Escaped.RawPath = "/v1/%73ervices/booking-core/slots/7";
-  CHECK(ResultCode::InvalidInput == codeOf(readServiceCall(Escaped, With)));
+  CHECK(ResultCode::InvalidInput == codeOf(readServiceCall(Escaped, Context)));
 }
