--- a/Services/figlift-entry/EventLoop.cpp
+++ b/Services/figlift-entry/EventLoop.cpp
@@ -21,25 +21,25 @@
 EventLoop::EventLoop() : m_Thread([this] { run(); }) {}
 
 EventLoop::TimerId EventLoop::after(std::chrono::milliseconds Delay,
-                                    Task What) {
+                                    Task NewTask) {
   const std::lock_guard Lock(m_Mutex);
-  const TimerId Id{BootClock::now() + Delay, ++m_Count};
+  const TimerId Id{BootClock::now() + Delay, ++m_TaskCount};
   if (m_Stopped)
     return Id;
-  const auto Place = m_Tasks.emplace(Id, std::move(What)).first;
-  if (Place == m_Tasks.begin())
+  const auto Position = m_Tasks.emplace(Id, std::move(NewTask)).first;
+  if (Position == m_Tasks.begin())
     m_Wake.notify_one();
   return Id;
 }
 
-void EventLoop::cancel(const TimerId &Which) {
+void EventLoop::cancel(const TimerId &Id) {
   // Declared before the lock, so that the task is destroyed after the lock is
   // released: destructors of its captures may call this loop.
   Task Dropped;
   const std::lock_guard Lock(m_Mutex);
-  if (const auto Found = m_Tasks.find(Which); Found != m_Tasks.end()) {
-    Dropped = std::move(Found->second);
-    m_Tasks.erase(Found);
+  if (const auto Iterator = m_Tasks.find(Id); Iterator != m_Tasks.end()) {
+    Dropped = std::move(Iterator->second);
+    m_Tasks.erase(Iterator);
   }
 }
 
@@ -62,10 +62,10 @@
       m_Wake.wait_for(Lock, MaximumSleep);
       continue;
     }
-    const auto Left = m_Tasks.begin()->first.first - BootClock::now();
-    if (Left.count() > 0) {
-      m_Wake.wait_for(Lock,
-                      std::min<std::chrono::nanoseconds>(Left, MaximumSleep));
+    const auto Remaining = m_Tasks.begin()->first.first - BootClock::now();
+    if (Remaining.count() > 0) {
+      m_Wake.wait_for(
+          Lock, std::min<std::chrono::nanoseconds>(Remaining, MaximumSleep));
       continue;
     }
     Task Due = std::move(m_Tasks.begin()->second);
--- a/Services/figlift-entry/EventLoop.h
+++ b/Services/figlift-entry/EventLoop.h
@@ -31,12 +31,12 @@
   EventLoop(const EventLoop &) = delete;
   EventLoop &operator=(const EventLoop &) = delete;
 
-  TimerId post(Task What) {
-    return after(std::chrono::milliseconds(0), std::move(What));
+  TimerId post(Task NewTask) {
+    return after(std::chrono::milliseconds(0), std::move(NewTask));
   }
-  TimerId after(std::chrono::milliseconds Delay, Task What);
+  TimerId after(std::chrono::milliseconds Delay, Task NewTask);
   /// Does not wait for a task that is already running.
-  void cancel(const TimerId &Which);
+  void cancel(const TimerId &Id);
   /// Drops pending tasks and joins the thread. Tasks added later never run.
   void stop();
 
@@ -47,7 +47,7 @@
   std::condition_variable m_Wake;
   /// Ordered by due time, then by insertion.
   std::map<TimerId, Task> m_Tasks;
-  uint64_t m_Count = 0;
+  uint64_t m_TaskCount = 0;
   bool m_Stopped = false;
   std::thread m_Thread;
 };
