--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -140,11 +140,11 @@
 
 void Entry::followConfiguration() {
   m_Fleet = std::make_unique<Fleet>(
-      Fleet::Parts{m_Settings, m_Control, *m_Transport, m_Events, m_Metrics,
-                   *m_Platform, m_State});
+      Fleet::Dependencies{m_Settings, m_Control, *m_Transport, m_Events,
+                          m_Metrics, *m_Platform, m_State});
   m_Homes = std::make_unique<HomeReader>(m_Control, *m_Platform, *m_Fleet);
   m_Peers = std::make_unique<PeerConfiguration>(
-      PeerConfiguration::Parts{
+      PeerConfiguration::Dependencies{
           m_Control, *m_Transport, m_Events, m_Settings.Process.Id,
           m_Settings.Platform.Timeout,
           PeerPollFactor * m_Settings.Platform.PollInterval,
@@ -163,8 +163,8 @@
       Options, config::makeTableSource(*m_Platform, m_Peers->fetcher()),
       std::move(Callbacks));
   m_Planning = std::make_unique<Planning>(
-      Planning::Parts{m_Settings, m_Control, *m_Fleet, *m_Platform, m_Ids,
-                      m_Events, m_Metrics});
+      Planning::Dependencies{m_Settings, m_Control, *m_Fleet, *m_Platform,
+                             m_Ids, m_Events, m_Metrics});
   m_Planning->start();
   m_Control.post([this] {
     m_Peers->setPeers(m_Settings.Peers);
@@ -206,8 +206,9 @@
 }
 
 void Entry::serveOperators() {
-  m_Status = std::make_unique<EntryStatusProvider>(EntryStatusProvider::Parts{
-      m_Settings.Process.Id, *m_Fleet, *m_Peers, m_State, m_Events});
+  m_Status =
+      std::make_unique<EntryStatusProvider>(EntryStatusProvider::Dependencies{
+          m_Settings.Process.Id, *m_Fleet, *m_Peers, m_State, m_Events});
   m_Operators =
       std::make_unique<config::OperatorService>(config::OperatorContext{
           *m_Platform, *m_Status, [this] { return inForce(); },
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -34,9 +34,10 @@
 
 } // namespace
 
-Fleet::Fleet(Parts Of)
-    : m_Parts(Of), m_Membership(membershipOptions(Of.Settings)),
-      m_Random(route::rendezvousKey(Of.Settings.Process.Id)) {}
+Fleet::Fleet(Dependencies Services)
+    : m_Dependencies(Services),
+      m_Membership(membershipOptions(Services.Settings)),
+      m_Random(route::rendezvousKey(Services.Settings.Process.Id)) {}
 
 void Fleet::start(PeersObserver OnPeers, RevisionObserver OnRevision) {
   m_OnPeers = std::move(OnPeers);
@@ -59,22 +60,23 @@
 void Fleet::pollList() {
   if (m_Stopped)
     return;
-  m_Parts.List.list([this](Result<std::vector<platform::Vm>> Read) {
-    m_Parts.Control.post(
+  m_Dependencies.List.list([this](Result<std::vector<platform::Vm>> Read) {
+    m_Dependencies.Control.post(
         [this, Read = std::move(Read)]() mutable { onList(std::move(Read)); });
   });
 }
 
 void Fleet::onList(Result<std::vector<platform::Vm>> Read) {
   const metrics::ControlCpuScope Cost(
-      metrics::controlCpuSeconds(m_Parts.Metrics));
+      metrics::controlCpuSeconds(m_Dependencies.Metrics));
   if (Read) {
     noteListed(Read.value());
     step(membership::VmListRead{std::move(Read.value())});
   }
   publishSoon();
-  m_Parts.Control.after(jittered(m_Parts.Settings.Platform.VmListInterval),
-                        [this] { pollList(); });
+  m_Dependencies.Control.after(
+      jittered(m_Dependencies.Settings.Platform.VmListInterval),
+      [this] { pollList(); });
 }
 
 void Fleet::noteListed(const std::vector<platform::Vm> &Listed) {
@@ -112,18 +114,19 @@
   const uint64_t Generation = ++m_Generations;
   TargetLink::Observer Told;
   Told.OnConnection = [this, Id, Generation](bool Up) {
-    m_Parts.Control.post(
+    m_Dependencies.Control.post(
         [this, Id, Generation, Up] { onConnection(Id, Generation, Up); });
   };
   Told.OnReport = [this, Id, Generation](const wire::SyncDown &Report) {
-    m_Parts.Control.post(
+    m_Dependencies.Control.post(
         [this, Id, Generation, Report] { onReport(Id, Generation, Report); });
   };
-  m_Links[Id] = {TargetLink::connect(Which.Target,
-                                     {m_Parts.Transport, m_Parts.Events,
-                                      m_Book.gauge(Id), m_Health.health(Id)},
-                                     std::move(Told)),
-                 Generation};
+  m_Links[Id] = {
+      TargetLink::connect(Which.Target,
+                          {m_Dependencies.Transport, m_Dependencies.Events,
+                           m_Book.gauge(Id), m_Health.health(Id)},
+                          std::move(Told)),
+      Generation};
 }
 
 void Fleet::act(const membership::Disconnect &Which) {
@@ -145,7 +148,8 @@
   const auto Count =
       static_cast<std::ptrdiff_t>(std::min(MaximumPeers, Peers.size()));
   const auto Weight = [this](const platform::Vm &Peer) {
-    return route::rendezvousKey(m_Parts.Settings.Process.Id + "\n" + Peer.Id);
+    return route::rendezvousKey(m_Dependencies.Settings.Process.Id + "\n" +
+                                Peer.Id);
   };
   std::ranges::partial_sort(Peers, Peers.begin() + Count, {}, Weight);
   Peers.resize(static_cast<size_t>(Count));
@@ -153,7 +157,7 @@
 }
 
 void Fleet::act(const membership::PeersChanged &Which) {
-  std::vector<Endpoint> Endpoints = m_Parts.Settings.Peers;
+  std::vector<Endpoint> Endpoints = m_Dependencies.Settings.Peers;
   for (const platform::Vm &Peer : peersToAsk(Which.Peers))
     Endpoints.push_back(Peer.Peer);
   m_OnPeers(std::move(Endpoints));
@@ -167,9 +171,9 @@
   if (m_Stopped || Found == m_Links.end() ||
       Found->second.Generation != Generation)
     return;
-  m_Parts.Events.record(Up ? timeline::kinds::PeerUp
-                           : timeline::kinds::PeerDown,
-                        {SubjectType::Target, Target});
+  m_Dependencies.Events.record(Up ? timeline::kinds::PeerUp
+                                  : timeline::kinds::PeerDown,
+                               {SubjectType::Target, Target});
   log::logEvent(log::Level::Info, Up ? "target-connected" : "target-lost",
                 {{"target", Target}});
   m_Reports.erase(Target);
@@ -186,15 +190,15 @@
 
 wire::SyncUp Fleet::syncMessage(uint64_t After) {
   wire::SyncUp Message = config::toSyncUp(m_Configuration->diffSince(After),
-                                          m_Parts.Settings.Process.Id);
-  Message.set_clock(m_Parts.Events.clockToSend());
+                                          m_Dependencies.Settings.Process.Id);
+  Message.set_clock(m_Dependencies.Events.clockToSend());
   return Message;
 }
 
 void Fleet::onReport(const std::string &Target, uint64_t Generation,
                      const wire::SyncDown &Report) {
   const metrics::ControlCpuScope Cost(
-      metrics::controlCpuSeconds(m_Parts.Metrics));
+      metrics::controlCpuSeconds(m_Dependencies.Metrics));
   const auto Found = m_Links.find(Target);
   if (m_Stopped || Found == m_Links.end() ||
       Found->second.Generation != Generation)
@@ -232,9 +236,10 @@
   const config::SnapshotPointer Before =
       std::exchange(m_Configuration, std::move(Next));
   const uint64_t Revision = m_Configuration->revision();
-  m_Parts.Events.record(timeline::kinds::RevisionInForce,
-                        {SubjectType::Process, m_Parts.Settings.Process.Id},
-                        {{"revision", Revision}});
+  m_Dependencies.Events.record(
+      timeline::kinds::RevisionInForce,
+      {SubjectType::Process, m_Dependencies.Settings.Process.Id},
+      {{"revision", Revision}});
   log::logEvent(log::Level::Info, "revision-in-force",
                 {{"revision", Revision}});
   membership::WishesRead Wishes;
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -37,7 +37,7 @@
 
 class Fleet {
 public:
-  struct Parts {
+  struct Dependencies {
     const settings::EntrySettings &Settings;
     EventLoop &Control;
     wire::Client &Transport;
@@ -51,7 +51,7 @@
   /// Called on any thread with a configuration revision seen in a message.
   using RevisionObserver = std::function<void(uint64_t)>;
 
-  explicit Fleet(Parts Of);
+  explicit Fleet(Dependencies Services);
 
   void start(PeersObserver OnPeers, RevisionObserver OnRevision);
   /// Puts a configuration in force and pushes it to the agents.
@@ -122,7 +122,7 @@
     uint64_t Generation = 0;
   };
 
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   membership::Membership m_Membership;
   route::InFlightBook m_Book;
   retry::HealthBook m_Health;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -24,7 +24,7 @@
 void Fleet::publishSoon() {
   if (std::exchange(m_PublishPending, true))
     return;
-  m_Parts.Control.after(PublishDelay, [this] {
+  m_Dependencies.Control.after(PublishDelay, [this] {
     m_PublishPending = false;
     if (!m_Stopped)
       publish();
@@ -90,10 +90,10 @@
   if (m_Configuration)
     Next->Configuration = m_Configuration;
   Next->Table = route::RoutingTable(std::move(Views), m_Book, bounds(),
-                                    m_Parts.Settings.Process.Zone);
+                                    m_Dependencies.Settings.Process.Zone);
   Next->Homes = m_Homes;
   m_Status.store(std::move(Status));
-  m_Parts.Published.publish(std::move(Next));
+  m_Dependencies.Published.publish(std::move(Next));
   m_Book.forgetUnused();
 }
 
--- a/Services/figlift-entry/OperatorApi.cpp
+++ b/Services/figlift-entry/OperatorApi.cpp
@@ -40,7 +40,7 @@
   Line.RevisionInForce = Target.Report->Revision;
   Line.Role = Target.Report->Role;
   Line.RequestsInFlight = Target.Report->RequestsInFlight;
-  const auto Load = m_Parts.State.read(
+  const auto Load = m_Dependencies.State.read(
       [&](const ServingState &Now) -> std::optional<route::TargetLoad> {
         const auto Link = Now.Links.find(Line.Id);
         if (Link == Now.Links.end())
@@ -57,7 +57,7 @@
 }
 
 std::vector<config::TargetStatus> EntryStatusProvider::targets() const {
-  const auto Now = m_Parts.Targets.status();
+  const auto Now = m_Dependencies.Targets.status();
   std::vector<config::TargetStatus> Lines;
   for (const membership::TargetState &Target : Now->Targets)
     Lines.push_back(describe(Target));
@@ -65,10 +65,10 @@
 }
 
 std::vector<config::EntryStatus> EntryStatusProvider::entries() const {
-  const auto Now = m_Parts.Targets.status();
+  const auto Now = m_Dependencies.Targets.status();
   std::vector<config::EntryStatus> Lines;
   for (const platform::Vm &Peer : Now->Peers) {
-    const auto Revision = m_Parts.Others.revisionOf(Peer.Peer);
+    const auto Revision = m_Dependencies.Others.revisionOf(Peer.Peer);
     Lines.push_back(
         {Peer.Id, Revision ? "serving" : "unreachable", Revision.value_or(0)});
   }
@@ -78,7 +78,7 @@
 std::vector<std::string>
 EntryStatusProvider::explain(const std::string &Id) const {
   std::vector<std::string> Lines;
-  const json Answer = json::parse(m_Parts.Events.toJson(), nullptr,
+  const json Answer = json::parse(m_Dependencies.Events.toJson(), nullptr,
                                   /*allow_exceptions=*/false);
   if (!Answer.is_object())
     return Lines;
--- a/Services/figlift-entry/OperatorApi.h
+++ b/Services/figlift-entry/OperatorApi.h
@@ -23,7 +23,7 @@
 /// Thread-safe.
 class EntryStatusProvider final : public config::StatusProvider {
 public:
-  struct Parts {
+  struct Dependencies {
     std::string EntryId;
     const Fleet &Targets;
     const PeerConfiguration &Others;
@@ -31,9 +31,10 @@
     const timeline::Timeline &Events;
   };
 
-  explicit EntryStatusProvider(Parts Of) : m_Parts(std::move(Of)) {}
+  explicit EntryStatusProvider(Dependencies Services)
+      : m_Dependencies(std::move(Services)) {}
 
-  std::string entryId() const override { return m_Parts.EntryId; }
+  std::string entryId() const override { return m_Dependencies.EntryId; }
   std::vector<config::TargetStatus> targets() const override;
   std::vector<config::EntryStatus> entries() const override;
   std::vector<std::string> explain(const std::string &Id) const override;
@@ -41,7 +42,7 @@
 private:
   config::TargetStatus describe(const membership::TargetState &Target) const;
 
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
 };
 
 /// \p Service must outlive the server.
--- a/Services/figlift-entry/PeerConfiguration.cpp
+++ b/Services/figlift-entry/PeerConfiguration.cpp
@@ -97,14 +97,14 @@
   });
   for (const Endpoint &Peer : Wanted)
     if (!m_Peers.contains(Peer))
-      m_Peers[Peer] =
-          m_Parts.Transport.connect(Peer, std::make_shared<IgnoreState>());
+      m_Peers[Peer] = m_Dependencies.Transport.connect(
+          Peer, std::make_shared<IgnoreState>());
 }
 
 config::PeerFetcher PeerConfiguration::fetcher() {
   return [this](uint64_t After, bool AskAll,
                 platform::Callback<config::Delta> Done) {
-    m_Parts.Control.post([this, After, AskAll, Done = std::move(Done)] {
+    m_Dependencies.Control.post([this, After, AskAll, Done = std::move(Done)] {
       fetch(After, AskAll, Done);
     });
   };
@@ -134,16 +134,17 @@
   Asked->expect(Channels.size());
   wire::ConfigurationRequest Request;
   Request.set_after_revision(After);
-  Request.set_sender(m_Parts.ProcessId);
+  Request.set_sender(m_Dependencies.ProcessId);
   for (const auto &Known : Channels)
     Known->open(wire::Method::Configuration, Request.SerializeAsString(),
                 std::make_shared<Question>(
-                    m_Parts.Control,
+                    m_Dependencies.Control,
                     [Asked](std::optional<config::Delta> Answer) {
                       Asked->answered(std::move(Answer));
                     },
                     After));
-  m_Parts.Control.after(m_Parts.Timeout, [Asked] { Asked->end(); });
+  m_Dependencies.Control.after(m_Dependencies.Timeout,
+                               [Asked] { Asked->end(); });
 }
 
 void PeerConfiguration::startPolling(
@@ -155,21 +156,21 @@
 void PeerConfiguration::poll() {
   if (!m_OnAnswer)
     return;
-  const uint64_t Held = m_Parts.Revision();
+  const uint64_t Held = m_Dependencies.Revision();
   wire::ConfigurationRequest Request;
   Request.set_after_revision(Held);
-  Request.set_sender(m_Parts.ProcessId);
+  Request.set_sender(m_Dependencies.ProcessId);
   for (const auto &[Address, Known] : m_Peers)
     if (Known->state() == wire::ChannelState::Up)
       Known->open(wire::Method::Configuration, Request.SerializeAsString(),
                   std::make_shared<Question>(
-                      m_Parts.Control,
+                      m_Dependencies.Control,
                       [this, Peer = Address](auto Answer) {
                         if (Answer)
                           heard(Peer, std::move(*Answer));
                       },
                       Held));
-  m_Parts.Control.after(m_Parts.PollInterval, [this] { poll(); });
+  m_Dependencies.Control.after(m_Dependencies.PollInterval, [this] { poll(); });
 }
 
 void PeerConfiguration::heard(const Endpoint &Peer, config::Delta Answer) {
@@ -185,7 +186,7 @@
 PeerConfiguration::revisionOf(const Endpoint &Peer) const {
   std::lock_guard Lock(m_HeardMutex);
   const auto Found = m_Heard.find(Peer);
-  const auto Fresh = m_Parts.PollInterval * PollsUntilSilent;
+  const auto Fresh = m_Dependencies.PollInterval * PollsUntilSilent;
   if (Found == m_Heard.end() || BootClock::now() - Found->second.At > Fresh)
     return std::nullopt;
   return Found->second.Revision;
--- a/Services/figlift-entry/PeerConfiguration.h
+++ b/Services/figlift-entry/PeerConfiguration.h
@@ -27,7 +27,7 @@
 
 class PeerConfiguration {
 public:
-  struct Parts {
+  struct Dependencies {
     EventLoop &Control;
     wire::Client &Transport;
     timeline::Timeline &Events;
@@ -43,8 +43,8 @@
   using AgentChannels =
       std::function<std::vector<std::shared_ptr<wire::Channel>>()>;
 
-  PeerConfiguration(Parts Of, AgentChannels Agents)
-      : m_Parts(std::move(Of)), m_Agents(std::move(Agents)) {}
+  PeerConfiguration(Dependencies Services, AgentChannels Agents)
+      : m_Dependencies(std::move(Services)), m_Agents(std::move(Agents)) {}
 
   /// Polls the connected entries for their configuration. A change thereby also
   /// reaches entries that cannot read the table, and operators can see the
@@ -77,7 +77,7 @@
     BootTime At;
   };
 
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   const AgentChannels m_Agents;
   std::map<Endpoint, std::shared_ptr<wire::Channel>> m_Peers;
   /// Null while not polling.
--- a/Services/figlift-entry/PlannerHost.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -42,27 +42,29 @@
 
 } // namespace
 
-Planning::Planning(Parts Of)
-    : m_Parts(Of), m_View(Of.Settings, Of.Known, Of.Events, Of.Metrics),
-      m_Service(Of.Settings.Process.Id, shardParts()),
-      m_RoleChanges(Of.Metrics.counter("planner_role_changes_total",
-                                       "Role changes ordered.")) {}
+Planning::Planning(Dependencies Services)
+    : m_Dependencies(Services), m_View(Services.Settings, Services.Known,
+                                       Services.Events, Services.Metrics),
+      m_Service(Services.Settings.Process.Id, shardParts()),
+      m_RoleChanges(Services.Metrics.counter("planner_role_changes_total",
+                                             "Role changes ordered.")) {}
 
 planner::ShardParts Planning::shardParts() {
   lease::LeaseOptions Lease;
   // Unique for each start: a process that restarts with the same id must not
   // mistake the lease of its predecessor for its own.
-  Lease.Self = m_Parts.Settings.Process.Id + "/" + m_Parts.Ids.nextText();
-  Lease.Duration = m_Parts.Settings.Lease.Duration;
-  Lease.Margin = m_Parts.Settings.Lease.Margin;
+  Lease.Self =
+      m_Dependencies.Settings.Process.Id + "/" + m_Dependencies.Ids.nextText();
+  Lease.Duration = m_Dependencies.Settings.Lease.Duration;
+  Lease.Margin = m_Dependencies.Settings.Lease.Margin;
   plan::PlannerSettings Planning;
-  Planning.Roles = rolePolicyByName(m_Parts.Settings.Policy.Roles);
-  return {m_Parts.Store,
+  Planning.Roles = rolePolicyByName(m_Dependencies.Settings.Policy.Roles);
+  return {m_Dependencies.Store,
           m_View,
           m_View,
-          m_Parts.Ids,
+          m_Dependencies.Ids,
           [this](std::function<void()> Task) {
-            m_Parts.Control.post(std::move(Task));
+            m_Dependencies.Control.post(std::move(Task));
           },
           observer(),
           Lease,
@@ -72,16 +74,16 @@
 planner::PlannerObserver Planning::observer() {
   planner::PlannerObserver Told;
   Told.LeaseGained = [this](const ShardId &Shard, uint64_t Epoch) {
-    m_Parts.Events.record(kinds::LeaseAcquired,
-                          {SubjectType::Shard, Shard.toString()},
-                          {{"epoch", Epoch}});
+    m_Dependencies.Events.record(kinds::LeaseAcquired,
+                                 {SubjectType::Shard, Shard.toString()},
+                                 {{"epoch", Epoch}});
     log::logEvent(log::Level::Info, "lease-acquired",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
   Told.LeaseLost = [this](const ShardId &Shard, uint64_t Epoch) {
-    m_Parts.Events.record(kinds::LeaseLost,
-                          {SubjectType::Shard, Shard.toString()},
-                          {{"epoch", Epoch}});
+    m_Dependencies.Events.record(kinds::LeaseLost,
+                                 {SubjectType::Shard, Shard.toString()},
+                                 {{"epoch", Epoch}});
     log::logEvent(log::Level::Info, "lease-lost",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
@@ -89,10 +91,11 @@
                            const std::string &Id) {
     if (std::holds_alternative<plan::SetRole>(Order.What))
       m_RoleChanges.add();
-    m_Parts.Events.record(kinds::OrderSent, {SubjectType::Target, Order.Target},
-                          {{"order", Id},
-                           {"change", describe(Order.What)},
-                           {"reason", Order.Reason}});
+    m_Dependencies.Events.record(kinds::OrderSent,
+                                 {SubjectType::Target, Order.Target},
+                                 {{"order", Id},
+                                  {"change", describe(Order.What)},
+                                  {"reason", Order.Reason}});
     log::logEvent(log::Level::Info, "order-given",
                   {{"target", Order.Target},
                    {"order", Id},
@@ -105,9 +108,9 @@
                   {{"target", Target}, {"code", static_cast<int>(Code)}});
   };
   Told.SlicesGranted = [this](const ShardId &Shard, size_t Slices) {
-    m_Parts.Events.record(kinds::SlicesTaken,
-                          {SubjectType::Shard, Shard.toString()},
-                          {{"granted", Slices}});
+    m_Dependencies.Events.record(kinds::SlicesTaken,
+                                 {SubjectType::Shard, Shard.toString()},
+                                 {{"granted", Slices}});
     log::logEvent(log::Level::Info, "slices-granted",
                   {{"shard", Shard.toString()}, {"slices", Slices}});
   };
@@ -115,27 +118,27 @@
 }
 
 void Planning::start() {
-  m_Parts.Control.post([this] { tick(); });
+  m_Dependencies.Control.post([this] { tick(); });
 }
 
 void Planning::tick() {
   {
     const metrics::ControlCpuScope Cost(
-        metrics::controlCpuSeconds(m_Parts.Metrics));
+        metrics::controlCpuSeconds(m_Dependencies.Metrics));
     m_Service.tick();
     std::set<std::string> Planned;
     for (const ShardId &Each : m_Service.held())
       Planned.insert(Each.BackEnd);
-    m_Parts.Known.setPlanned(std::move(Planned));
+    m_Dependencies.Known.setPlanned(std::move(Planned));
   }
   const bool IsOver = m_Service.ended() || BootClock::now() >= m_StopUntil;
   if (m_OnStopped && IsOver)
     return std::exchange(m_OnStopped, nullptr)();
-  m_Parts.Control.after(TickInterval, [this] { tick(); });
+  m_Dependencies.Control.after(TickInterval, [this] { tick(); });
 }
 
 void Planning::stop(std::function<void()> Done) {
-  m_Parts.Control.post([this, Done = std::move(Done)] {
+  m_Dependencies.Control.post([this, Done = std::move(Done)] {
     m_StopUntil = BootClock::now() + ReleaseLimit;
     m_OnStopped = Done;
     m_Service.stop();
--- a/Services/figlift-entry/PlannerHost.h
+++ b/Services/figlift-entry/PlannerHost.h
@@ -19,7 +19,7 @@
 
 class Planning {
 public:
-  struct Parts {
+  struct Dependencies {
     const settings::EntrySettings &Settings;
     EventLoop &Control;
     Fleet &Known;
@@ -29,7 +29,7 @@
     metrics::Registry &Metrics;
   };
 
-  explicit Planning(Parts Of);
+  explicit Planning(Dependencies Services);
 
   /// Thread-safe, like stop().
   void start();
@@ -42,7 +42,7 @@
   planner::PlannerObserver observer();
   void tick();
 
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   EntryShardView m_View;
   planner::PlannerService m_Service;
   std::function<void()> m_OnStopped;
--- a/Services/figlift-entry/TargetLink.cpp
+++ b/Services/figlift-entry/TargetLink.cpp
@@ -48,11 +48,11 @@
   void onEnd(wire::StreamEnd) override {}
 };
 
-std::shared_ptr<TargetLink> TargetLink::connect(platform::Vm Target, Parts Of,
-                                                Observer Told) {
+std::shared_ptr<TargetLink>
+TargetLink::connect(platform::Vm Target, Dependencies Services, Observer Told) {
   std::shared_ptr<TargetLink> Made(
-      new TargetLink(std::move(Target), std::move(Of), std::move(Told)));
-  Made->m_Channel = Made->m_Parts.Transport.connect(
+      new TargetLink(std::move(Target), std::move(Services), std::move(Told)));
+  Made->m_Channel = Made->m_Dependencies.Transport.connect(
       Made->m_Target.Peer,
       std::make_shared<ConnectionListener>(Made->m_Observer));
   return Made;
@@ -80,7 +80,7 @@
   Request.set_target(m_Target.Id);
   Request.set_reason(Reason);
   Request.set_undo(Undo);
-  Request.set_clock(m_Parts.Events.clockToSend());
+  Request.set_clock(m_Dependencies.Events.clockToSend());
   m_Channel->open(wire::Method::Drain, Request.SerializeAsString(),
                   std::make_shared<IgnoredReply>());
 }
@@ -92,8 +92,8 @@
                   {{"target", m_Target.Id}, {"bytes", Bytes.size()}});
     return;
   }
-  m_Parts.Events.received(Report.clock());
-  m_Parts.Gauge->report(loadFromWire(Report.load()), BootClock::now());
+  m_Dependencies.Events.received(Report.clock());
+  m_Dependencies.Gauge->report(loadFromWire(Report.load()), BootClock::now());
   m_Observer.OnReport(Report);
 }
 
--- a/Services/figlift-entry/TargetLink.h
+++ b/Services/figlift-entry/TargetLink.h
@@ -30,15 +30,15 @@
     std::function<void(bool Up)> OnConnection;
     std::function<void(const wire::SyncDown &)> OnReport;
   };
-  struct Parts {
+  struct Dependencies {
     wire::Client &Transport;
     timeline::Timeline &Events;
     std::shared_ptr<route::TargetGauge> Gauge;
     std::shared_ptr<retry::TargetHealth> Health;
   };
 
-  static std::shared_ptr<TargetLink> connect(platform::Vm Target, Parts Of,
-                                             Observer Told);
+  static std::shared_ptr<TargetLink>
+  connect(platform::Vm Target, Dependencies Services, Observer Told);
   ~TargetLink();
 
   const platform::Vm &target() const { return m_Target; }
@@ -46,8 +46,8 @@
   const std::shared_ptr<wire::Channel> &sharedChannel() const {
     return m_Channel;
   }
-  route::TargetGauge &gauge() { return *m_Parts.Gauge; }
-  retry::TargetHealth &health() { return *m_Parts.Health; }
+  route::TargetGauge &gauge() { return *m_Dependencies.Gauge; }
+  retry::TargetHealth &health() { return *m_Dependencies.Health; }
 
   /// Replaces the Sync stream by a new one that starts with \p First. Control
   /// thread only, like sendSync().
@@ -62,14 +62,14 @@
   class SyncListener;
   class IgnoredReply;
 
-  TargetLink(platform::Vm Target, Parts Of, Observer Told)
-      : m_Target(std::move(Target)), m_Parts(std::move(Of)),
+  TargetLink(platform::Vm Target, Dependencies Services, Observer Told)
+      : m_Target(std::move(Target)), m_Dependencies(std::move(Services)),
         m_Observer(std::move(Told)) {}
 
   void onReport(std::string_view Bytes);
 
   const platform::Vm m_Target;
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   const Observer m_Observer;
   std::shared_ptr<wire::Channel> m_Channel;
   std::shared_ptr<wire::Stream> m_Sync;
