--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -242,7 +242,7 @@
       });
   if (!Link || Link->channel().state() != wire::ChannelState::Up)
     return false;
-  Link->askToDrain("an operator's wish that the table did not take", Undo);
+  Link->requestDrain("an operator's wish that the table did not take", Undo);
   return true;
 }
 
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -137,7 +137,7 @@
 
 void Fleet::act(const membership::TellLeaving &Which) {
   if (const auto Found = m_Links.find(Which.Target); Found != m_Links.end())
-    Found->second.Link->askToDrain(
+    Found->second.Link->requestDrain(
         "the platform's list says that the VM is leaving");
 }
 
--- a/Services/figlift-entry/Rcu.h
+++ b/Services/figlift-entry/Rcu.h
@@ -18,8 +18,8 @@
 /// Holds one snapshot. Only one thread may publish; any thread may read.
 template <typename T> class RcuPointer {
 public:
-  RcuPointer() : m_Now(new T()) {}
-  ~RcuPointer() { delete m_Now.load(); }
+  RcuPointer() : m_Current(new T()) {}
+  ~RcuPointer() { delete m_Current.load(); }
   RcuPointer(const RcuPointer &) = delete;
   RcuPointer &operator=(const RcuPointer &) = delete;
 
@@ -27,19 +27,19 @@
   /// must not block and must not keep references into the snapshot.
   template <typename Function> auto read(Function &&Use) const {
     const config::RcuReadSection Section;
-    return Use(*m_Now.load(std::memory_order_acquire));
+    return Use(*m_Current.load(std::memory_order_acquire));
   }
 
   /// Replaces the snapshot and destroys the old one once all its readers have
   /// finished. Must not be called inside read().
   void publish(std::unique_ptr<const T> Next) {
     const std::unique_ptr<const T> Old(
-        m_Now.exchange(Next.release(), std::memory_order_acq_rel));
+        m_Current.exchange(Next.release(), std::memory_order_acq_rel));
     config::waitForReaders();
   }
 
 private:
-  std::atomic<const T *> m_Now;
+  std::atomic<const T *> m_Current;
 };
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/TargetLink.cpp
+++ b/Services/figlift-entry/TargetLink.cpp
@@ -15,7 +15,8 @@
 
 class TargetLink::ConnectionListener final : public wire::ChannelListener {
 public:
-  explicit ConnectionListener(Observer Told) : m_Observer(std::move(Told)) {}
+  explicit ConnectionListener(Observer Callbacks)
+      : m_Observer(std::move(Callbacks)) {}
 
   void onState(wire::Channel &, wire::ChannelState State) override {
     m_Observer.OnConnection(State == wire::ChannelState::Up);
@@ -42,20 +43,21 @@
 
 /// Ignores the reply to a Drain request: the agent reports the result in its
 /// state.
-class TargetLink::IgnoredReply final : public wire::StreamListener {
+class TargetLink::DrainReplyListener final : public wire::StreamListener {
 public:
   void onMessage(std::string_view) override {}
   void onEnd(wire::StreamEnd) override {}
 };
 
-std::shared_ptr<TargetLink>
-TargetLink::connect(platform::Vm Target, Dependencies Services, Observer Told) {
-  std::shared_ptr<TargetLink> Made(
-      new TargetLink(std::move(Target), std::move(Services), std::move(Told)));
-  Made->m_Channel = Made->m_Dependencies.Transport.connect(
-      Made->m_Target.Peer,
-      std::make_shared<ConnectionListener>(Made->m_Observer));
-  return Made;
+std::shared_ptr<TargetLink> TargetLink::connect(platform::Vm Target,
+                                                Dependencies Services,
+                                                Observer Callbacks) {
+  std::shared_ptr<TargetLink> Link(new TargetLink(
+      std::move(Target), std::move(Services), std::move(Callbacks)));
+  Link->m_Channel = Link->m_Dependencies.Transport.connect(
+      Link->m_Target.Peer,
+      std::make_shared<ConnectionListener>(Link->m_Observer));
+  return Link;
 }
 
 TargetLink::~TargetLink() {
@@ -75,14 +77,14 @@
   return m_Sync && m_Sync->send(Message.SerializeAsString());
 }
 
-void TargetLink::askToDrain(const std::string &Reason, bool Undo) {
+void TargetLink::requestDrain(const std::string &Reason, bool Undo) {
   wire::DrainRequest Request;
   Request.set_target(m_Target.Id);
   Request.set_reason(Reason);
   Request.set_undo(Undo);
   Request.set_clock(m_Dependencies.Events.clockToSend());
   m_Channel->open(wire::Method::Drain, Request.SerializeAsString(),
-                  std::make_shared<IgnoredReply>());
+                  std::make_shared<DrainReplyListener>());
 }
 
 void TargetLink::onReport(std::string_view Bytes) {
--- a/Services/figlift-entry/TargetLink.h
+++ b/Services/figlift-entry/TargetLink.h
@@ -38,7 +38,7 @@
   };
 
   static std::shared_ptr<TargetLink>
-  connect(platform::Vm Target, Dependencies Services, Observer Told);
+  connect(platform::Vm Target, Dependencies Services, Observer Callbacks);
   ~TargetLink();
 
   const platform::Vm &target() const { return m_Target; }
@@ -55,16 +55,16 @@
   /// Returns false when there is no Sync stream.
   bool sendSync(const wire::SyncUp &Message);
   /// Asks the agent to drain, or to resume work if \p Undo is set. Thread-safe.
-  void askToDrain(const std::string &Reason, bool Undo = false);
+  void requestDrain(const std::string &Reason, bool Undo = false);
 
 private:
   class ConnectionListener;
   class SyncListener;
-  class IgnoredReply;
+  class DrainReplyListener;
 
-  TargetLink(platform::Vm Target, Dependencies Services, Observer Told)
+  TargetLink(platform::Vm Target, Dependencies Services, Observer Callbacks)
       : m_Target(std::move(Target)), m_Dependencies(std::move(Services)),
-        m_Observer(std::move(Told)) {}
+        m_Observer(std::move(Callbacks)) {}
 
   void onReport(std::string_view Bytes);
 
