--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -25,11 +25,11 @@
 /// from them while the platform is unreachable.
 constexpr size_t MaximumPeers = 6;
 
-membership::Options membershipOptions(const settings::EntrySettings &From) {
-  return {.EntryId = From.Process.Id,
-          .Zone = From.Process.Zone,
-          .Region = From.Process.Region,
-          .TargetsPerBackEnd = From.Limits.TargetsPerBackEnd};
+membership::Options membershipOptions(const settings::EntrySettings &Settings) {
+  return {.EntryId = Settings.Process.Id,
+          .Zone = Settings.Process.Zone,
+          .Region = Settings.Process.Region,
+          .TargetsPerBackEnd = Settings.Limits.TargetsPerBackEnd};
 }
 
 } // namespace
@@ -60,91 +60,94 @@
 void Fleet::pollList() {
   if (m_Stopped)
     return;
-  m_Dependencies.List.list([this](Result<std::vector<platform::Vm>> Read) {
-    m_Dependencies.Control.post(
-        [this, Read = std::move(Read)]() mutable { onList(std::move(Read)); });
+  m_Dependencies.List.list([this](Result<std::vector<platform::Vm>> VmList) {
+    m_Dependencies.Control.post([this, VmList = std::move(VmList)]() mutable {
+      onList(std::move(VmList));
+    });
   });
 }
 
-void Fleet::onList(Result<std::vector<platform::Vm>> Read) {
+void Fleet::onList(Result<std::vector<platform::Vm>> VmList) {
   const metrics::ControlCpuScope Cost(
       metrics::controlCpuSeconds(m_Dependencies.Metrics));
-  if (Read) {
-    noteListed(Read.value());
-    step(membership::VmListRead{std::move(Read.value())});
+  if (VmList) {
+    recordListedIds(VmList.value());
+    step(membership::VmListRead{std::move(VmList.value())});
   }
-  publishSoon();
+  schedulePublish();
   m_Dependencies.Control.after(
       jittered(m_Dependencies.Settings.Platform.VmListInterval),
       [this] { pollList(); });
 }
 
-void Fleet::noteListed(const std::vector<platform::Vm> &Listed) {
+void Fleet::recordListedIds(const std::vector<platform::Vm> &Listed) {
   if (Listed.empty())
     return;
   m_ListedIds.clear();
-  for (const platform::Vm &Each : Listed)
-    if (Each.State != platform::VmState::Gone)
-      m_ListedIds.insert(Each.Id);
+  for (const platform::Vm &Vm : Listed)
+    if (Vm.State != platform::VmState::Gone)
+      m_ListedIds.insert(Vm.Id);
 }
 
 const Fleet::LastReport *Fleet::lastReport(const std::string &Target) const {
-  const auto Found = m_Reports.find(Target);
-  return Found == m_Reports.end() ? nullptr : &Found->second;
+  const auto Iterator = m_Reports.find(Target);
+  return Iterator == m_Reports.end() ? nullptr : &Iterator->second;
 }
 
 std::shared_ptr<wire::Channel>
 Fleet::channelTo(const std::string &Target) const {
-  const auto Found = m_Links.find(Target);
-  return Found == m_Links.end() ? nullptr : Found->second.Link->sharedChannel();
+  const auto Iterator = m_Links.find(Target);
+  return Iterator == m_Links.end() ? nullptr
+                                   : Iterator->second.Link->sharedChannel();
 }
 
 void Fleet::setPlanned(std::set<std::string> BackEnds) {
   step(membership::PlannedChanged{std::move(BackEnds)});
 }
 
-void Fleet::step(const membership::Event &Happened) {
+void Fleet::step(const membership::Event &Event) {
   for (const membership::Action &Next :
-       m_Membership.step(Happened, BootClock::now()))
-    std::visit([this](const auto &Which) { act(Which); }, Next);
+       m_Membership.step(Event, BootClock::now()))
+    std::visit([this](const auto &Action) { perform(Action); }, Next);
 }
 
-void Fleet::act(const membership::Connect &Which) {
-  const std::string Id = Which.Target.Id;
-  const uint64_t Generation = ++m_Generations;
-  TargetLink::Observer Told;
-  Told.OnConnection = [this, Id, Generation](bool Up) {
+void Fleet::perform(const membership::Connect &Action) {
+  const std::string Id = Action.Target.Id;
+  const uint64_t Generation = ++m_LastGeneration;
+  TargetLink::Observer Callbacks;
+  Callbacks.OnConnection = [this, Id, Generation](bool Up) {
     m_Dependencies.Control.post(
         [this, Id, Generation, Up] { onConnection(Id, Generation, Up); });
   };
-  Told.OnReport = [this, Id, Generation](const wire::SyncDown &Report) {
+  Callbacks.OnReport = [this, Id, Generation](const wire::SyncDown &Report) {
     m_Dependencies.Control.post(
         [this, Id, Generation, Report] { onReport(Id, Generation, Report); });
   };
   m_Links[Id] = {
-      TargetLink::connect(Which.Target,
+      TargetLink::connect(Action.Target,
                           {m_Dependencies.Transport, m_Dependencies.Events,
-                           m_Book.gauge(Id), m_Health.health(Id)},
-                          std::move(Told)),
+                           m_InFlight.gauge(Id), m_Health.health(Id)},
+                          std::move(Callbacks)),
       Generation};
 }
 
-void Fleet::act(const membership::Disconnect &Which) {
-  m_Links.erase(Which.Target);
-  m_Reports.erase(Which.Target);
-  m_Health.forget(Which.Target);
+void Fleet::perform(const membership::Disconnect &Action) {
+  m_Links.erase(Action.Target);
+  m_Reports.erase(Action.Target);
+  m_Health.forget(Action.Target);
 }
 
-void Fleet::act(const membership::TellLeaving &Which) {
-  if (const auto Found = m_Links.find(Which.Target); Found != m_Links.end())
-    Found->second.Link->requestDrain(
+void Fleet::perform(const membership::TellLeaving &Action) {
+  if (const auto Iterator = m_Links.find(Action.Target);
+      Iterator != m_Links.end())
+    Iterator->second.Link->requestDrain(
         "the platform's list says that the VM is leaving");
 }
 
 /// Selects a bounded number of peers. In a full mesh of 200 entries, heartbeats
 /// alone would exceed the control traffic budget of an entry.
 std::vector<platform::Vm>
-Fleet::peersToAsk(std::vector<platform::Vm> Peers) const {
+Fleet::selectPeers(std::vector<platform::Vm> Peers) const {
   const auto Count =
       static_cast<std::ptrdiff_t>(std::min(MaximumPeers, Peers.size()));
   const auto Weight = [this](const platform::Vm &Peer) {
@@ -156,20 +159,20 @@
   return Peers;
 }
 
-void Fleet::act(const membership::PeersChanged &Which) {
+void Fleet::perform(const membership::PeersChanged &Action) {
   std::vector<Endpoint> Endpoints = m_Dependencies.Settings.Peers;
-  for (const platform::Vm &Peer : peersToAsk(Which.Peers))
+  for (const platform::Vm &Peer : selectPeers(Action.Peers))
     Endpoints.push_back(Peer.Peer);
   m_OnPeers(std::move(Endpoints));
 }
 
-void Fleet::act(const membership::RoutingChanged &) { publishSoon(); }
+void Fleet::perform(const membership::RoutingChanged &) { schedulePublish(); }
 
 void Fleet::onConnection(const std::string &Target, uint64_t Generation,
                          bool Up) {
-  const auto Found = m_Links.find(Target);
-  if (m_Stopped || Found == m_Links.end() ||
-      Found->second.Generation != Generation)
+  const auto Iterator = m_Links.find(Target);
+  if (m_Stopped || Iterator == m_Links.end() ||
+      Iterator->second.Generation != Generation)
     return;
   m_Dependencies.Events.record(Up ? timeline::kinds::PeerUp
                                   : timeline::kinds::PeerDown,
@@ -179,7 +182,7 @@
   m_Reports.erase(Target);
   step(membership::ConnectionChanged{Target, Up});
   if (Up && m_Configuration)
-    openSync(*Found->second.Link);
+    openSync(*Iterator->second.Link);
 }
 
 void Fleet::openSync(TargetLink &Link) {
@@ -199,17 +202,17 @@
                      const wire::SyncDown &Report) {
   const metrics::ControlCpuScope Cost(
       metrics::controlCpuSeconds(m_Dependencies.Metrics));
-  const auto Found = m_Links.find(Target);
-  if (m_Stopped || Found == m_Links.end() ||
-      Found->second.Generation != Generation)
+  const auto Iterator = m_Links.find(Target);
+  if (m_Stopped || Iterator == m_Links.end() ||
+      Iterator->second.Generation != Generation)
     return;
   m_OnRevision(Report.revision_in_force());
   learnSlices(Target, Report);
   LastReport &Last = m_Reports[Target];
-  wire::SyncDown Whole = Report;
+  wire::SyncDown Complete = Report;
   if (Report.prefixes_unchanged())
-    *Whole.mutable_prefix_hashes() = Last.Message.prefix_hashes();
-  Last = {std::move(Whole), BootClock::now()};
+    *Complete.mutable_prefix_hashes() = Last.Message.prefix_hashes();
+  Last = {std::move(Complete), BootClock::now()};
   step(membership::Reported{Target, reportFromWire(Last.Message)});
 }
 
@@ -223,17 +226,17 @@
     if (Grant.slice() < idempotency::SliceCount)
       Changed |= Homes.learn(Grant.slice(), {Target, Grant.epoch()});
   if (Changed)
-    publishSoon();
+    schedulePublish();
 }
 
 void Fleet::learnHomes(const std::string &BackEnd,
                        const idempotency::GrantTable &Grants) {
   if (m_Homes[BackEnd].learn(Grants))
-    publishSoon();
+    schedulePublish();
 }
 
 void Fleet::setConfiguration(config::SnapshotPointer Next) {
-  const config::SnapshotPointer Before =
+  const config::SnapshotPointer Previous =
       std::exchange(m_Configuration, std::move(Next));
   const uint64_t Revision = m_Configuration->revision();
   m_Dependencies.Events.record(
@@ -243,33 +246,33 @@
   log::logEvent(log::Level::Info, "revision-in-force",
                 {{"revision", Revision}});
   membership::WishesRead Wishes;
-  for (const config::Item *Known : m_Configuration->list("target"))
-    Wishes.Wishes[Known->Stored.Name] =
-        m_Configuration->targetIntent(Known->Stored.Name);
+  for (const config::Item *Item : m_Configuration->list("target"))
+    Wishes.Wishes[Item->Stored.Name] =
+        m_Configuration->targetIntent(Item->Stored.Name);
   step(Wishes);
-  push(Before ? Before->revision() : 0);
-  publishSoon();
+  pushConfiguration(Previous ? Previous->revision() : 0);
+  schedulePublish();
 }
 
-void Fleet::push(uint64_t After) {
+void Fleet::pushConfiguration(uint64_t After) {
   const wire::SyncUp Delta = syncMessage(After);
-  for (auto &[Id, Known] : m_Links)
-    if (Known.Link->channel().state() == wire::ChannelState::Up &&
-        !Known.Link->sendSync(Delta))
-      openSync(*Known.Link);
+  for (auto &[Id, Entry] : m_Links)
+    if (Entry.Link->channel().state() == wire::ChannelState::Up &&
+        !Entry.Link->sendSync(Delta))
+      openSync(*Entry.Link);
 }
 
 std::vector<std::shared_ptr<wire::Channel>> Fleet::upChannels() const {
   std::vector<std::shared_ptr<wire::Channel>> Channels;
-  for (const auto &[Id, Known] : m_Links)
-    if (Known.Link->channel().state() == wire::ChannelState::Up)
-      Channels.push_back(Known.Link->sharedChannel());
+  for (const auto &[Id, Entry] : m_Links)
+    if (Entry.Link->channel().state() == wire::ChannelState::Up)
+      Channels.push_back(Entry.Link->sharedChannel());
   return Channels;
 }
 
 void Fleet::setNotReady(std::optional<Error> Reason) {
   m_NotReady = std::move(Reason);
-  publishSoon();
+  schedulePublish();
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -93,30 +93,30 @@
 
 private:
   void pollList();
-  void noteListed(const std::vector<platform::Vm> &Listed);
-  void onList(Result<std::vector<platform::Vm>> Read);
-  void step(const membership::Event &Happened);
-  void act(const membership::Connect &Which);
-  void act(const membership::Disconnect &Which);
-  void act(const membership::TellLeaving &Which);
-  std::vector<platform::Vm> peersToAsk(std::vector<platform::Vm> Peers) const;
-  void act(const membership::PeersChanged &Which);
-  void act(const membership::RoutingChanged &Which);
+  void recordListedIds(const std::vector<platform::Vm> &Listed);
+  void onList(Result<std::vector<platform::Vm>> VmList);
+  void step(const membership::Event &Event);
+  void perform(const membership::Connect &Action);
+  void perform(const membership::Disconnect &Action);
+  void perform(const membership::TellLeaving &Action);
+  std::vector<platform::Vm> selectPeers(std::vector<platform::Vm> Peers) const;
+  void perform(const membership::PeersChanged &Action);
+  void perform(const membership::RoutingChanged &Action);
   void onConnection(const std::string &Target, uint64_t Generation, bool Up);
   void onReport(const std::string &Target, uint64_t Generation,
                 const wire::SyncDown &Report);
   void learnSlices(const std::string &Target, const wire::SyncDown &Report);
   void openSync(TargetLink &Link);
-  void publishSoon();
+  void schedulePublish();
   void publish();
   std::optional<Error> notReady() const;
   wire::SyncUp syncMessage(uint64_t After);
-  void push(uint64_t After);
-  route::TargetView viewOf(const membership::TargetState &Known);
-  std::map<std::string, route::ClassBounds> bounds() const;
+  void pushConfiguration(uint64_t After);
+  route::TargetView targetView(const membership::TargetState &Target);
+  std::map<std::string, route::ClassBounds> classBounds() const;
   std::chrono::milliseconds jittered(std::chrono::milliseconds Mean);
 
-  struct Linked {
+  struct LinkEntry {
     std::shared_ptr<TargetLink> Link;
     /// Distinguishes callbacks of this link from those of an earlier one.
     uint64_t Generation = 0;
@@ -124,11 +124,11 @@
 
   const Dependencies m_Dependencies;
   membership::Membership m_Membership;
-  route::InFlightBook m_Book;
+  route::InFlightBook m_InFlight;
   retry::HealthBook m_Health;
   PeersObserver m_OnPeers;
   RevisionObserver m_OnRevision;
-  std::map<std::string, Linked> m_Links;
+  std::map<std::string, LinkEntry> m_Links;
   std::map<std::string, LastReport> m_Reports;
   std::set<std::string> m_ListedIds;
   /// Null until a configuration has been set.
@@ -137,7 +137,7 @@
   ByName<idempotency::HomeDirectory> m_Homes;
   std::atomic<std::shared_ptr<const FleetStatus>> m_Status{
       std::make_shared<const FleetStatus>()};
-  uint64_t m_Generations = 0;
+  uint64_t m_LastGeneration = 0;
   bool m_PublishPending = false;
   bool m_Stopped = false;
   std::mt19937_64 m_Random;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void Fleet::publishSoon() {
+void Fleet::schedulePublish() {
   if (std::exchange(m_PublishPending, true))
     return;
   m_Dependencies.Control.after(PublishDelay, [this] {
@@ -39,35 +39,35 @@
   return m_NotReady;
 }
 
-route::TargetView Fleet::viewOf(const membership::TargetState &Known) {
+route::TargetView Fleet::targetView(const membership::TargetState &Target) {
   route::TargetView View;
-  View.Id = Known.Listed.Id;
-  View.BackEnd = Known.Listed.BackEnd;
-  View.Zone = Known.Listed.Zone;
-  View.Accepting = Known.acceptsWork();
-  View.Gauge = m_Book.gauge(View.Id);
-  if (!Known.Report)
+  View.Id = Target.Listed.Id;
+  View.BackEnd = Target.Listed.BackEnd;
+  View.Zone = Target.Listed.Zone;
+  View.Accepting = Target.acceptsWork();
+  View.Gauge = m_InFlight.gauge(View.Id);
+  if (!Target.Report)
     return View;
-  View.CurrentRole = route::roleFromName(Known.Report->Role);
-  View.Models = Known.Report->Models;
-  View.Prefixes = route::PrefixSummary(Known.Report->PrefixHashes);
-  View.Revision = Known.Report->Revision;
+  View.CurrentRole = route::roleFromName(Target.Report->Role);
+  View.Models = Target.Report->Models;
+  View.Prefixes = route::PrefixSummary(Target.Report->PrefixHashes);
+  View.Revision = Target.Report->Revision;
   return View;
 }
 
-std::map<std::string, route::ClassBounds> Fleet::bounds() const {
+std::map<std::string, route::ClassBounds> Fleet::classBounds() const {
   std::map<std::string, route::ClassBounds> Bounds;
   if (!m_Configuration)
     return Bounds;
-  for (const config::Item *Known : m_Configuration->list("backEnd")) {
-    const std::string &Name = Known->Stored.Name;
+  for (const config::Item *Item : m_Configuration->list("backEnd")) {
+    const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = m_Configuration->backEnd(Name);
     if (!BackEnd)
       continue;
-    route::ClassBounds Own = route::DefaultClassBounds;
+    route::ClassBounds BackEndBounds = route::DefaultClassBounds;
     for (const auto &[Class, Limits] : BackEnd->Classes)
-      Own[static_cast<size_t>(Class)] = Limits.MaximumQueuedTokens;
-    Bounds[Name] = Own;
+      BackEndBounds[static_cast<size_t>(Class)] = Limits.MaximumQueuedTokens;
+    Bounds[Name] = BackEndBounds;
   }
   return Bounds;
 }
@@ -76,25 +76,25 @@
   auto Next = std::make_unique<ServingState>();
   auto Status = std::make_shared<FleetStatus>();
   std::vector<route::TargetView> Views;
-  for (const auto &[Id, Known] : m_Membership.targets()) {
-    Status->Targets.push_back(Known);
-    if (!Known.InSubset)
+  for (const auto &[Id, Target] : m_Membership.targets()) {
+    Status->Targets.push_back(Target);
+    if (!Target.InSubset)
       continue;
-    Views.push_back(viewOf(Known));
+    Views.push_back(targetView(Target));
     if (const auto Link = m_Links.find(Id);
-        Link != m_Links.end() && Known.Connected)
+        Link != m_Links.end() && Target.Connected)
       Next->Links[Id] = Link->second.Link;
   }
   Status->Peers = m_Membership.peers();
   Next->NotReady = notReady();
   if (m_Configuration)
     Next->Configuration = m_Configuration;
-  Next->Table = route::RoutingTable(std::move(Views), m_Book, bounds(),
+  Next->Table = route::RoutingTable(std::move(Views), m_InFlight, classBounds(),
                                     m_Dependencies.Settings.Process.Zone);
   Next->Homes = m_Homes;
   m_Status.store(std::move(Status));
   m_Dependencies.Published.publish(std::move(Next));
-  m_Book.forgetUnused();
+  m_InFlight.forgetUnused();
 }
 
 } // namespace figlift::entry
