--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -265,7 +265,7 @@
       m_State, m_Timers, m_Events, m_CallMetrics, m_Ids, m_Budget,
       m_Fleet->healthBook(), m_Workspaces, m_Routing, m_RetryOptions,
       [this](uint64_t Revision) { m_Configuration->sawRevision(Revision); },
-      [this](const std::string &BackEnd) { m_Homes->wanted(BackEnd); }});
+      [this](const std::string &BackEnd) { m_Homes->requestRead(BackEnd); }});
 
   std::vector<http::Route> Routes = http::administrationRoutes(
       {.Ready = [this] { return ready(); },
--- a/Services/figlift-entry/HomeReader.cpp
+++ b/Services/figlift-entry/HomeReader.cpp
@@ -20,30 +20,30 @@
 constexpr std::chrono::milliseconds WatchInterval{500};
 
 bool isComplete(const idempotency::GrantTable &Grants) {
-  return std::ranges::all_of(Grants, [](const idempotency::Grant &Line) {
-    return !Line.Home.empty();
+  return std::ranges::all_of(Grants, [](const idempotency::Grant &Grant) {
+    return !Grant.Home.empty();
   });
 }
 
 } // namespace
 
-void HomeReader::wanted(const std::string &BackEnd) {
+void HomeReader::requestRead(const std::string &BackEnd) {
   m_Control.post([this, BackEnd] { read(BackEnd); });
 }
 
 void HomeReader::watch(std::vector<std::string> BackEnds) {
   m_Control.post([this, BackEnds = std::move(BackEnds)] {
     m_Watched = {BackEnds.begin(), BackEnds.end()};
-    if (!std::exchange(m_WatchDue, true))
+    if (!std::exchange(m_IsWatching, true))
       readWatched();
   });
 }
 
 void HomeReader::readWatched() {
-  m_WatchDue = !m_Watched.empty();
+  m_IsWatching = !m_Watched.empty();
   for (const std::string &BackEnd : m_Watched)
     read(BackEnd);
-  if (m_WatchDue)
+  if (m_IsWatching)
     m_Control.after(WatchInterval, [this] { readWatched(); });
 }
 
@@ -54,16 +54,16 @@
     return;
   Last = Now;
   m_Store.read(idempotency::grantRowKey(BackEnd),
-               [this, BackEnd](Result<platform::Row> Read) {
-                 if (!Read)
+               [this, BackEnd](Result<platform::Row> Row) {
+                 if (!Row)
                    return;
-                 auto Grants = idempotency::readGrantRow(Read.value().Value);
+                 auto Grants = idempotency::readGrantRow(Row.value().Value);
                  if (!Grants)
                    return log::logError(log::Level::Warning,
                                         "slice-row-unreadable", Grants.error());
-                 m_Control.post([this, BackEnd, Known = Grants.value()] {
-                   m_Learner.learnHomes(BackEnd, Known);
-                   if (isComplete(Known))
+                 m_Control.post([this, BackEnd, Homes = Grants.value()] {
+                   m_Fleet.learnHomes(BackEnd, Homes);
+                   if (isComplete(Homes))
                      m_Watched.erase(BackEnd);
                  });
                });
--- a/Services/figlift-entry/HomeReader.h
+++ b/Services/figlift-entry/HomeReader.h
@@ -22,11 +22,11 @@
 
 class HomeReader {
 public:
-  HomeReader(EventLoop &Control, platform::Table &Store, Fleet &Learner)
-      : m_Control(Control), m_Store(Store), m_Learner(Learner) {}
+  HomeReader(EventLoop &Control, platform::Table &Store, Fleet &Targets)
+      : m_Control(Control), m_Store(Store), m_Fleet(Targets) {}
 
   /// Requests a read of the grants of a back end. Thread-safe.
-  void wanted(const std::string &BackEnd);
+  void requestRead(const std::string &BackEnd);
   /// Polls the grants of these back ends until every slice has a home, so that
   /// the first keyed calls find one. Thread-safe.
   void watch(std::vector<std::string> BackEnds);
@@ -37,12 +37,12 @@
 
   EventLoop &m_Control;
   platform::Table &m_Store;
-  Fleet &m_Learner;
+  Fleet &m_Fleet;
   /// Time of the last read by back end; control thread.
   std::map<std::string, BootTime> m_LastRead;
   /// Back ends with slices that have no known home; control thread.
   std::set<std::string> m_Watched;
-  bool m_WatchDue = false;
+  bool m_IsWatching = false;
 };
 
 } // namespace figlift::entry
