--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -162,10 +162,10 @@
   m_Configuration = std::make_unique<config::ConfigService>(
       Options, config::makeTableSource(*m_Platform, m_Peers->fetcher()),
       std::move(Callbacks));
-  m_Planning = std::make_unique<Planning>(
-      Planning::Dependencies{m_Settings, m_Control, *m_Fleet, *m_Platform,
-                             m_Ids, m_Events, m_Metrics});
-  m_Planning->start();
+  m_Planner = std::make_unique<PlannerHost>(
+      PlannerHost::Dependencies{m_Settings, m_Control, *m_Fleet, *m_Platform,
+                                m_Ids, m_Events, m_Metrics});
+  m_Planner->start();
   m_Control.post([this] {
     m_Peers->setPeers(m_Settings.Peers);
     m_Peers->startPolling([this](config::Delta Newer) {
@@ -301,9 +301,9 @@
   return m_Callers->requestsInFlight() == 0;
 }
 
-void Entry::stopPlanning() {
+void Entry::stopPlanner() {
   std::promise<void> Stopped;
-  m_Planning->stop([&Stopped] { Stopped.set_value(); });
+  m_Planner->stop([&Stopped] { Stopped.set_value(); });
   Stopped.get_future().wait();
 }
 
@@ -313,7 +313,7 @@
   log::logEvent(log::Level::Info, "leaving",
                 {{"requests", m_Callers->requestsInFlight()}});
   m_Leaving.store(true);
-  stopPlanning();
+  stopPlanner();
   m_Callers->drain();
   m_PeerServer->drain();
   const bool Whole = waitForRequests();
--- a/Services/figlift-entry/Entry.h
+++ b/Services/figlift-entry/Entry.h
@@ -54,7 +54,7 @@
   config::SnapshotPointer inForce() const;
   bool askAgentToDrain(const std::string &Target, bool Undo) const;
   bool waitForRequests() const;
-  void stopPlanning();
+  void stopPlanner();
 
   const settings::EntrySettings m_Settings;
   timeline::Timeline m_Events;
@@ -77,7 +77,7 @@
   std::unique_ptr<PeerConfiguration> m_Peers;
   std::unique_ptr<HomeReader> m_Homes;
   std::unique_ptr<config::ConfigService> m_Configuration;
-  std::unique_ptr<Planning> m_Planning;
+  std::unique_ptr<PlannerHost> m_Planner;
   std::unique_ptr<EntryStatusProvider> m_Status;
   std::unique_ptr<config::OperatorService> m_Operators;
   std::unique_ptr<CallContext> m_Calls;
--- a/Services/figlift-entry/PlannerHost.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -23,9 +23,9 @@
 
 constexpr std::chrono::milliseconds TickInterval{100};
 /// How long a stop waits for leases to be released. Unreleased leases expire.
-constexpr std::chrono::milliseconds ReleaseLimit{1000};
+constexpr std::chrono::milliseconds ReleaseTimeout{1000};
 
-std::string describe(const plan::Change &What) {
+std::string describe(const plan::Change &Change) {
   struct Describer {
     std::string operator()(const plan::SetRole &Change) const {
       return "set role " + std::string(roleName(Change.NewRole));
@@ -37,19 +37,19 @@
       return "unload " + Change.Model.toString();
     }
   };
-  return std::visit(Describer{}, What);
+  return std::visit(Describer{}, Change);
 }
 
 } // namespace
 
-Planning::Planning(Dependencies Services)
-    : m_Dependencies(Services), m_View(Services.Settings, Services.Known,
+PlannerHost::PlannerHost(Dependencies Services)
+    : m_Dependencies(Services), m_View(Services.Settings, Services.Targets,
                                        Services.Events, Services.Metrics),
       m_Service(Services.Settings.Process.Id, shardParts()),
       m_RoleChanges(Services.Metrics.counter("planner_role_changes_total",
                                              "Role changes ordered.")) {}
 
-planner::ShardParts Planning::shardParts() {
+planner::ShardParts PlannerHost::shardParts() {
   lease::LeaseOptions Lease;
   // Unique for each start: a process that restarts with the same id must not
   // mistake the lease of its predecessor for its own.
@@ -57,8 +57,8 @@
       m_Dependencies.Settings.Process.Id + "/" + m_Dependencies.Ids.nextText();
   Lease.Duration = m_Dependencies.Settings.Lease.Duration;
   Lease.Margin = m_Dependencies.Settings.Lease.Margin;
-  plan::PlannerSettings Planning;
-  Planning.Roles = rolePolicyByName(m_Dependencies.Settings.Policy.Roles);
+  plan::PlannerSettings PlannerOptions;
+  PlannerOptions.Roles = rolePolicyByName(m_Dependencies.Settings.Policy.Roles);
   return {m_Dependencies.Store,
           m_View,
           m_View,
@@ -68,27 +68,27 @@
           },
           observer(),
           Lease,
-          Planning};
+          PlannerOptions};
 }
 
-planner::PlannerObserver Planning::observer() {
-  planner::PlannerObserver Told;
-  Told.LeaseGained = [this](const ShardId &Shard, uint64_t Epoch) {
+planner::PlannerObserver PlannerHost::observer() {
+  planner::PlannerObserver Observer;
+  Observer.LeaseGained = [this](const ShardId &Shard, uint64_t Epoch) {
     m_Dependencies.Events.record(kinds::LeaseAcquired,
                                  {SubjectType::Shard, Shard.toString()},
                                  {{"epoch", Epoch}});
     log::logEvent(log::Level::Info, "lease-acquired",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
-  Told.LeaseLost = [this](const ShardId &Shard, uint64_t Epoch) {
+  Observer.LeaseLost = [this](const ShardId &Shard, uint64_t Epoch) {
     m_Dependencies.Events.record(kinds::LeaseLost,
                                  {SubjectType::Shard, Shard.toString()},
                                  {{"epoch", Epoch}});
     log::logEvent(log::Level::Info, "lease-lost",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
-  Told.OrderGiven = [this](const ShardId &, const plan::GiveOrder &Order,
-                           const std::string &Id) {
+  Observer.OrderGiven = [this](const ShardId &, const plan::GiveOrder &Order,
+                               const std::string &Id) {
     if (std::holds_alternative<plan::SetRole>(Order.What))
       m_RoleChanges.add();
     m_Dependencies.Events.record(kinds::OrderSent,
@@ -102,44 +102,44 @@
                    {"change", describe(Order.What)},
                    {"reason", Order.Reason}});
   };
-  Told.OrderEnded = [](const ShardId &, const std::string &Target,
-                       ResultCode Code) {
+  Observer.OrderEnded = [](const ShardId &, const std::string &Target,
+                           ResultCode Code) {
     log::logEvent(log::Level::Info, "order-ended",
                   {{"target", Target}, {"code", static_cast<int>(Code)}});
   };
-  Told.SlicesGranted = [this](const ShardId &Shard, size_t Slices) {
+  Observer.SlicesGranted = [this](const ShardId &Shard, size_t Slices) {
     m_Dependencies.Events.record(kinds::SlicesTaken,
                                  {SubjectType::Shard, Shard.toString()},
                                  {{"granted", Slices}});
     log::logEvent(log::Level::Info, "slices-granted",
                   {{"shard", Shard.toString()}, {"slices", Slices}});
   };
-  return Told;
+  return Observer;
 }
 
-void Planning::start() {
+void PlannerHost::start() {
   m_Dependencies.Control.post([this] { tick(); });
 }
 
-void Planning::tick() {
+void PlannerHost::tick() {
   {
     const metrics::ControlCpuScope Cost(
         metrics::controlCpuSeconds(m_Dependencies.Metrics));
     m_Service.tick();
     std::set<std::string> Planned;
-    for (const ShardId &Each : m_Service.held())
-      Planned.insert(Each.BackEnd);
-    m_Dependencies.Known.setPlanned(std::move(Planned));
+    for (const ShardId &Shard : m_Service.held())
+      Planned.insert(Shard.BackEnd);
+    m_Dependencies.Targets.setPlanned(std::move(Planned));
   }
-  const bool IsOver = m_Service.ended() || BootClock::now() >= m_StopUntil;
-  if (m_OnStopped && IsOver)
+  const bool IsFinished = m_Service.ended() || BootClock::now() >= m_StopUntil;
+  if (m_OnStopped && IsFinished)
     return std::exchange(m_OnStopped, nullptr)();
   m_Dependencies.Control.after(TickInterval, [this] { tick(); });
 }
 
-void Planning::stop(std::function<void()> Done) {
+void PlannerHost::stop(std::function<void()> Done) {
   m_Dependencies.Control.post([this, Done = std::move(Done)] {
-    m_StopUntil = BootClock::now() + ReleaseLimit;
+    m_StopUntil = BootClock::now() + ReleaseTimeout;
     m_OnStopped = Done;
     m_Service.stop();
   });
--- a/Services/figlift-entry/PlannerHost.h
+++ b/Services/figlift-entry/PlannerHost.h
@@ -17,19 +17,19 @@
 
 namespace figlift::entry {
 
-class Planning {
+class PlannerHost {
 public:
   struct Dependencies {
     const settings::EntrySettings &Settings;
     EventLoop &Control;
-    Fleet &Known;
+    Fleet &Targets;
     platform::Table &Store;
     UuidGenerator &Ids;
     timeline::Timeline &Events;
     metrics::Registry &Metrics;
   };
 
-  explicit Planning(Dependencies Services);
+  explicit PlannerHost(Dependencies Services);
 
   /// Thread-safe, like stop().
   void start();
