--- a/Services/figlift-entry/EntryShardView.cpp
+++ b/Services/figlift-entry/EntryShardView.cpp
@@ -24,47 +24,47 @@
 /// Receives the single reply to an order.
 class OrderListener final : public wire::StreamListener {
 public:
-  OrderListener(planner::OrderSender::Done Answered, timeline::Timeline &Events)
-      : m_Answered(std::move(Answered)), m_Events(Events) {}
+  OrderListener(planner::OrderSender::Done OnReply, timeline::Timeline &Events)
+      : m_OnReply(std::move(OnReply)), m_Events(Events) {}
 
   void onMessage(std::string_view Message) override {
     wire::OrderReply Reply;
-    if (m_Told ||
+    if (m_IsDone ||
         !Reply.ParseFromArray(Message.data(), static_cast<int>(Message.size())))
       return;
-    m_Told = true;
+    m_IsDone = true;
     m_Events.received(Reply.clock());
-    m_Answered(std::move(Reply));
+    m_OnReply(std::move(Reply));
   }
 
   void onEnd(wire::StreamEnd) override {
-    if (std::exchange(m_Told, true))
+    if (std::exchange(m_IsDone, true))
       return;
-    m_Answered(failure(ResultCode::PeerUnreachable,
-                       "the agent did not reply to the order"));
+    m_OnReply(failure(ResultCode::PeerUnreachable,
+                      "the agent did not reply to the order"));
   }
 
 private:
-  const planner::OrderSender::Done m_Answered;
+  const planner::OrderSender::Done m_OnReply;
   timeline::Timeline &m_Events;
   /// I/O thread of the connection only.
-  bool m_Told = false;
+  bool m_IsDone = false;
 };
 
-HomeState homeState(const membership::TargetState &Known,
-                    const std::set<std::string> &Listed) {
-  if (!Listed.contains(Known.Listed.Id))
+HomeState homeState(const membership::TargetState &State,
+                    const std::set<std::string> &ListedIds) {
+  if (!ListedIds.contains(State.Listed.Id))
     return HomeState::Gone;
-  const bool Reported = Known.Connected && Known.Report;
+  const bool Reported = State.Connected && State.Report;
   if (!Reported)
     // Retiring an unreachable target is an operator's confirmation that it has
     // stopped.
-    return Known.Wish == TargetIntent::Retire ? HomeState::Gone
+    return State.Wish == TargetIntent::Retire ? HomeState::Gone
                                               : HomeState::CutOff;
-  if (Known.Wish != TargetIntent::Serve ||
-      Known.Listed.State != platform::VmState::Live)
+  if (State.Wish != TargetIntent::Serve ||
+      State.Listed.State != platform::VmState::Live)
     return HomeState::Leaving;
-  switch (Known.Report->State) {
+  switch (State.Report->State) {
   case AgentState::Serving:
     return HomeState::Serving;
   case AgentState::Recovering:
@@ -83,26 +83,26 @@
   const config::SnapshotPointer &Configuration = m_Fleet.configuration();
   if (!Configuration)
     return Shards;
-  for (const config::Item *Known : Configuration->list("backEnd"))
-    if (Configuration->backEnd(Known->Stored.Name))
-      Shards.push_back({Known->Stored.Name, m_Settings.Process.Region});
+  for (const config::Item *Item : Configuration->list("backEnd"))
+    if (Configuration->backEnd(Item->Stored.Name))
+      Shards.push_back({Item->Stored.Name, m_Settings.Process.Region});
   return Shards;
 }
 
 record::BackEnd EntryShardView::specification(const ShardId &Shard) const {
-  const record::BackEnd *Known =
+  const record::BackEnd *BackEnd =
       m_Fleet.configuration()->backEnd(Shard.BackEnd);
-  return Known ? *Known : record::BackEnd();
+  return BackEnd ? *BackEnd : record::BackEnd();
 }
 
 ShardTarget
-EntryShardView::describe(const membership::TargetState &Known) const {
+EntryShardView::describe(const membership::TargetState &State) const {
   ShardTarget Target;
   plan::TargetState &Engine = Target.Engine;
-  Engine.Id = Known.Listed.Id;
-  Target.Home = homeState(Known, m_Fleet.listedIds());
+  Engine.Id = State.Listed.Id;
+  Target.Home = homeState(State, m_Fleet.listedIds());
   Engine.Live = Target.Home == HomeState::Serving;
-  Engine.Accepting = Known.acceptsWork();
+  Engine.Accepting = State.acceptsWork();
   const Fleet::LastReport *Last = m_Fleet.lastReport(Engine.Id);
   if (!Last)
     return Target;
@@ -121,19 +121,19 @@
 std::vector<ShardTarget> EntryShardView::targets(const ShardId &Shard) const {
   std::vector<ShardTarget> Targets;
   std::set<std::string> Described;
-  for (const auto &[Id, Known] : m_Fleet.membership().targets()) {
+  for (const auto &[Id, State] : m_Fleet.membership().targets()) {
     Described.insert(Id);
-    if (Known.Listed.BackEnd == Shard.BackEnd)
-      Targets.push_back(describe(Known));
+    if (State.Listed.BackEnd == Shard.BackEnd)
+      Targets.push_back(describe(State));
   }
   // Homes in other regions are listed but not connected. If they were missing
   // from the view, their slices would be treated as slices of a dead home.
   for (const std::string &Id : m_Fleet.listedIds())
     if (!Described.contains(Id)) {
-      ShardTarget Elsewhere;
-      Elsewhere.Engine.Id = Id;
-      Elsewhere.Home = HomeState::CutOff;
-      Targets.push_back(std::move(Elsewhere));
+      ShardTarget Unconnected;
+      Unconnected.Engine.Id = Id;
+      Unconnected.Home = HomeState::CutOff;
+      Targets.push_back(std::move(Unconnected));
     }
   return Targets;
 }
@@ -156,15 +156,15 @@
 }
 
 void EntryShardView::send(const std::string &Target, wire::OrderRequest Order,
-                          Done Answered) {
+                          Done OnReply) {
   const std::shared_ptr<wire::Channel> Channel = m_Fleet.channelTo(Target);
   if (!Channel)
-    return Answered(failure(ResultCode::PeerUnreachable, "not connected"));
-  if (const config::SnapshotPointer &Known = m_Fleet.configuration())
-    Order.set_revision(Known->revision());
+    return OnReply(failure(ResultCode::PeerUnreachable, "not connected"));
+  if (const config::SnapshotPointer &Configuration = m_Fleet.configuration())
+    Order.set_revision(Configuration->revision());
   Order.set_clock(m_Events.clockToSend());
   Channel->open(wire::Method::Order, Order.SerializeAsString(),
-                std::make_shared<OrderListener>(std::move(Answered), m_Events));
+                std::make_shared<OrderListener>(std::move(OnReply), m_Events));
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/EntryShardView.h
+++ b/Services/figlift-entry/EntryShardView.h
@@ -16,9 +16,9 @@
 class EntryShardView final : public planner::ShardView,
                              public planner::OrderSender {
 public:
-  EntryShardView(const settings::EntrySettings &Settings, Fleet &Known,
+  EntryShardView(const settings::EntrySettings &Settings, Fleet &Targets,
                  timeline::Timeline &Events, metrics::Registry &Metrics)
-      : m_Settings(Settings), m_Fleet(Known), m_Events(Events),
+      : m_Settings(Settings), m_Fleet(Targets), m_Events(Events),
         m_Metrics(Metrics) {}
 
   std::vector<planner::ShardId> shards() const override;
@@ -30,10 +30,10 @@
   std::vector<std::string> entries() const override;
   bool listKnown() const override;
   void send(const std::string &Target, wire::OrderRequest Order,
-            Done Answered) override;
+            Done OnReply) override;
 
 private:
-  planner::ShardTarget describe(const membership::TargetState &Known) const;
+  planner::ShardTarget describe(const membership::TargetState &State) const;
 
   const settings::EntrySettings &m_Settings;
   Fleet &m_Fleet;
