--- a/Services/figlift-entry/PeerConfiguration.h
+++ b/Services/figlift-entry/PeerConfiguration.h
@@ -49,14 +49,14 @@
   /// Polls the connected entries for their configuration. A change thereby also
   /// reaches entries that cannot read the table, and operators can see the
   /// revision of each entry. Control thread.
-  void startPolling(std::function<void(config::Delta)> OnAnswer);
+  void startPolling(std::function<void(config::Delta)> OnDelta);
   /// Revision in force at an entry that replied recently. Thread-safe.
   std::optional<uint64_t> revisionOf(const Endpoint &Peer) const;
   /// Connects to these entries and no others. Control thread.
   void setPeers(const std::vector<Endpoint> &Peers);
   /// Closes every channel. Control thread.
   void stop() {
-    m_OnAnswer = nullptr;
+    m_OnDelta = nullptr;
     setPeers({});
   }
   /// The returned function is thread-safe and must not outlive this object.
@@ -64,26 +64,27 @@
 
 private:
   class Round;
-  class Question;
+  class Query;
 
-  void fetch(uint64_t After, bool AskAll,
+  void fetch(uint64_t After, bool QueryAll,
              platform::Callback<config::Delta> Done);
-  std::vector<std::shared_ptr<wire::Channel>> askable(bool AskAll) const;
+  std::vector<std::shared_ptr<wire::Channel>>
+  queryChannels(bool QueryAll) const;
   void poll();
-  void heard(const Endpoint &Peer, config::Delta Answer);
+  void recordReply(const Endpoint &Peer, config::Delta Reply);
 
-  struct Heard {
+  struct PeerRevision {
     uint64_t Revision = 0;
-    BootTime At;
+    BootTime ReceivedAt;
   };
 
   const Dependencies m_Dependencies;
   const AgentChannels m_Agents;
   std::map<Endpoint, std::shared_ptr<wire::Channel>> m_Peers;
   /// Null while not polling.
-  std::function<void(config::Delta)> m_OnAnswer;
-  mutable std::mutex m_HeardMutex;
-  std::map<Endpoint, Heard> m_Heard;
+  std::function<void(config::Delta)> m_OnDelta;
+  mutable std::mutex m_PeerRevisionsMutex;
+  std::map<Endpoint, PeerRevision> m_PeerRevisions;
 };
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/PeerServer.cpp
+++ b/Services/figlift-entry/PeerServer.cpp
@@ -14,22 +14,23 @@
 
 class ConfigurationStream final : public wire::StreamListener {
 public:
-  ConfigurationStream(std::weak_ptr<wire::Stream> Opened,
+  ConfigurationStream(std::weak_ptr<wire::Stream> Stream,
                       PeerServer::CurrentConfiguration Current)
-      : m_Stream(std::move(Opened)), m_Current(std::move(Current)) {}
+      : m_Stream(std::move(Stream)), m_Current(std::move(Current)) {}
 
   void onMessage(std::string_view Message) override {
-    const auto Open = m_Stream.lock();
+    const auto Stream = m_Stream.lock();
     wire::ConfigurationRequest Request;
-    if (!Open)
+    if (!Stream)
       return;
-    const config::SnapshotPointer Known = m_Current();
-    if (!Known || !Request.ParseFromArray(Message.data(),
-                                          static_cast<int>(Message.size())))
-      return Open->cancel();
-    Open->send(config::toReply(Known->diffSince(Request.after_revision()))
-                   .SerializeAsString());
-    Open->finish();
+    const config::SnapshotPointer Configuration = m_Current();
+    if (!Configuration || !Request.ParseFromArray(
+                              Message.data(), static_cast<int>(Message.size())))
+      return Stream->cancel();
+    Stream->send(
+        config::toReply(Configuration->diffSince(Request.after_revision()))
+            .SerializeAsString());
+    Stream->finish();
   }
   void onEnd(wire::StreamEnd) override {}
 
@@ -47,10 +48,11 @@
 } // namespace
 
 std::shared_ptr<wire::StreamListener>
-PeerServer::onStream(wire::Method What, std::shared_ptr<wire::Stream> Opened) {
-  if (What == wire::Method::Configuration)
-    return std::make_shared<ConfigurationStream>(Opened, m_Current);
-  Opened->refuse();
+PeerServer::onStream(wire::Method Method,
+                     std::shared_ptr<wire::Stream> Stream) {
+  if (Method == wire::Method::Configuration)
+    return std::make_shared<ConfigurationStream>(Stream, m_Current);
+  Stream->refuse();
   return std::make_shared<RefusedStream>();
 }
 
--- a/Services/figlift-entry/PeerServer.h
+++ b/Services/figlift-entry/PeerServer.h
@@ -24,7 +24,7 @@
       : m_Current(std::move(Current)) {}
 
   std::shared_ptr<wire::StreamListener>
-  onStream(wire::Method What, std::shared_ptr<wire::Stream> Opened) override;
+  onStream(wire::Method Method, std::shared_ptr<wire::Stream> Stream) override;
 
 private:
   const CurrentConfiguration m_Current;
