--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -25,40 +25,42 @@
 constexpr milliseconds NotReadyRetryAfter{500};
 /// Minimum time between reporting not ready and closing the listener, so that
 /// the load balancer notices and stops sending requests.
-constexpr milliseconds LeavingNotice{300};
+constexpr milliseconds MinimumDrainTime{300};
 constexpr milliseconds DrainCheckInterval{10};
 constexpr double PercentToRatio = 0.01;
 /// Other entries are polled less often than the table: while the table is
 /// readable, their replies only serve the status that operators see.
 constexpr int PeerPollFactor = 2;
 
-timeline::TimelineOptions timelineOptions(const settings::EntrySettings &From) {
+timeline::TimelineOptions
+timelineOptions(const settings::EntrySettings &Source) {
   timeline::TimelineOptions Options;
-  Options.ProcessId = From.Process.Id;
+  Options.ProcessId = Source.Process.Id;
   Options.ProcessKind = "entry";
-  Options.Zone = From.Process.Zone;
-  Options.Capacity = From.TimelineEvents;
+  Options.Zone = Source.Process.Zone;
+  Options.Capacity = Source.TimelineEvents;
   return Options;
 }
 
-retry::RetryBudgetSettings budgetSettings(const settings::EntrySettings &From) {
+retry::RetryBudgetSettings
+budgetSettings(const settings::EntrySettings &Source) {
   retry::RetryBudgetSettings Settings;
-  Settings.Ratio = From.Limits.RetryPercent * PercentToRatio;
+  Settings.Ratio = Source.Limits.RetryPercent * PercentToRatio;
   return Settings;
 }
 
-retry::RetrySettings retrySettings(const settings::EntrySettings &From) {
+retry::RetrySettings retrySettings(const settings::EntrySettings &Source) {
   retry::RetrySettings Settings;
-  Settings.MaximumAttempts = From.Limits.AttemptsPerRequest;
+  Settings.MaximumAttempts = Source.Limits.AttemptsPerRequest;
   return Settings;
 }
 
-std::vector<std::string> serviceBackEnds(const config::Snapshot &Of) {
+std::vector<std::string> serviceBackEnds(const config::Snapshot &Snapshot) {
   std::vector<std::string> Names;
-  for (const config::Item *Known : Of.list("backEnd"))
-    if (const record::BackEnd *Spec = Of.backEnd(Known->Stored.Name);
+  for (const config::Item *Item : Snapshot.list("backEnd"))
+    if (const record::BackEnd *Spec = Snapshot.backEnd(Item->Stored.Name);
         Spec && Spec->Type == record::BackEndType::Service)
-      Names.push_back(Known->Stored.Name);
+      Names.push_back(Item->Stored.Name);
   return Names;
 }
 
@@ -74,17 +76,17 @@
 
 Result<std::unique_ptr<Entry>>
 Entry::create(const settings::EntrySettings &Settings) {
-  std::unique_ptr<Entry> Made(new Entry(Settings));
-  Made->m_Events.record(timeline::kinds::ProcessStarted,
-                        {SubjectType::Process, Settings.Process.Id});
-  Made->registerMetrics();
-  FIGLIFT_TRY(Made->openPlatform());
-  FIGLIFT_TRY(Made->openTransport());
-  Made->followConfiguration();
-  Made->serveOperators();
-  FIGLIFT_TRY(Made->listenToPeers());
-  FIGLIFT_TRY(Made->listenToCallers());
-  return Made;
+  std::unique_ptr<Entry> Created(new Entry(Settings));
+  Created->m_Events.record(timeline::kinds::ProcessStarted,
+                           {SubjectType::Process, Settings.Process.Id});
+  Created->registerMetrics();
+  FIGLIFT_TRY(Created->openPlatform());
+  FIGLIFT_TRY(Created->openTransport());
+  Created->followConfiguration();
+  Created->serveOperators();
+  FIGLIFT_TRY(Created->listenToPeers());
+  FIGLIFT_TRY(Created->listenToCallers());
+  return Created;
 }
 
 void Entry::registerMetrics() {
@@ -121,8 +123,8 @@
   platform::HttpCallOptions Options;
   Options.Server = m_Settings.Platform.Address;
   Options.Timeout = m_Settings.Platform.Timeout;
-  FIGLIFT_TRY(Made, platform::HttpPlatform::create(Options));
-  m_Platform = std::move(Made);
+  FIGLIFT_TRY(Created, platform::HttpPlatform::create(Options));
+  m_Platform = std::move(Created);
   return success();
 }
 
@@ -133,8 +135,8 @@
   Options.HeartbeatInterval = m_Settings.Wire.HeartbeatInterval;
   Options.HeartbeatTimeout = m_Settings.Wire.HeartbeatTimeout;
   Options.Seed = route::rendezvousKey(m_Settings.Process.Id);
-  FIGLIFT_TRY(Made, wire::Client::create(Options));
-  m_Transport = std::move(Made);
+  FIGLIFT_TRY(Created, wire::Client::create(Options));
+  m_Transport = std::move(Created);
   return success();
 }
 
@@ -193,7 +195,7 @@
 }
 
 Result<void> Entry::ready() const {
-  if (m_Leaving.load())
+  if (m_IsShuttingDown.load())
     return outcome::failure(Error{ResultCode::Draining,
                                   "this entry is shutting down",
                                   {},
@@ -211,34 +213,34 @@
           m_Settings.Process.Id, *m_Fleet, *m_Peers, m_State, m_Events});
   m_Operators =
       std::make_unique<config::OperatorService>(config::OperatorContext{
-          *m_Platform, *m_Status, [this] { return inForce(); },
+          *m_Platform, *m_Status, [this] { return servingConfiguration(); },
           [this] {
             const Result<void> State = ready();
             return State ? std::string() : State.error().Message;
           },
-          [this](const config::ChangeOutcome &What) {
-            m_Configuration->committed(What);
+          [this](const config::ChangeOutcome &Outcome) {
+            m_Configuration->committed(Outcome);
           },
           [this](const std::string &Target, bool Undo) {
-            return askAgentToDrain(Target, Undo);
+            return requestDrain(Target, Undo);
           }});
 }
 
 /// Returns the configuration that requests are served with, which may be older
 /// than the last one received: when a revision is reported as in force, the
 /// next request must be served with it.
-config::SnapshotPointer Entry::inForce() const {
+config::SnapshotPointer Entry::servingConfiguration() const {
   if (!m_Configuration->current())
     return nullptr;
   return m_State.read(
       [](const ServingState &Now) { return Now.Configuration; });
 }
 
-bool Entry::askAgentToDrain(const std::string &Target, bool Undo) const {
+bool Entry::requestDrain(const std::string &Target, bool Undo) const {
   const auto Link =
       m_State.read([&](const ServingState &Now) -> std::shared_ptr<TargetLink> {
-        const auto Found = Now.Links.find(Target);
-        return Found == Now.Links.end() ? nullptr : Found->second;
+        const auto Iterator = Now.Links.find(Target);
+        return Iterator == Now.Links.end() ? nullptr : Iterator->second;
       });
   if (!Link || Link->channel().state() != wire::ChannelState::Up)
     return false;
@@ -274,11 +276,11 @@
            [this](uint64_t After) {
              return m_Events.toJson(timeline::Stamp{After});
            }});
-  for (http::Route &Added :
+  for (http::Route &Route :
        callerRoutes(*m_Calls, m_Settings.Limits.DefaultDeadline))
-    Routes.push_back(std::move(Added));
-  for (http::Route &Added : operatorRoutes(*m_Operators))
-    Routes.push_back(std::move(Added));
+    Routes.push_back(std::move(Route));
+  for (http::Route &Route : operatorRoutes(*m_Operators))
+    Routes.push_back(std::move(Route));
   http::ServerOptions Options;
   Options.Listen = m_Settings.Listen.Callers;
   Options.MaximumBodyBytes = m_Settings.Limits.RequestBytes.Bytes;
@@ -294,7 +296,7 @@
   const BootTime End = Begin + m_Settings.Drain.Timeout;
   while (BootClock::now() < End) {
     if (m_Callers->requestsInFlight() == 0 &&
-        BootClock::now() - Begin >= LeavingNotice)
+        BootClock::now() - Begin >= MinimumDrainTime)
       return true;
     std::this_thread::sleep_for(DrainCheckInterval);
   }
@@ -307,16 +309,16 @@
   Stopped.get_future().wait();
 }
 
-bool Entry::leave() {
+bool Entry::shutDown() {
   m_Events.record(timeline::kinds::ProcessStopping,
                   {SubjectType::Process, m_Settings.Process.Id});
   log::logEvent(log::Level::Info, "leaving",
                 {{"requests", m_Callers->requestsInFlight()}});
-  m_Leaving.store(true);
+  m_IsShuttingDown.store(true);
   stopPlanner();
   m_Callers->drain();
   m_PeerServer->drain();
-  const bool Whole = waitForRequests();
+  const bool Completed = waitForRequests();
   m_Callers->stop();
   m_Timers.stop();
   m_Control.post([this] {
@@ -325,8 +327,8 @@
   });
   m_Control.stop();
   m_PeerServer->stop();
-  log::logEvent(log::Level::Info, "left", {{"whole", Whole}});
-  return Whole;
+  log::logEvent(log::Level::Info, "left", {{"whole", Completed}});
+  return Completed;
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Entry.h
+++ b/Services/figlift-entry/Entry.h
@@ -35,7 +35,7 @@
   /// Refuses new requests, waits for the requests in flight up to the drain
   /// timeout and stops all components. Returns false when requests were
   /// interrupted.
-  bool leave();
+  bool shutDown();
 
 private:
   explicit Entry(const settings::EntrySettings &Settings);
@@ -51,8 +51,8 @@
   void registerMetrics();
   uint64_t controlBytes() const;
   /// Null until a configuration has been received.
-  config::SnapshotPointer inForce() const;
-  bool askAgentToDrain(const std::string &Target, bool Undo) const;
+  config::SnapshotPointer servingConfiguration() const;
+  bool requestDrain(const std::string &Target, bool Undo) const;
   bool waitForRequests() const;
   void stopPlanner();
 
@@ -83,7 +83,7 @@
   std::unique_ptr<CallContext> m_Calls;
   std::unique_ptr<wire::Server> m_PeerServer;
   std::unique_ptr<http::Server> m_Callers;
-  std::atomic<bool> m_Leaving{false};
+  std::atomic<bool> m_IsShuttingDown{false};
 };
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Main.cpp
+++ b/Services/figlift-entry/Main.cpp
@@ -37,20 +37,20 @@
   log::configure(Log);
   crossplat::threadpool::initialize_with_threads(Settings.Threads.Http);
 
-  auto Running = entry::Entry::create(Settings);
-  if (!Running)
-    return settings::reportFailure(ProgramName, Running.error());
+  auto EntryProcess = entry::Entry::create(Settings);
+  if (!EntryProcess)
+    return settings::reportFailure(ProgramName, EntryProcess.error());
   log::logEvent(log::Level::Info, "ready",
                 {{"callers", Settings.Listen.Callers.toString()},
                  {"peer", Settings.Listen.Peer.toString()}});
   const sigset_t Signals = stopSignals();
-  int Which = 0;
-  sigwait(&Signals, &Which);
-  const bool Whole = Running.value()->leave();
+  int Signal = 0;
+  sigwait(&Signals, &Signal);
+  const bool Completed = EntryProcess.value()->shutDown();
   // Skips destructors: a late reply from the platform or an agent, handled on
   // a library's thread pool, would use a destroyed receiver and crash an
   // otherwise clean shutdown.
-  std::quick_exit(Whole ? EXIT_SUCCESS : EXIT_FAILURE);
+  std::quick_exit(Completed ? EXIT_SUCCESS : EXIT_FAILURE);
 }
 
 } // namespace
--- a/Services/figlift-entry/OperatorApi.cpp
+++ b/Services/figlift-entry/OperatorApi.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-bool names(const json &Event, const std::string &Id) {
+bool mentions(const json &Event, const std::string &Id) {
   if (Event.at("subject").value("name", "") == Id)
     return true;
   const auto Fields = Event.find("fields");
@@ -30,30 +30,30 @@
 
 config::TargetStatus
 EntryStatusProvider::describe(const membership::TargetState &Target) const {
-  config::TargetStatus Line;
-  Line.Id = Target.Listed.Id;
-  Line.BackEnd = Target.Listed.BackEnd;
-  Line.Zone = Target.Listed.Zone;
-  Line.State = Target.describe();
+  config::TargetStatus Status;
+  Status.Id = Target.Listed.Id;
+  Status.BackEnd = Target.Listed.BackEnd;
+  Status.Zone = Target.Listed.Zone;
+  Status.State = Target.describe();
   if (!Target.Report)
-    return Line;
-  Line.RevisionInForce = Target.Report->Revision;
-  Line.Role = Target.Report->Role;
-  Line.RequestsInFlight = Target.Report->RequestsInFlight;
+    return Status;
+  Status.RevisionInForce = Target.Report->Revision;
+  Status.Role = Target.Report->Role;
+  Status.RequestsInFlight = Target.Report->RequestsInFlight;
   const auto Load = m_Dependencies.State.read(
       [&](const ServingState &Now) -> std::optional<route::TargetLoad> {
-        const auto Link = Now.Links.find(Line.Id);
+        const auto Link = Now.Links.find(Status.Id);
         if (Link == Now.Links.end())
           return std::nullopt;
         return Link->second->gauge().reported();
       });
   if (!Load)
-    return Line;
-  Line.Load = {.PrefillTokensWaiting = Load->prefillTotal(),
-               .RunningSequences = Load->RunningSequences,
-               .WaitingRequests = Load->WaitingRequests,
-               .KvTokensFree = Load->KvTokensFree};
-  return Line;
+    return Status;
+  Status.Load = {.PrefillTokensWaiting = Load->prefillTotal(),
+                 .RunningSequences = Load->RunningSequences,
+                 .WaitingRequests = Load->WaitingRequests,
+                 .KvTokensFree = Load->KvTokensFree};
+  return Status;
 }
 
 std::vector<config::TargetStatus> EntryStatusProvider::targets() const {
@@ -68,7 +68,7 @@
   const auto Now = m_Dependencies.Targets.status();
   std::vector<config::EntryStatus> Lines;
   for (const platform::Vm &Peer : Now->Peers) {
-    const auto Revision = m_Dependencies.Others.revisionOf(Peer.Peer);
+    const auto Revision = m_Dependencies.Peers.revisionOf(Peer.Peer);
     Lines.push_back(
         {Peer.Id, Revision ? "serving" : "unreachable", Revision.value_or(0)});
   }
@@ -83,15 +83,15 @@
   if (!Answer.is_object())
     return Lines;
   for (const json &Event : Answer.value("events", json::array()))
-    if (names(Event, Id))
+    if (mentions(Event, Id))
       Lines.push_back(Event.dump());
   return Lines;
 }
 
 std::vector<http::Route> operatorRoutes(config::OperatorService &Service) {
-  auto Forward = [&Service](std::shared_ptr<http::Exchange> Call) {
-    Service.handle(Call->request(), [Call](http::Response Answer) {
-      Call->reply(std::move(Answer));
+  auto Forward = [&Service](std::shared_ptr<http::Exchange> Exchange) {
+    Service.handle(Exchange->request(), [Exchange](http::Response Answer) {
+      Exchange->reply(std::move(Answer));
     });
   };
   return {{http::AnyMethod, std::string(config::OperatorPathPrefix), true,
--- a/Services/figlift-entry/OperatorApi.h
+++ b/Services/figlift-entry/OperatorApi.h
@@ -26,7 +26,7 @@
   struct Dependencies {
     std::string EntryId;
     const Fleet &Targets;
-    const PeerConfiguration &Others;
+    const PeerConfiguration &Peers;
     const ServingStatePointer &State;
     const timeline::Timeline &Events;
   };
