--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -1,4 +1,4 @@
-//===- EntryFixtures.cpp - Agents and callers of the entry's tests --------===//
+//===- EntryFixtures.cpp - Fake agents and callers ------------------------===//
 //
 // See EntryFixtures.h.
 //
@@ -14,8 +14,8 @@
 
 namespace {
 
-// CppUTest's leak detector is not safe for threads, and the transport's
-// threads allocate on their own; so it is off for this suite.
+// CppUTest's leak detector is not thread-safe, and the threads of the transport
+// allocate memory, so the detector is disabled for this suite.
 const bool LeakDetectorOff = [] {
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return true;
@@ -156,7 +156,7 @@
   return m_Listener->All;
 }
 
-/// Ends with close(); the caller has all events then.
+/// The caller counts as answered after close().
 class FakeCaller::Stream final : public http::EventStream {
 public:
   explicit Stream(FakeCaller &Owner) : m_Owner(Owner) {}
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -1,8 +1,6 @@
-//===- EntryFixtures.h - Agents and callers of the entry's tests -*- C++
-//-*-===//
+//===- EntryFixtures.h - Fake agents and callers ------------*- C++ -*-===//
 //
-// Fake agents behind real connections, and callers that keep what they were
-// answered.
+// Fake agents behind real connections, and callers that record responses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,8 +19,8 @@
 
 namespace figlift::test {
 
-/// Back end "lm-desk" with model "desk", service "booking-core" whose /slots
-/// may not be repeated.
+/// Configuration with the model back end "lm-desk", which serves "desk", and
+/// the service "booking-core", whose /slots paths are not repeatable.
 config::SnapshotPointer recordsInForce();
 
 template <typename F> bool eventually(F Condition) {
@@ -35,7 +33,7 @@
   return true;
 }
 
-/// An agent that answers Run and Resume as its script says.
+/// An agent that handles Run and Resume streams with a script.
 class FakeAgent {
 public:
   /// The stream of one Run or Resume.
@@ -44,7 +42,7 @@
     wire::RunRequest Run;
     wire::ResumeRequest Resume;
     std::shared_ptr<wire::Stream> Answer;
-    /// Set when the entry has reset the stream, or it ended.
+    /// Set when the stream has ended or was reset by the entry.
     std::shared_ptr<std::atomic<bool>> Ended;
 
     wire::RunFrame frame() const;
@@ -71,7 +69,7 @@
   std::unique_ptr<wire::Server> m_Server;
 };
 
-/// Keeps what one caller was answered.
+/// Records the response to one caller.
 class FakeCaller final : public http::Exchange {
 public:
   const http::Request &request() const override { return m_Request; }
@@ -83,9 +81,9 @@
   startEvents(http::HeaderList Headers, std::function<void()> Gone) override;
 
   bool answered() const { return m_Answered.load(); }
-  /// An event was sent to it.
+  /// Whether an event has been received.
   bool begun() const { return m_Begun.load(); }
-  /// The caller's connection is lost.
+  /// Simulates the loss of the caller's connection.
   void leave();
 
   http::Response Answer;
@@ -102,18 +100,18 @@
   std::function<void()> m_Gone;
 };
 
-/// What an entry's calls need, with links to fake agents.
+/// Provides the context that calls need, with links to fake agents.
 class CallBench {
 public:
   CallBench();
   ~CallBench();
 
-  /// Connects to the agent as a target that serves.
+  /// Connects to the agent and adds it as a serving target.
   void add(const std::string &Id, const std::string &BackEnd, FakeAgent &Agent);
   /// Makes the target the home of every slice of its back end.
   void makeHome(const std::string &Id, const std::string &BackEnd);
   void publish();
-  /// What the target reports from now on, until it reports again.
+  /// Sets the load reported by the target until its next report.
   void report(const std::string &Id, const route::TargetLoad &Load) {
     m_Book.gauge(Id)->report(Load, BootClock::now());
   }
--- a/Tests/FigliftEntry/TestCall.cpp
+++ b/Tests/FigliftEntry/TestCall.cpp
@@ -1,6 +1,6 @@
-//===- TestCall.cpp - Calls over broken, late and crossed attempts --------===//
+//===- TestCall.cpp - Calls with lost, late and mixed-up attempts ---------===//
 //
-// Fake agents misbehave in each way that the network allows.
+// Fake agents lose connections, drop, repeat and mix up frames.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,8 @@
   Call.finish(Total);
 }
 
-/// Of four tokens two come, and nothing more; who goes on gets the rest.
+/// Sends two of four tokens and then stalls. An attempt that continues the
+/// answer receives the remaining tokens.
 void streamHalf(const Asked &Call) {
   if (Call.Run.completion().first_token() > 0)
     return sendWhole(Call, 4);
@@ -45,14 +46,14 @@
 TEST_GROUP(Call) {
   CallBench Bench;
 
-  /// The target has failed so often that it is left out; the last time \p Ago.
+  /// Ejects the target by repeated failures that happened \p Ago.
   void excludeTarget(const std::string &Id, std::chrono::seconds Ago) {
     for (unsigned Each = 0; Each < retry::HealthSettings().FailuresToExclude;
          ++Each)
       Bench.health().health(Id)->failed(BootClock::now() - Ago);
   }
-  /// One slot is held, with a target that failed \p Ago and another one; how
-  /// many holds the first of them gets.
+  /// Sends one non-repeatable call while a target ejected \p Ago and a healthy
+  /// target are available. Returns the number of calls at the ejected target.
   size_t holdsAtTargetThatFailed(std::chrono::seconds Ago) {
     FakeAgent Back([](const Asked &Call) { Call.answer("back"); });
     FakeAgent Other([](const Asked &Call) { Call.answer("other"); });
@@ -66,11 +67,10 @@
 };
 
 TEST(Call, FramesOfOthersAndOfThePastAreDropped) {
-  // Symptom: a family reads a part of another family's note, or a word twice.
-  // Sequence: frames of an earlier attempt, or repeated ones, arrive between
-  // those of the live attempt.
-  // Cause: frames taken by the stream they came on, not by their ids and
-  // positions.
+  // Guards against answers that contain text of another request, or text twice.
+  // This happens when frames of another attempt, or duplicates, arrive on the
+  // stream of the live attempt and are matched by stream instead of by attempt
+  // id and token index.
   FakeAgent Agent([](const Asked &Call) {
     Call.accept();
     Call.token(0, "0");
@@ -122,9 +122,9 @@
 }
 
 TEST(Call, AnAnswerGoesOnElsewhereAfterTheTokensDelivered) {
-  // Symptom: a plant supervisor's answer stops in the middle of a sentence.
-  // Sequence: the agent that streams it dies; a resume finds nobody.
-  // Cause: the answer was bound to one target.
+  // Guards against answers that stop in the middle. This happens when the agent
+  // that streams an answer fails, the resume cannot reach it, and the answer is
+  // bound to that target.
   FakeAgent First(streamHalf), Second(streamHalf);
   Bench.add("t1", "lm-desk", First);
   Bench.add("t2", "lm-desk", Second);
@@ -140,15 +140,16 @@
                Other.asked()[0].Run.completion().delivered_text().c_str());
 }
 
-// Failure: an answer ends in the middle, as no target is expected to finish it
-// in time: it can't be refused any more, and goes on until its deadline.
+// Guards against answers that stop in the middle because no target is expected
+// to finish them in time. A started answer can no longer be refused and
+// continues until its deadline.
 TEST(Call, ABegunAnswerGoesOnThoughItsEndIsExpectedTooLate) {
   FakeAgent First(streamHalf), Second(streamHalf);
   Bench.add("t1", "lm-desk", First);
   Bench.add("t2", "lm-desk", Second);
   const auto Caller = Bench.call(Bench.completion(4));
   CHECK_TRUE(eventually([&] { return Bench.Counters.Tokens.value() == 2.0; }));
-  // Measured while the machine was busy: a minute for each token.
+  // Reports of overloaded targets: one minute per token.
   route::TargetLoad Slow;
   Slow.PrefillTokensPerSecond = 1000;
   Slow.MaximumSequences = 8;
@@ -160,8 +161,8 @@
   CHECK_TRUE(hasText(*Caller, "0123"));
 }
 
-// Failure: an engine that is back gets no work for as long as another is
-// measured better: the attempt that may be its probe goes there.
+// Guards against a recovered engine that receives no work as long as another
+// engine has better measurements, because the probe is sent to the other one.
 TEST(Call, AProbeGoesToItsTargetThoughAnotherIsMeasuredBetter) {
   const auto Answer = [](const Asked &Call) { sendWhole(Call, 1); };
   FakeAgent Back(Answer), Better(Answer);
@@ -183,13 +184,13 @@
   CHECK_EQUAL(2u, Better.count());
 }
 
-// Failure: work that may run once is lost in a probe.
+// Guards against the loss of non-repeatable work in a failed probe.
 TEST(Call, AProbeIsNoWorkThatMayNotBeRepeated) {
   CHECK_EQUAL(0u, holdsAtTargetThatFailed(std::chrono::seconds(1)));
 }
 
-// Failure: a service that only gets work which may run once never uses a target
-// again that is back.
+// Guards against a service that receives only non-repeatable work and therefore
+// never uses a recovered target again.
 TEST(Call, WorkThatMayNotBeRepeatedProbesWhenNothingElseComes) {
   CHECK_EQUAL(1u, holdsAtTargetThatFailed(std::chrono::seconds(10)));
 }
@@ -221,10 +222,10 @@
 }
 
 TEST(Call, WorkThatMayNotBeRepeatedIsSentOnce) {
-  // Symptom: two schools hold one child's slot.
-  // Sequence: the link breaks after the call was handed over; the entry sends
-  // it to the other target, and both ran it.
-  // Cause: a lost answer taken for a call that did not run.
+  // Guards against two executions of a non-repeatable call. This happens when
+  // the connection is lost after the call was sent, the lost answer is treated
+  // as proof that the call did not run, and the entry retries it on another
+  // target.
   FakeAgent First([](const Asked &Call) { Call.Answer->cancel(); });
   FakeAgent Second([](const Asked &Call) { Call.Answer->cancel(); });
   Bench.add("t1", "booking-core", First);
@@ -284,10 +285,10 @@
 }
 
 TEST(Call, NotRunIsNeverSaidOnceAnAttemptMayHaveRun) {
-  // Symptom: a caller told "not run" books again, and two vans come.
-  // Sequence: the home's answer is lost; asked again, the home is draining and
-  // refuses.
-  // Cause: the last attempt's refusal taken for the whole request's.
+  // Guards against a caller that is told "not run" and repeats a call that has
+  // run. This happens when the home's answer is lost, the home refuses the
+  // retry because it is draining, and the refusal is taken as the result of the
+  // whole request.
   std::atomic<int> Runs{0};
   FakeAgent Home([&](const Asked &Call) {
     if (Runs++ == 0)
@@ -326,10 +327,10 @@
 }
 
 TEST(Call, WorkRefusedBeforeAnyAgentIsCountedAsDemand) {
-  // Symptom: the planner sees little demand while callers are turned away.
-  // Sequence: the entry refuses because no target can take the work; then an
-  // agent refuses, which counts the work itself.
-  // Cause: demand was read from agents alone.
+  // Guards against a planner that sees little demand while callers are
+  // rejected. This happens when only agents report demand: the entry itself
+  // refuses work that no target can accept. Work that an agent refuses is
+  // counted by the agent and must not be counted again.
   Bench.publish();
   const entry::RefusedWork Totals(Bench.Metrics, "lm-desk");
   const auto Early = Bench.call(Bench.completion(7));
--- a/Tests/FigliftEntry/TestCallerRequest.cpp
+++ b/Tests/FigliftEntry/TestCallerRequest.cpp
@@ -1,6 +1,6 @@
-//===- TestCallerRequest.cpp - Reading callers' requests ------------------===//
+//===- TestCallerRequest.cpp - Parsing of callers' requests ---------------===//
 //
-// What is accepted, what is refused, and what is decided by the records.
+// Accepted and rejected requests, and the effects of configuration records.
 //
 //===----------------------------------------------------------------------===//
 
@@ -63,10 +63,9 @@
 }
 
 TEST(CallerRequest, TheIdBetweenProcessesIsNeverTheCallersOwn) {
-  // Symptom: a parent reads the answer to another family's request.
-  // Sequence: two callers send the same X-Request-Id; agents hold answers by
-  // the id of the request and resume one for the other.
-  // Cause: the caller's id was taken for a unique one.
+  // Guards against a caller that receives another caller's answer. This happens
+  // when two callers send the same X-Request-Id and it is used as a unique id:
+  // agents hold answers by request id and resume one for the other.
   http::Request Request = completion(R"({"prompt":"p","model":"desk"})");
   Request.Headers["x-request-id"] = "mine";
   const auto Read = readCompletion(Request, CompletionApi::Text, Context);
@@ -110,10 +109,10 @@
 }
 
 TEST(CallerRequest, PathsThatATargetCouldReadDifferentlyAreRefused) {
-  // Symptom: a slot is held twice after one broken connection.
-  // Sequence: the call's path is "/x/../slots/7"; it looks repeatable here
-  // and is sent again, and the service resolves it to "/slots/7".
-  // Cause: two readings of one path.
+  // Guards against a reservation that is made twice after a lost connection.
+  // This happens when entry and service interpret a path differently: the path
+  // "/x/../slots/7" looks repeatable and is retried, but the service resolves
+  // it to "/slots/7".
   for (const char *Path :
        {"/x/../slots/7", "//slots/7", "/./slots/7", "/slots/..", "/a%2fb",
         "/slots;x/7", "/slots\n/7", "/slots\x7f"}) {
