--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -21,7 +21,7 @@
   return true;
 }();
 
-config::Entry entryOf(const std::string &Name, const std::string &Text) {
+config::Entry backEndEntry(const std::string &Name, const std::string &Text) {
   return {.Kind = "backEnd",
           .Name = Name,
           .Version = 1,
@@ -32,41 +32,42 @@
 
 } // namespace
 
-config::SnapshotPointer recordsInForce() {
+config::SnapshotPointer testConfiguration() {
   config::Delta All;
   All.Head = 1;
   All.Full = true;
   All.Entries = {
-      entryOf("lm-desk", R"({"schemaVersion": 1, "kind": "backEnd",
+      backEndEntry("lm-desk", R"({"schemaVersion": 1, "kind": "backEnd",
         "name": "lm-desk", "spec": {"type": "model",
         "models": [{"name": "desk", "version": "1"}],
         "roles": {"mixed": 1}}})"),
-      entryOf("booking-core", R"({"schemaVersion": 1, "kind": "backEnd",
+      backEndEntry("booking-core", R"({"schemaVersion": 1, "kind": "backEnd",
         "name": "booking-core", "spec": {"type": "service",
         "nonRepeatablePaths": ["/slots"],
         "immediatePaths": ["/waivers"]}})")};
   return config::Snapshot::empty()->with(All);
 }
 
-wire::RunFrame FakeAgent::Asked::frame() const {
+wire::RunFrame FakeAgent::ReceivedCall::frame() const {
   wire::RunFrame Frame;
-  const bool IsRun = What == wire::Method::Run;
+  const bool IsRun = Method == wire::Method::Run;
   Frame.set_request_id(IsRun ? Run.request_id() : Resume.request_id());
   Frame.set_attempt_id(IsRun ? Run.attempt_id() : Resume.attempt_id());
   return Frame;
 }
 
-void FakeAgent::Asked::send(const wire::RunFrame &Frame) const {
+void FakeAgent::ReceivedCall::send(const wire::RunFrame &Frame) const {
   Answer->send(Frame.SerializeAsString());
 }
 
-void FakeAgent::Asked::accept() const {
+void FakeAgent::ReceivedCall::accept() const {
   wire::RunFrame Frame = frame();
   Frame.mutable_accepted();
   send(Frame);
 }
 
-void FakeAgent::Asked::token(uint32_t Index, const std::string &Text) const {
+void FakeAgent::ReceivedCall::token(uint32_t Index,
+                                    const std::string &Text) const {
   wire::RunFrame Frame = frame();
   Frame.mutable_tokens()->set_first_index(Index);
   Frame.mutable_tokens()->set_count(1);
@@ -74,7 +75,7 @@
   send(Frame);
 }
 
-void FakeAgent::Asked::finish(uint32_t Total) const {
+void FakeAgent::ReceivedCall::finish(uint32_t Total) const {
   wire::RunFrame Frame = frame();
   Frame.mutable_finished()->set_total_tokens(Total);
   Frame.mutable_finished()->set_finish_reason("stop");
@@ -82,14 +83,14 @@
   Answer->finish();
 }
 
-void FakeAgent::Asked::refuse(ResultCode Code) const {
+void FakeAgent::ReceivedCall::refuse(ResultCode Code) const {
   wire::RunFrame Frame = frame();
   Frame.mutable_refusal()->set_code(static_cast<uint32_t>(Code));
   send(Frame);
   Answer->finish();
 }
 
-void FakeAgent::Asked::answer(const std::string &Body) const {
+void FakeAgent::ReceivedCall::answer(const std::string &Body) const {
   wire::RunFrame Frame = frame();
   Frame.mutable_service_answer()->set_status(200);
   Frame.mutable_service_answer()->set_body(Body);
@@ -99,50 +100,50 @@
 
 class FakeAgent::Listener final : public wire::ServerListener {
 public:
-  explicit Listener(Script Does) : m_Script(std::move(Does)) {}
+  explicit Listener(Script OnCall) : m_Script(std::move(OnCall)) {}
 
   std::shared_ptr<wire::StreamListener>
-  onStream(wire::Method What, std::shared_ptr<wire::Stream> Opened) override {
-    return std::make_shared<Incoming>(*this, What, std::move(Opened));
+  onStream(wire::Method Method, std::shared_ptr<wire::Stream> Stream) override {
+    return std::make_shared<Incoming>(*this, Method, std::move(Stream));
   }
 
   std::mutex Mutex;
-  std::vector<Asked> All;
+  std::vector<ReceivedCall> Calls;
 
 private:
   class Incoming final : public wire::StreamListener {
   public:
-    Incoming(Listener &Owner, wire::Method What,
-             std::shared_ptr<wire::Stream> Opened)
+    Incoming(Listener &Owner, wire::Method Method,
+             std::shared_ptr<wire::Stream> Stream)
         : m_Owner(Owner) {
-      m_Asked.What = What;
-      m_Asked.Answer = std::move(Opened);
-      m_Asked.Ended = std::make_shared<std::atomic<bool>>(false);
+      m_Call.Method = Method;
+      m_Call.Answer = std::move(Stream);
+      m_Call.Ended = std::make_shared<std::atomic<bool>>(false);
     }
     void onMessage(std::string_view Message) override {
       const int Size = static_cast<int>(Message.size());
-      if (m_Asked.What == wire::Method::Run)
-        m_Asked.Run.ParseFromArray(Message.data(), Size);
+      if (m_Call.Method == wire::Method::Run)
+        m_Call.Run.ParseFromArray(Message.data(), Size);
       else
-        m_Asked.Resume.ParseFromArray(Message.data(), Size);
+        m_Call.Resume.ParseFromArray(Message.data(), Size);
       {
         const std::lock_guard Lock(m_Owner.Mutex);
-        m_Owner.All.push_back(m_Asked);
+        m_Owner.Calls.push_back(m_Call);
       }
-      m_Owner.m_Script(m_Asked);
+      m_Owner.m_Script(m_Call);
     }
-    void onEnd(wire::StreamEnd) override { m_Asked.Ended->store(true); }
+    void onEnd(wire::StreamEnd) override { m_Call.Ended->store(true); }
 
   private:
     Listener &m_Owner;
-    Asked m_Asked;
+    ReceivedCall m_Call;
   };
 
   const Script m_Script;
 };
 
-FakeAgent::FakeAgent(Script Does)
-    : m_Listener(std::make_shared<Listener>(std::move(Does))) {
+FakeAgent::FakeAgent(Script OnCall)
+    : m_Listener(std::make_shared<Listener>(std::move(OnCall))) {
   wire::ServerOptions Options;
   Options.Listen = Endpoint{"127.0.0.1", 0};
   Options.Threads = 1;
@@ -151,9 +152,9 @@
 
 void FakeAgent::stop() { m_Server->stop(); }
 
-std::vector<FakeAgent::Asked> FakeAgent::asked() const {
+std::vector<FakeAgent::ReceivedCall> FakeAgent::calls() const {
   const std::lock_guard Lock(m_Listener->Mutex);
-  return m_Listener->All;
+  return m_Listener->Calls;
 }
 
 /// The caller counts as answered after close().
@@ -161,13 +162,13 @@
 public:
   explicit Stream(FakeCaller &Owner) : m_Owner(Owner) {}
   bool send(std::string_view Data) override {
-    if (m_Owner.m_Left.load())
+    if (m_Owner.m_IsDisconnected.load())
       return false;
     m_Owner.Events.emplace_back(Data);
-    m_Owner.m_Begun.store(true);
+    m_Owner.m_HasEvents.store(true);
     return true;
   }
-  bool comment() override { return !m_Owner.m_Left.load(); }
+  bool comment() override { return !m_Owner.m_IsDisconnected.load(); }
   void close() override { m_Owner.m_Answered.store(true); }
   size_t queuedBytes() const override { return 0; }
 
@@ -175,28 +176,28 @@
   FakeCaller &m_Owner;
 };
 
-void FakeCaller::reply(http::Response Given) {
-  Answer = std::move(Given);
+void FakeCaller::reply(http::Response Response) {
+  Answer = std::move(Response);
   m_Answered.store(true);
 }
 
-void FakeCaller::replyProblem(const Error &What) {
-  Problem = What;
+void FakeCaller::replyProblem(const Error &Failure) {
+  Problem = Failure;
   m_Answered.store(true);
 }
 
 std::shared_ptr<http::EventStream>
-FakeCaller::startEvents(http::HeaderList, std::function<void()> Gone) {
-  m_Gone = std::move(Gone);
+FakeCaller::startEvents(http::HeaderList, std::function<void()> OnDisconnect) {
+  m_OnDisconnect = std::move(OnDisconnect);
   return std::make_shared<Stream>(*this);
 }
 
-void FakeCaller::leave() {
-  m_Left.store(true);
-  m_Gone();
+void FakeCaller::disconnect() {
+  m_IsDisconnected.store(true);
+  m_OnDisconnect();
 }
 
-CallBench::CallBench() {
+CallFixture::CallFixture() {
   wire::ClientOptions Options;
   Options.Threads = 1;
   m_Client = std::move(wire::Client::create(Options).value());
@@ -206,21 +207,21 @@
                          [](uint64_t) {}, [](const std::string &) {}});
 }
 
-CallBench::~CallBench() {
+CallFixture::~CallFixture() {
   m_Timers.stop();
   m_State.publish(std::make_unique<entry::ServingState>());
   m_Targets.clear();
   m_Client.reset();
 }
 
-void CallBench::add(const std::string &Id, const std::string &BackEnd,
-                    FakeAgent &Agent) {
+void CallFixture::add(const std::string &Id, const std::string &BackEnd,
+                      FakeAgent &Agent) {
   platform::Vm Vm;
   Vm.Id = Id;
   Vm.BackEnd = BackEnd;
   Vm.Peer = Agent.endpoint();
   auto Link = entry::TargetLink::connect(
-      Vm, {*m_Client, m_Events, m_Book.gauge(Id), m_Health.health(Id)},
+      Vm, {*m_Client, m_Events, m_InFlight.gauge(Id), m_Health.health(Id)},
       {[](bool) {}, [](const wire::SyncDown &) {}});
   CHECK_TRUE(eventually(
       [&] { return Link->channel().state() == wire::ChannelState::Up; }));
@@ -228,39 +229,39 @@
   publish();
 }
 
-void CallBench::makeHome(const std::string &Id, const std::string &BackEnd) {
+void CallFixture::makeHome(const std::string &Id, const std::string &BackEnd) {
   idempotency::GrantTable Grants;
   Grants.fill({Id, 3});
   m_Homes[BackEnd].learn(Grants);
   publish();
 }
 
-void CallBench::publish() {
+void CallFixture::publish() {
   auto Next = std::make_unique<entry::ServingState>();
   std::vector<route::TargetView> Views;
-  for (const Target &Known : m_Targets) {
+  for (const Target &Target : m_Targets) {
     route::TargetView View;
-    View.Id = Known.Id;
-    View.BackEnd = Known.BackEnd;
+    View.Id = Target.Id;
+    View.BackEnd = Target.BackEnd;
     View.Accepting = true;
     Views.push_back(std::move(View));
-    Next->Links[Known.Id] = Known.Link;
+    Next->Links[Target.Id] = Target.Link;
   }
   Next->NotReady.reset();
-  Next->Configuration = recordsInForce();
-  Next->Table = route::RoutingTable(std::move(Views), m_Book);
+  Next->Configuration = testConfiguration();
+  Next->Table = route::RoutingTable(std::move(Views), m_InFlight);
   Next->Homes = m_Homes;
   m_State.publish(std::move(Next));
 }
 
-std::shared_ptr<FakeCaller> CallBench::call(entry::CallerRequest Request) {
+std::shared_ptr<FakeCaller> CallFixture::call(entry::CallerRequest Request) {
   auto Caller = std::make_shared<FakeCaller>();
   entry::Call::start(*m_Context, Caller, std::move(Request));
   return Caller;
 }
 
-entry::CallerRequest CallBench::completion(uint32_t MaximumTokens,
-                                           bool Streamed) {
+entry::CallerRequest CallFixture::completion(uint32_t MaximumTokens,
+                                             bool Streamed) {
   entry::CallerRequest Request;
   Request.RequestId = m_Ids.nextText();
   Request.BackEnd = "lm-desk";
@@ -274,7 +275,7 @@
   return Request;
 }
 
-entry::CallerRequest CallBench::slotHold(const std::string &Key) {
+entry::CallerRequest CallFixture::slotReservation(const std::string &Key) {
   entry::CallerRequest Request;
   Request.RequestId = m_Ids.nextText();
   Request.BackEnd = "booking-core";
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -21,7 +21,7 @@
 
 /// Configuration with the model back end "lm-desk", which serves "desk", and
 /// the service "booking-core", whose /slots paths are not repeatable.
-config::SnapshotPointer recordsInForce();
+config::SnapshotPointer testConfiguration();
 
 template <typename F> bool eventually(F Condition) {
   const auto End = std::chrono::steady_clock::now() + std::chrono::seconds(5);
@@ -37,8 +37,8 @@
 class FakeAgent {
 public:
   /// The stream of one Run or Resume.
-  struct Asked {
-    wire::Method What = wire::Method::Run;
+  struct ReceivedCall {
+    wire::Method Method = wire::Method::Run;
     wire::RunRequest Run;
     wire::ResumeRequest Resume;
     std::shared_ptr<wire::Stream> Answer;
@@ -53,14 +53,14 @@
     void refuse(ResultCode Code) const;
     void answer(const std::string &Body) const;
   };
-  using Script = std::function<void(const Asked &)>;
+  using Script = std::function<void(const ReceivedCall &)>;
 
-  explicit FakeAgent(Script Does);
+  explicit FakeAgent(Script OnCall);
   ~FakeAgent() { stop(); }
   void stop();
   const Endpoint &endpoint() const { return m_Server->endpoint(); }
-  std::vector<Asked> asked() const;
-  size_t count() const { return asked().size(); }
+  std::vector<ReceivedCall> calls() const;
+  size_t count() const { return calls().size(); }
 
 private:
   class Listener;
@@ -76,15 +76,16 @@
   void setRequestId(std::string) override {}
   void addHeader(std::string, std::string) override {}
   void reply(http::Response Answer) override;
-  void replyProblem(const Error &What) override;
+  void replyProblem(const Error &Failure) override;
   std::shared_ptr<http::EventStream>
-  startEvents(http::HeaderList Headers, std::function<void()> Gone) override;
+  startEvents(http::HeaderList Headers,
+              std::function<void()> OnDisconnect) override;
 
   bool answered() const { return m_Answered.load(); }
   /// Whether an event has been received.
-  bool begun() const { return m_Begun.load(); }
+  bool hasEvents() const { return m_HasEvents.load(); }
   /// Simulates the loss of the caller's connection.
-  void leave();
+  void disconnect();
 
   http::Response Answer;
   std::optional<Error> Problem;
@@ -95,16 +96,16 @@
 
   http::Request m_Request;
   std::atomic<bool> m_Answered{false};
-  std::atomic<bool> m_Begun{false};
-  std::atomic<bool> m_Left{false};
-  std::function<void()> m_Gone;
+  std::atomic<bool> m_HasEvents{false};
+  std::atomic<bool> m_IsDisconnected{false};
+  std::function<void()> m_OnDisconnect;
 };
 
 /// Provides the context that calls need, with links to fake agents.
-class CallBench {
+class CallFixture {
 public:
-  CallBench();
-  ~CallBench();
+  CallFixture();
+  ~CallFixture();
 
   /// Connects to the agent and adds it as a serving target.
   void add(const std::string &Id, const std::string &BackEnd, FakeAgent &Agent);
@@ -113,14 +114,14 @@
   void publish();
   /// Sets the load reported by the target until its next report.
   void report(const std::string &Id, const route::TargetLoad &Load) {
-    m_Book.gauge(Id)->report(Load, BootClock::now());
+    m_InFlight.gauge(Id)->report(Load, BootClock::now());
   }
   retry::HealthBook &health() { return m_Health; }
   std::shared_ptr<FakeCaller> call(entry::CallerRequest Request);
 
   entry::CallerRequest completion(uint32_t MaximumTokens,
                                   bool Streamed = false);
-  entry::CallerRequest slotHold(const std::string &Key = {});
+  entry::CallerRequest slotReservation(const std::string &Key = {});
 
   metrics::Registry Metrics;
   entry::CallMetrics Counters{Metrics};
@@ -139,7 +140,7 @@
   entry::WorkspaceTracker m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
   retry::RetrySettings m_RetryOptions;
-  route::InFlightBook m_Book;
+  route::InFlightBook m_InFlight;
   entry::ServingStatePointer m_State;
   entry::EventLoop m_Timers;
   std::unique_ptr<wire::Client> m_Client;
--- a/Tests/FigliftEntry/TestCallerRequest.cpp
+++ b/Tests/FigliftEntry/TestCallerRequest.cpp
@@ -14,7 +14,7 @@
 using namespace figlift::entry;
 
 TEST_GROUP(CallerRequest) {
-  config::SnapshotPointer Records = test::recordsInForce();
+  config::SnapshotPointer Records = test::testConfiguration();
   ReadContext Context{*Records, std::chrono::seconds(30), "fresh"};
 
   http::Request completion(const std::string &Body) {
@@ -39,7 +39,7 @@
   }
 };
 
-TEST(CallerRequest, ModelsAreFoundByEachOfTheirNames) {
+TEST(CallerRequest, FindsModelsByEachOfTheirNames) {
   for (const char *Model : {"desk", "desk@1", "lm-desk/desk", "lm-desk"}) {
     const auto Read =
         read(std::string(R"({"prompt":"p","model":")") + Model + "\"}");
@@ -52,7 +52,7 @@
         codeOf(read(R"({"prompt":"p","model":"other/desk"})")));
 }
 
-TEST(CallerRequest, WhatCannotBeServedIsRefusedWithItsField) {
+TEST(CallerRequest, RejectsUnsupportedFieldsByName) {
   const auto Many = read(R"({"prompt":"p","model":"desk","n":2})");
   STRCMP_EQUAL("n", Many.error().Field.c_str());
   const auto Zero = read(R"({"prompt":"p","model":"desk","max_tokens":0})");
@@ -62,7 +62,7 @@
   CHECK(ResultCode::InvalidInput == codeOf(read("[1")));
 }
 
-TEST(CallerRequest, TheIdBetweenProcessesIsNeverTheCallersOwn) {
+TEST(CallerRequest, NeverUsesTheCallersIdAsRequestId) {
   // Guards against a caller that receives another caller's answer. This happens
   // when two callers send the same X-Request-Id and it is used as a unique id:
   // agents hold answers by request id and resume one for the other.
@@ -73,7 +73,7 @@
   STRCMP_EQUAL("fresh", Read.value().RequestId.c_str());
 }
 
-TEST(CallerRequest, DeadlinesNeedAUnitAndAWorkspaceNeedsARecord) {
+TEST(CallerRequest, RejectsDeadlineWithoutUnitAndUnknownWorkspace) {
   http::Request Request = completion(R"({"prompt":"p","model":"desk"})");
   Request.Headers["x-figlift-deadline"] = "2s";
   const auto Read = readCompletion(Request, CompletionApi::Text, Context);
@@ -87,19 +87,20 @@
         codeOf(readCompletion(Request, CompletionApi::Text, Context)));
 }
 
-TEST(CallerRequest, RecordsSayWhichCallsMayNotBeRepeated) {
-  http::Request Hold = service("POST", "/v1/services/booking-core/slots/7");
-  Hold.Headers["idempotency-key"] = "key";
-  Hold.RawQuery = "a=%20b";
-  const auto Read = readServiceCall(Hold, Context);
+TEST(CallerRequest, AppliesRepeatabilityAndClassFromRecords) {
+  http::Request Reservation =
+      service("POST", "/v1/services/booking-core/slots/7");
+  Reservation.Headers["idempotency-key"] = "key";
+  Reservation.RawQuery = "a=%20b";
+  const auto Read = readServiceCall(Reservation, Context);
   CHECK_FALSE(Read.value().Repeatable);
   CHECK_TRUE(Read.value().keyed());
   STRCMP_EQUAL("/slots/7?a=%20b",
                std::get<ServiceWork>(Read.value().Work).Path.c_str());
 
-  const auto Look = readServiceCall(
+  const auto Query = readServiceCall(
       service("GET", "/v1/services/booking-core/slots/7"), Context);
-  CHECK_TRUE(Look.value().Repeatable);
+  CHECK_TRUE(Query.value().Repeatable);
   const auto Similar = readServiceCall(
       service("POST", "/v1/services/booking-core/slotsman"), Context);
   CHECK_TRUE(Similar.value().Repeatable);
@@ -108,7 +109,7 @@
   CHECK(record::ServiceClass::Immediate == Waiver.value().Class);
 }
 
-TEST(CallerRequest, PathsThatATargetCouldReadDifferentlyAreRefused) {
+TEST(CallerRequest, RejectsAmbiguousPaths) {
   // Guards against a reservation that is made twice after a lost connection.
   // This happens when entry and service interpret a path differently: the path
   // "/x/../slots/7" looks repeatable and is retried, but the service resolves
