--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -237,8 +237,8 @@
   m_LastMessage = Frame.message();
   ResultCode Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
                         .value_or(ResultCode::TargetFailed);
-  // An answer taken over from an earlier call is cut at that call's deadline,
-  // while the deadline of this call has not passed.
+  // Agents end an answer taken over from an earlier call at that call's
+  // deadline, which may pass before the deadline of this call.
   if (m_TakenOver && Code == ResultCode::DeadlineExceeded &&
       timeLeft().count() > 0)
     Code = ResultCode::TargetFailed;
--- a/Services/figlift-entry/CallHeldAnswer.cpp
+++ b/Services/figlift-entry/CallHeldAnswer.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 /// Number of targets among which a completion with a key is balanced. Two allow
-/// a busy target to be avoided; more would delay retries, because each of them
-/// is asked for a held answer.
+/// a busy target to be avoided. The number is small because each of them is
+/// asked for a held answer when the caller retries.
 constexpr size_t PreferredTargets = 2;
 
 using Ranking = std::vector<const route::TargetView *>;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -35,7 +35,7 @@
   if (!m_Configuration)
     return notReadyError("the entry has no configuration yet");
   if (!m_Membership.listKnown())
-    return notReadyError("the entry does not know the targets yet");
+    return notReadyError("the entry has not received the list of targets yet");
   return m_NotReady;
 }
 
