--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -33,10 +33,10 @@
 } // namespace
 
 config::SnapshotPointer testConfiguration() {
-  config::Delta All;
-  All.Head = 1;
-  All.Full = true;
-  All.Entries = {
+  config::Delta Delta;
+  Delta.Head = 1;
+  Delta.Full = true;
+  Delta.Entries = {
       backEndEntry("lm-desk", R"({"schemaVersion": 1, "kind": "backEnd",
         "name": "lm-desk", "spec": {"type": "model",
         "models": [{"name": "desk", "version": "1"}],
@@ -45,7 +45,7 @@
         "name": "booking-core", "spec": {"type": "service",
         "nonRepeatablePaths": ["/slots"],
         "immediatePaths": ["/waivers"]}})")};
-  return config::Snapshot::empty()->with(All);
+  return config::Snapshot::empty()->with(Delta);
 }
 
 wire::RunFrame FakeAgent::ReceivedCall::frame() const {
