--- a/Services/figlift-entry/AnswerWriter.h
+++ b/Services/figlift-entry/AnswerWriter.h
@@ -1,7 +1,7 @@
-//===- AnswerWriter.h - Answers in the caller's form ------------*- C++ -*-===//
+//===- AnswerWriter.h - HTTP responses to callers ---------------*- C++ -*-===//
 //
-// What a call writes to its caller: a stream of chunks, one whole completion,
-// or the answer of a plain service.
+// Writes the response of a call: a stream of completion chunks, a buffered
+// completion, or the response of a service back end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace figlift::entry {
 
-/// End of a completion.
+/// Finish reason and token usage of a completion.
 struct CompletionEnd {
   std::string FinishReason;
   uint32_t PromptTokens = 0;
@@ -29,44 +29,45 @@
   uint32_t CachedPromptTokens = 0;
 };
 
-/// Server-sent events. The answer begins with the first token, so that what
-/// fails before it is an HTTP status of its own.
+/// Streams server-sent events. The response starts with the first token, so
+/// that an earlier failure can still be reported with its own HTTP status.
 class StreamedCompletion {
 public:
   StreamedCompletion(std::shared_ptr<http::Exchange> Caller,
                      const CompletionWork &Work, std::string Id,
-                     std::function<void()> Gone);
-  /// False when the caller has gone.
+                     std::function<void()> OnDisconnect);
+  /// Returns false when the caller has disconnected.
   bool tokens(std::string_view Text);
-  /// Writes something that a caller ignores; begins the answer. Any thread.
+  /// Writes a comment event, which callers ignore, and starts the response if
+  /// necessary. Thread-safe.
   bool keepAlive();
   void finish(const CompletionEnd &End);
-  void fail(const Error &What);
+  void fail(const Error &Failure);
 
 private:
-  void begin();
+  void start();
 
   const std::shared_ptr<http::Exchange> m_Caller;
-  const std::function<void()> m_Gone;
+  const std::function<void()> m_OnDisconnect;
   const bool m_IsChat;
-  /// Everything of a chunk before its text.
+  /// JSON prefix of every chunk, up to the generated text.
   std::string m_Head;
-  /// The answer is begun, or ended as a problem, once: tokens, the keep-alive
-  /// timer and a failure may all come first.
-  std::once_flag m_Begun;
-  /// Null until begun, and for ever when the answer is a problem.
+  /// Starts the event stream, or sends a problem response instead, only once:
+  /// tokens, the keep-alive timer and a failure can race to be first.
+  std::once_flag m_StartOnce;
+  /// Null until the response starts; stays null for a problem response.
   std::shared_ptr<http::EventStream> m_Stream;
 };
 
-/// One JSON object, written at the end.
-class WholeCompletion {
+/// Buffers the tokens and sends one JSON object at the end.
+class BufferedCompletion {
 public:
-  WholeCompletion(std::shared_ptr<http::Exchange> Caller,
-                  const CompletionWork &Work, std::string Id);
+  BufferedCompletion(std::shared_ptr<http::Exchange> Caller,
+                     const CompletionWork &Work, std::string Id);
   bool tokens(std::string_view Text);
   bool keepAlive() { return true; }
   void finish(const CompletionEnd &End);
-  void fail(const Error &What) { m_Caller->replyProblem(What); }
+  void fail(const Error &Failure) { m_Caller->replyProblem(Failure); }
 
 private:
   const std::shared_ptr<http::Exchange> m_Caller;
@@ -76,27 +77,27 @@
   std::string m_Text;
 };
 
-/// Status and body as the target gave them.
-class PlainAnswer {
+/// Forwards status and body of a service back end unchanged.
+class ServiceResponse {
 public:
-  explicit PlainAnswer(std::shared_ptr<http::Exchange> Caller)
+  explicit ServiceResponse(std::shared_ptr<http::Exchange> Caller)
       : m_Caller(std::move(Caller)) {}
   void answer(const wire::ServiceAnswer &Answer);
   bool keepAlive() { return true; }
-  void fail(const Error &What) { m_Caller->replyProblem(What); }
+  void fail(const Error &Failure) { m_Caller->replyProblem(Failure); }
 
 private:
   const std::shared_ptr<http::Exchange> m_Caller;
 };
 
 using AnswerWriter = std::variant<std::unique_ptr<StreamedCompletion>,
-                                  std::unique_ptr<WholeCompletion>,
-                                  std::unique_ptr<PlainAnswer>>;
+                                  std::unique_ptr<BufferedCompletion>,
+                                  std::unique_ptr<ServiceResponse>>;
 
-/// The writer that fits the request. \p Gone is called when a write to the
-/// caller failed.
+/// Creates the writer for the kind of request. \p OnDisconnect is called when a
+/// write to the caller fails.
 AnswerWriter makeAnswerWriter(std::shared_ptr<http::Exchange> Caller,
-                              const CallerRequest &For,
-                              std::function<void()> Gone);
+                              const CallerRequest &Request,
+                              std::function<void()> OnDisconnect);
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Attempt.h
+++ b/Services/figlift-entry/Attempt.h
@@ -1,7 +1,7 @@
 //===- Attempt.h - One stream of a call to an agent -------------*- C++ -*-===//
 //
-// Checks the frames of one Run or Resume and passes on those that belong to
-// it, until the attempt has ended once.
+// Receives the frames of one Run or Resume stream, drops those of other
+// attempts, and forwards the rest to the call until the attempt has ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +19,8 @@
 
 class Call;
 
-/// Frames arrive on the I/O thread of the channel, one at a time. cancel()
-/// may be called from any thread.
+/// Frames arrive one at a time on the I/O thread of the channel. cancel() is
+/// thread-safe.
 class Attempt final : public wire::StreamListener,
                       public std::enable_shared_from_this<Attempt> {
 public:
@@ -30,36 +30,36 @@
   };
 
   Attempt(std::shared_ptr<Call> Owner, std::shared_ptr<TargetLink> Link,
-          Identity Names, route::InFlightTicket Ticket,
-          uint32_t PrefixTokensBelieved);
+          Identity Ids, route::InFlightTicket Ticket,
+          uint32_t ExpectedPrefixTokens);
   ~Attempt() override;
 
-  /// Opens the stream. The end may be reported before this returns.
-  void send(wire::Method What, std::string FirstMessage);
-  /// Resets the stream; the end is reported as Cancelled.
+  /// Opens the stream. onEnd() may be called before this returns.
+  void send(wire::Method Method, std::string FirstMessage);
+  /// Resets the stream, which then ends as Cancelled.
   void cancel();
 
-  const Identity &identity() const { return m_Names; }
+  const Identity &identity() const { return m_Ids; }
   const std::shared_ptr<TargetLink> &link() const { return m_Link; }
 
   void onMessage(std::string_view Message) override;
   void onEnd(wire::StreamEnd End) override;
 
 private:
-  bool isOwn(const wire::RunFrame &Frame) const;
-  void learn(const wire::RunFrame &Frame);
-  void pass(const wire::RunFrame &Frame);
-  void learnHit(uint32_t CachedPromptTokens);
+  bool belongsToAttempt(const wire::RunFrame &Frame) const;
+  void updateTarget(const wire::RunFrame &Frame);
+  void dispatch(const wire::RunFrame &Frame);
+  void recordPrefixHit(uint32_t CachedPromptTokens);
 
   const std::shared_ptr<Call> m_Owner;
   const std::shared_ptr<TargetLink> m_Link;
-  const Identity m_Names;
+  const Identity m_Ids;
   route::InFlightTicket m_Ticket;
-  const uint32_t m_PrefixTokensBelieved;
-  /// The call was told of the end; nothing of this attempt reaches it any
-  /// more, because its next attempt may be running on another thread.
-  bool m_Settled = false;
-  std::atomic<bool> m_CancelWanted{false};
+  const uint32_t m_ExpectedPrefixTokens;
+  /// The end has been reported to the call. Later frames are dropped, because
+  /// the next attempt of the call may already run on another thread.
+  bool m_Ended = false;
+  std::atomic<bool> m_CancelRequested{false};
   std::atomic<std::shared_ptr<wire::Stream>> m_Stream;
 };
 
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -1,14 +1,14 @@
-//===- Call.h - One caller's request over its attempts ----------*- C++ -*-===//
+//===- Call.h - A caller's request and its attempts -------------*- C++ -*-===//
 //
-// Sends attempts until the caller has its whole answer or a true refusal. What
-// follows the end of an attempt is LibRetry's decision; this shell carries it
-// out.
+// Sends attempts until the caller has a complete answer or an error. LibRetry
+// decides what follows the end of an attempt; this class executes the decision.
 //
-// Ownership instead of locks: at any time either one attempt is live, and only
-// its channel's I/O thread touches the call's state, or a retry timer is
-// pending, and only the timer thread does. An attempt that has told the call
-// of its end never touches it again. Callers who go and deadlines that pass
-// come from other threads; they set a flag and cancel the live attempt.
+// Call state is not locked. At any time either one attempt is live, and only
+// the I/O thread of its channel accesses the state, or a retry timer is
+// pending, and only the timer thread does. An attempt that has reported its end
+// never accesses the call again. Disconnects of the caller and expired
+// deadlines are reported on other threads, which set a flag and cancel the live
+// attempt.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,132 +30,134 @@
 
 class Call : public std::enable_shared_from_this<Call> {
 public:
-  /// Begins the call; the exchange is answered exactly once, later.
-  static void start(const CallContext &With,
+  /// Starts the call, which answers the exchange exactly once.
+  static void start(const CallContext &Context,
                     std::shared_ptr<http::Exchange> Caller,
                     CallerRequest Request);
   ~Call();
 
   const CallContext &context() const { return m_Context; }
 
-  // From the live attempt.
+  // Called by the live attempt.
   void onAccepted();
-  /// False when the attempt was given up because of these tokens.
-  bool onTokens(Attempt &From, const wire::Tokens &Frame);
-  void onFinished(Attempt &From, const wire::Finished &Frame);
-  void onServiceAnswer(Attempt &From, const wire::ServiceAnswer &Frame);
-  void onRefusal(Attempt &From, const wire::Refusal &Frame);
-  void onFailure(Attempt &From, const wire::Failure &Frame);
-  void onBroken(Attempt &From, wire::StreamEnd End);
+  /// Returns false when these tokens made the call abandon the attempt.
+  bool onTokens(Attempt &Source, const wire::Tokens &Frame);
+  void onFinished(Attempt &Source, const wire::Finished &Frame);
+  void onServiceAnswer(Attempt &Source, const wire::ServiceAnswer &Frame);
+  void onRefusal(Attempt &Source, const wire::Refusal &Frame);
+  void onFailure(Attempt &Source, const wire::Failure &Frame);
+  void onStreamEnd(Attempt &Source, wire::StreamEnd End);
 
 private:
-  enum class StopReason { None, CallerGone, DeadlinePassed };
+  enum class StopReason { None, CallerDisconnected, DeadlinePassed };
 
-  /// Where an attempt goes.
+  /// Target of an attempt.
   struct Destination {
     std::shared_ptr<TargetLink> Link;
     route::InFlightTicket Ticket;
-    uint32_t PrefixTokensBelieved = 0;
-    /// Of the grant, for keyed work.
+    uint32_t ExpectedPrefixTokens = 0;
+    /// Epoch of the slice grant; only for keyed work.
     uint64_t SliceEpoch = 0;
   };
 
-  Call(const CallContext &With, CallerRequest Request);
+  Call(const CallContext &Context, CallerRequest Request);
 
   bool admit();
-  void arm();
+  void startTimers();
   void keepAlive();
-  void keepAliveLater();
-  void stop(StopReason Why);
+  void scheduleKeepAlive();
+  void stop(StopReason Reason);
   Error stopError() const;
 
-  Result<Destination> choose();
+  Result<Destination> chooseDestination();
   Result<Destination> chooseTarget(const ServingState &Now);
   std::optional<route::Choice>
   chooseProbe(const ServingState &Now,
-              const std::vector<std::string> &NotPreferred);
-  /// Those that failed this request, or others of late.
+              const std::vector<std::string> &NonPreferred);
+  /// Targets that failed this request, and targets that are ejected.
   std::vector<std::string> excludedTargets();
   uint64_t routingSeed() const;
-  void logChosen(const route::TargetView &Target,
-                 const std::vector<route::Considered> &Account,
-                 const std::vector<std::string> &Excluded) const;
+  void logChosenTarget(const route::TargetView &Target,
+                       const std::vector<route::Considered> &Candidates,
+                       const std::vector<std::string> &Excluded) const;
   Result<Destination> chooseHome(const ServingState &Now);
-  Result<Destination> destination(const ServingState &Now,
-                                  const route::Choice &Best);
+  Result<Destination> makeDestination(const ServingState &Now,
+                                      const route::Choice &Chosen);
   route::RequestShape shape() const;
   void pinModel(const route::TargetView &Target);
-  void attempt();
+  void startAttempt();
   void resume(std::shared_ptr<TargetLink> Link);
-  void launch(wire::Method What, std::string Message, Destination To,
-              std::string AttemptId);
+  void sendAttempt(wire::Method Method, std::string Message, Destination Target,
+                   std::string AttemptId);
   wire::RunRequest runRequest(const std::string &AttemptId,
                               uint64_t SliceEpoch) const;
-  void describe(const CompletionWork &Work, wire::RunRequest &Into) const;
-  void describe(const ServiceWork &Work, wire::RunRequest &Into) const;
+  void fillRequest(const CompletionWork &Work, wire::RunRequest &Request) const;
+  void fillRequest(const ServiceWork &Work, wire::RunRequest &Request) const;
 
-  /// Of a completion with a key: all targets but those that should run it.
+  /// For a completion with an idempotency key: all targets except those
+  /// preferred by the key.
   std::vector<std::string>
-  withoutPreferred(const ServingState &Now,
-                   const route::RequestShape &Shape) const;
-  /// Lists the agents that may hold the answer from an earlier call.
+  nonPreferredTargets(const ServingState &Now,
+                      const route::RequestShape &Shape) const;
+  /// Lists the agents that may hold the answer of an earlier call.
   void findHolders();
-  /// Asks the next of them; the first attempt follows when none is left.
-  void askHolders();
-  /// An agent that was asked has the answer.
-  void takeOver(const Attempt &From);
-
-  bool giveUpAnswer(Attempt &From);
-  void afterEnd(const std::shared_ptr<TargetLink> &Link,
-                const retry::AttemptEnd &End);
+  /// Requests the held answer from the next of these agents, or sends the first
+  /// attempt when none is left.
+  void queryNextHolder();
+  /// Adopts the answer held by the agent of \p Source.
+  void takeOver(const Attempt &Source);
+
+  bool abandonAttempt(Attempt &Source);
+  void onAttemptEnd(const std::shared_ptr<TargetLink> &Link,
+                    const retry::AttemptEnd &End);
   void perform(const retry::RetryElsewhere &Next);
   void perform(const retry::ResumeSame &Next);
   void perform(const retry::ContinueElsewhere &Next);
   void perform(const retry::AskHomeAgain &Next);
   void perform(const retry::WaitForBudget &Next);
   void perform(const retry::GiveUp &Next);
-  void newAttemptAfter(std::chrono::milliseconds Delay);
-  void runAfter(std::chrono::milliseconds Delay, EventLoop::Task What);
-  void fail(Error What);
-  void countAsDemand(ResultCode Code);
+  void scheduleNewAttempt(std::chrono::milliseconds Delay);
+  void runAfter(std::chrono::milliseconds Delay, EventLoop::Task Task);
+  void fail(Error Failure);
+  void recordRefusedDemand(ResultCode Code);
   void finish(ResultCode Code);
   std::chrono::milliseconds timeLeft() const;
 
   const CallContext &m_Context;
   CallerRequest m_Request;
-  const BootTime m_Began = BootClock::now();
+  const BootTime m_StartTime = BootClock::now();
   const BootTime m_Deadline;
   std::optional<AnswerWriter> m_Writer;
   retry::RequestHistory m_History;
   /// Targets that failed or refused this request.
-  std::vector<std::string> m_Excluded;
-  /// Of a completion: text of the tokens that the caller has.
+  std::vector<std::string> m_FailedTargets;
+  /// Completions only: text of the tokens delivered to the caller.
   std::string m_DeliveredText;
-  /// What the last refusal or failure said.
+  /// Message of the last refusal or failure.
   std::string m_LastMessage;
   std::vector<uint64_t> m_PrefixHashes;
-  /// Set when the model's version was left open and a target has been chosen:
-  /// an answer must not be continued by another version.
+  /// Model version of the first target, if the request did not name a version:
+  /// another version must not continue the answer.
   std::string m_PinnedModel;
-  /// Target of the last attempt; for resuming.
+  /// Target of the last attempt, used to resume there.
   std::shared_ptr<TargetLink> m_LastLink;
-  /// Agents still to be asked for a held answer, the next one last.
+  /// Agents not yet asked for a held answer, in reverse order.
   std::vector<std::shared_ptr<TargetLink>> m_Holders;
-  /// The live attempt asks for a held answer: nothing has run for this call
-  /// yet, and its end, however it comes, only leads to the next question.
-  bool m_Asking = false;
-  /// The answer was begun for an earlier call of the same caller.
+  /// The live attempt looks for a held answer. Nothing has run for this call
+  /// yet; if the attempt ends in any way, the next holder is asked.
+  bool m_IsQueryingHolder = false;
+  /// The answer was started by an earlier call of the same caller.
   bool m_TakenOver = false;
-  /// Under which name the agent of the last attempt holds the answer.
-  std::string m_HeldAs;
-  bool m_Counted = false;
+  /// Request id under which the agent of the last attempt holds the answer.
+  std::string m_HeldRequestId;
+  bool m_IsCounted = false;
   EventLoop::TimerId m_DeadlineTimer;
 
   std::atomic<bool> m_Accepted{false};
-  std::atomic<StopReason> m_Stop{StopReason::None};
+  std::atomic<StopReason> m_StopReason{StopReason::None};
   std::atomic<bool> m_Done{false};
-  std::atomic<std::shared_ptr<Attempt>> m_Live;
-  /// Nanoseconds of BootClock when something was last written to the caller.
+  std::atomic<std::shared_ptr<Attempt>> m_LiveAttempt;
+  /// BootClock time of the last write to the caller, in nanoseconds.
   std::atomic<int64_t> m_LastWrite{0};
 };
 
--- a/Services/figlift-entry/CallContext.h
+++ b/Services/figlift-entry/CallContext.h
@@ -1,6 +1,6 @@
-//===- CallContext.h - What all calls of an entry share ---------*- C++ -*-===//
+//===- CallContext.h - State shared by all calls of an entry ----*- C++ -*-===//
 //
-// Services and books that a call uses; they outlive every call.
+// Services and trackers that calls use. They outlive every call.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,23 +26,23 @@
 
 namespace figlift::entry {
 
-/// Totals of the work of one back end that this entry refused early. The
-/// planner counts them as demand, which agents cannot report.
+/// Totals of the work that this entry refused for one back end before any agent
+/// received it. The planner adds them to the demand that agents report.
 struct RefusedWork {
-  RefusedWork(metrics::Registry &Into, const std::string &BackEnd);
+  RefusedWork(metrics::Registry &Registry, const std::string &BackEnd);
 
   metrics::Counter &PrefillTokens;
   metrics::Counter &DecodeTokens;
 };
 
-/// Metrics of the request path, made once.
+/// Metrics of the request path.
 struct CallMetrics {
-  explicit CallMetrics(metrics::Registry &Into);
+  explicit CallMetrics(metrics::Registry &Registry);
 
-  void ended(ResultCode Code);
-  /// Work that this entry refused although no agent has seen it.
-  void refusedEarly(const std::string &BackEnd, uint64_t PrefillTokens,
-                    uint64_t DecodeTokens);
+  void recordEnd(ResultCode Code);
+  /// Records work that was refused before any agent received it.
+  void recordRefusal(const std::string &BackEnd, uint64_t PrefillTokens,
+                     uint64_t DecodeTokens);
 
   metrics::Registry &Metrics;
   metrics::Counter &Attempts;
@@ -55,15 +55,15 @@
   metrics::Counter &Tokens;
   metrics::Gauge &InFlight;
   metrics::Summary &FirstTokenTime;
-  metrics::Summary &WholeTime;
+  metrics::Summary &RequestTime;
 };
 
-/// Requests in flight of each workspace.
-class WorkspaceBook {
+/// Counts the requests in flight of each workspace.
+class WorkspaceTracker {
 public:
-  /// False when the workspace has \p Maximum in flight.
-  bool enter(const std::string &Workspace, unsigned Maximum);
-  void leave(const std::string &Workspace);
+  /// Returns false when the workspace has \p Maximum requests in flight.
+  bool tryAcquire(const std::string &Workspace, unsigned Maximum);
+  void release(const std::string &Workspace);
 
 private:
   std::mutex m_Mutex;
@@ -78,12 +78,12 @@
   UuidGenerator &Ids;
   retry::RetryBudget &Budget;
   retry::HealthBook &Health;
-  WorkspaceBook &Workspaces;
+  WorkspaceTracker &Workspaces;
   const route::Policy &Routing;
-  const retry::RetrySettings &Retrying;
-  /// Highest configuration revision seen anywhere.
+  const retry::RetrySettings &RetryOptions;
+  /// Called with every configuration revision seen in a message.
   std::function<void(uint64_t)> OnRevision;
-  /// A home refused because its slice has moved.
+  /// Called when the home of a key is unknown, unreachable or has moved.
   std::function<void(const std::string &BackEnd)> OnHomeMoved;
 };
 
--- a/Services/figlift-entry/CompletionRequest.cpp
+++ b/Services/figlift-entry/CompletionRequest.cpp
@@ -1,8 +1,8 @@
-//===- CompletionRequest.cpp - Completions in the widespread form ---------===//
+//===- CompletionRequest.cpp - Parsing of completion requests -------------===//
 //
-// Reads the JSON bodies that OpenAI-style clients send. Fields that do not
-// change what figlift does are ignored; those that ask for what it cannot do
-// are refused, so that no caller believes that they had an effect.
+// Parses the JSON bodies of OpenAI-compatible clients. Fields without a meaning
+// for figlift are ignored. Fields that request unsupported features are
+// rejected, so that they are not silently ineffective.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,59 +30,60 @@
 }
 
 Result<std::string> readText(const json &Body, const std::string &Field) {
-  const auto Found = Body.find(Field);
-  if (Found == Body.end() || !Found->is_string())
-    return invalid("a text is required", Field);
-  return Found->get<std::string>();
+  const auto Value = Body.find(Field);
+  if (Value == Body.end() || !Value->is_string())
+    return invalid("expected a string", Field);
+  return Value->get<std::string>();
 }
 
 Result<bool> readFlag(const json &Body, const std::string &Field) {
-  const auto Found = Body.find(Field);
-  if (Found == Body.end() || Found->is_null())
+  const auto Value = Body.find(Field);
+  if (Value == Body.end() || Value->is_null())
     return false;
-  if (!Found->is_boolean())
-    return invalid("allowed are true and false", Field);
-  return Found->get<bool>();
+  if (!Value->is_boolean())
+    return invalid("expected true or false", Field);
+  return Value->get<bool>();
 }
 
 Result<uint32_t> readMaximumTokens(const json &Body) {
   for (const char *Field : {"max_completion_tokens", "max_tokens"}) {
-    const auto Found = Body.find(Field);
-    if (Found == Body.end() || Found->is_null())
+    const auto Value = Body.find(Field);
+    if (Value == Body.end() || Value->is_null())
       continue;
-    if (!Found->is_number_unsigned() || Found->get<uint64_t>() == 0 ||
-        Found->get<uint64_t>() > LargestMaximumTokens)
-      return invalid("allowed is a whole number from 1 to " +
+    if (!Value->is_number_unsigned() || Value->get<uint64_t>() == 0 ||
+        Value->get<uint64_t>() > LargestMaximumTokens)
+      return invalid("expected an integer from 1 to " +
                          std::to_string(LargestMaximumTokens),
                      Field);
-    return Found->get<uint32_t>();
+    return Value->get<uint32_t>();
   }
   return DefaultMaximumTokens;
 }
 
-/// Text of one chat message: a string, or parts of type "text".
+/// Returns the text of one chat message: a string, or parts of type "text".
 Result<std::string> readContent(const json &Content) {
   if (Content.is_string())
     return Content.get<std::string>();
-  std::string All;
+  std::string Text;
   if (!Content.is_array())
-    return invalid("a text, or a list of text parts, is required",
+    return invalid("expected a string or a list of text parts",
                    "messages.content");
   for (const json &Part : Content) {
     if (!Part.is_object() || Part.value("type", "") != "text" ||
         !Part.contains("text") || !Part["text"].is_string())
-      return invalid("only parts of type text are served", "messages.content");
-    All += Part["text"].get<std::string>();
+      return invalid("only parts of type text are supported",
+                     "messages.content");
+    Text += Part["text"].get<std::string>();
   }
-  return All;
+  return Text;
 }
 
 Result<std::string> readMessages(const json &Body) {
-  const auto Found = Body.find("messages");
-  if (Found == Body.end() || !Found->is_array() || Found->empty())
-    return invalid("a list of at least one message is required", "messages");
+  const auto Value = Body.find("messages");
+  if (Value == Body.end() || !Value->is_array() || Value->empty())
+    return invalid("expected a list of at least one message", "messages");
   std::string Prompt;
-  for (const json &Message : *Found) {
+  for (const json &Message : *Value) {
     if (!Message.is_object() || !Message.contains("content"))
       return invalid("each message needs role and content", "messages");
     FIGLIFT_TRY(Role, readText(Message, "role"));
@@ -94,79 +95,83 @@
 
 Result<void> refuseUnsupported(const json &Body) {
   for (const char *Field : {"n", "best_of"})
-    if (const auto Found = Body.find(Field);
-        Found != Body.end() && !Found->is_null() && *Found != 1)
-      return invalid("only one answer for each request is served", Field);
+    if (const auto Value = Body.find(Field);
+        Value != Body.end() && !Value->is_null() && *Value != 1)
+      return invalid("only one answer per request is supported", Field);
   for (const char *Field : {"tools", "functions", "suffix"})
-    if (const auto Found = Body.find(Field);
-        Found != Body.end() && !Found->is_null() && !Found->empty())
-      return invalid("this field is not served", Field);
+    if (const auto Value = Body.find(Field);
+        Value != Body.end() && !Value->is_null() && !Value->empty())
+      return invalid("this field is not supported", Field);
   return success();
 }
 
 bool serves(const record::BackEnd &BackEnd, const std::string &Model) {
-  for (const record::ModelReference &Known : BackEnd.Models)
-    if (Model == Known.Name || Model == Known.Name + "@" + Known.Version)
+  for (const record::ModelReference &Served : BackEnd.Models)
+    if (Model == Served.Name || Model == Served.Name + "@" + Served.Version)
       return true;
   return false;
 }
 
-/// "back end/model", or a model that only one back end serves, or the name of
-/// a back end with a single model.
+/// Accepts "back end/model", a model that only one back end serves, or the name
+/// of a back end with a single model.
 Result<void> resolveModel(const config::Snapshot &Records,
-                          const std::string &Asked, CallerRequest &Into,
-                          std::string &Model) {
-  if (const size_t Slash = Asked.find('/'); Slash != std::string::npos) {
-    Into.BackEnd = Asked.substr(0, Slash);
-    Model = Asked.substr(Slash + 1);
-    const record::BackEnd *Found = Records.backEnd(Into.BackEnd);
-    if (!Found)
+                          const std::string &RequestedName,
+                          CallerRequest &Output, std::string &Model) {
+  if (const size_t Slash = RequestedName.find('/');
+      Slash != std::string::npos) {
+    Output.BackEnd = RequestedName.substr(0, Slash);
+    Model = RequestedName.substr(Slash + 1);
+    const record::BackEnd *BackEnd = Records.backEnd(Output.BackEnd);
+    if (!BackEnd)
       return failure(ResultCode::UnknownBackEnd,
-                     "no record describes \"" + Into.BackEnd + "\"", "model");
-    if (!serves(*Found, Model))
-      return failure(
-          ResultCode::UnknownModel,
-          "\"" + Into.BackEnd + "\" does not serve \"" + Model + "\"", "model");
+                     "unknown back end \"" + Output.BackEnd + "\"", "model");
+    if (!serves(*BackEnd, Model))
+      return failure(ResultCode::UnknownModel,
+                     "\"" + Output.BackEnd + "\" does not serve \"" + Model +
+                         "\"",
+                     "model");
     return success();
   }
-  for (const config::Item *Known : Records.list("backEnd")) {
-    const std::string &Name = Known->Stored.Name;
+  for (const config::Item *Item : Records.list("backEnd")) {
+    const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = Records.backEnd(Name);
     if (!BackEnd)
       continue;
-    const bool ByItsName = Name == Asked && BackEnd->Models.size() == 1;
-    if (!ByItsName && !serves(*BackEnd, Asked))
+    const bool IsBackEndName =
+        Name == RequestedName && BackEnd->Models.size() == 1;
+    if (!IsBackEndName && !serves(*BackEnd, RequestedName))
       continue;
-    if (!Into.BackEnd.empty())
+    if (!Output.BackEnd.empty())
       return failure(ResultCode::UnknownModel,
-                     "several back ends serve \"" + Asked + "\"; write \"" +
-                         Into.BackEnd + "/" + Asked + "\"",
+                     "several back ends serve \"" + RequestedName +
+                         "\"; write \"" + Output.BackEnd + "/" + RequestedName +
+                         "\"",
                      "model");
-    Into.BackEnd = Name;
-    Model = ByItsName ? BackEnd->Models.front().Name : Asked;
+    Output.BackEnd = Name;
+    Model = IsBackEndName ? BackEnd->Models.front().Name : RequestedName;
   }
-  if (Into.BackEnd.empty())
+  if (Output.BackEnd.empty())
     return failure(ResultCode::UnknownModel,
-                   "no back end serves \"" + Asked + "\"", "model");
+                   "no back end serves \"" + RequestedName + "\"", "model");
   return success();
 }
 
-/// Without the customer and the request in it, a key that is used for another
-/// request would bring that request's answer.
+/// Includes the workspace and the request, so that a key reused for another
+/// request does not return the answer of the first one.
 std::string resumeKeyOf(const std::string &Key, const std::string &Workspace,
                         const CompletionWork &Work) {
-  return digestOf({Key, Workspace, Work.ModelAsAsked, Work.Prompt,
+  return digestOf({Key, Workspace, Work.RequestedModel, Work.Prompt,
                    std::to_string(Work.MaximumTokens)});
 }
 
 } // namespace
 
-Result<CallerRequest> readCompletion(const http::Request &From,
+Result<CallerRequest> readCompletion(const http::Request &Request,
                                      CompletionApi Api,
-                                     const ReadContext &With) {
-  CallerRequest Read;
-  FIGLIFT_TRY(readHeaders(From, With, Read));
-  FIGLIFT_TRY(Body, http::parseJsonBody(From.Body));
+                                     const ReadContext &Context) {
+  CallerRequest Parsed;
+  FIGLIFT_TRY(readHeaders(Request, Context, Parsed));
+  FIGLIFT_TRY(Body, http::parseJsonBody(Request.Body));
   if (!Body.is_object())
     return invalid("the body is not a JSON object", "body");
   FIGLIFT_TRY(refuseUnsupported(Body));
@@ -177,18 +182,18 @@
                                                  : readText(Body, "prompt"));
   CompletionWork Work{.Api = Api,
                       .Streamed = Streamed,
-                      .ModelAsAsked = Model,
+                      .RequestedModel = Model,
                       .Model = {},
                       .Prompt = std::move(Prompt),
                       .MaximumTokens = MaximumTokens};
-  FIGLIFT_TRY(resolveModel(With.Configuration, Model, Read, Work.Model));
-  applyClass(With, *With.Configuration.backEnd(Read.BackEnd),
-             !From.header("x-figlift-deadline").empty(), Read);
-  FIGLIFT_TRY(Key, readKey(From));
+  FIGLIFT_TRY(resolveModel(Context.Configuration, Model, Parsed, Work.Model));
+  applyClass(Context, *Context.Configuration.backEnd(Parsed.BackEnd),
+             !Request.header("x-figlift-deadline").empty(), Parsed);
+  FIGLIFT_TRY(Key, readKey(Request));
   if (!Key.empty())
-    Read.ResumeKey = resumeKeyOf(Key, Read.Workspace, Work);
-  Read.Work = std::move(Work);
-  return Read;
+    Parsed.ResumeKey = resumeKeyOf(Key, Parsed.Workspace, Work);
+  Parsed.Work = std::move(Work);
+  return Parsed;
 }
 
 uint32_t CompletionWork::promptTokens() const {
--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -1,4 +1,4 @@
-//===- Entry.cpp - One entry process --------------------------------------===//
+//===- Entry.cpp - The entry process --------------------------------------===//
 //
 // See Entry.h.
 //
@@ -6,7 +6,7 @@
 
 #include "figlift-entry/Entry.h"
 
-#include "figlift-entry/Arms.h"
+#include "figlift-entry/PolicyByName.h"
 
 #include "LibHttp/Administration.h"
 #include "LibMetrics/ProcessMetrics.h"
@@ -23,42 +23,44 @@
 namespace {
 
 constexpr milliseconds NotReadyRetryAfter{500};
-/// How long readiness is refused before the listener closes at the earliest,
-/// so that the balancer has seen it.
-constexpr milliseconds LeavingNotice{300};
+/// Minimum time between reporting not ready and closing the listener, so that
+/// the load balancer notices and stops sending requests.
+constexpr milliseconds MinimumDrainTime{300};
 constexpr milliseconds DrainCheckInterval{10};
 constexpr double PercentToRatio = 0.01;
-/// The table is polled for the head; other entries more seldom, because their
-/// answers only tell operators of them while the table can be read.
+/// Other entries are polled less often than the table: while the table is
+/// readable, their replies only serve the status that operators see.
 constexpr int PeerPollFactor = 2;
 
-timeline::TimelineOptions timelineOptions(const settings::EntrySettings &From) {
+timeline::TimelineOptions
+timelineOptions(const settings::EntrySettings &Source) {
   timeline::TimelineOptions Options;
-  Options.ProcessId = From.Process.Id;
+  Options.ProcessId = Source.Process.Id;
   Options.ProcessKind = "entry";
-  Options.Zone = From.Process.Zone;
-  Options.Capacity = From.TimelineEvents;
+  Options.Zone = Source.Process.Zone;
+  Options.Capacity = Source.TimelineEvents;
   return Options;
 }
 
-retry::RetryBudgetSettings budgetSettings(const settings::EntrySettings &From) {
+retry::RetryBudgetSettings
+budgetSettings(const settings::EntrySettings &Source) {
   retry::RetryBudgetSettings Settings;
-  Settings.Ratio = From.Limits.RetryPercent * PercentToRatio;
+  Settings.Ratio = Source.Limits.RetryPercent * PercentToRatio;
   return Settings;
 }
 
-retry::RetrySettings retrySettings(const settings::EntrySettings &From) {
+retry::RetrySettings retrySettings(const settings::EntrySettings &Source) {
   retry::RetrySettings Settings;
-  Settings.MaximumAttempts = From.Limits.AttemptsPerRequest;
+  Settings.MaximumAttempts = Source.Limits.AttemptsPerRequest;
   return Settings;
 }
 
-std::vector<std::string> serviceBackEnds(const config::Snapshot &Of) {
+std::vector<std::string> serviceBackEnds(const config::Snapshot &Snapshot) {
   std::vector<std::string> Names;
-  for (const config::Item *Known : Of.list("backEnd"))
-    if (const record::BackEnd *Spec = Of.backEnd(Known->Stored.Name);
+  for (const config::Item *Item : Snapshot.list("backEnd"))
+    if (const record::BackEnd *Spec = Snapshot.backEnd(Item->Stored.Name);
         Spec && Spec->Type == record::BackEndType::Service)
-      Names.push_back(Known->Stored.Name);
+      Names.push_back(Item->Stored.Name);
   return Names;
 }
 
@@ -66,24 +68,25 @@
 
 Entry::Entry(const settings::EntrySettings &Settings)
     : m_Settings(Settings), m_Events(timelineOptions(Settings)),
-      m_Budget(budgetSettings(Settings)), m_Retrying(retrySettings(Settings)),
-      m_Routing(routingArm(Settings.Policy.Routing)) {}
+      m_Budget(budgetSettings(Settings)),
+      m_RetryOptions(retrySettings(Settings)),
+      m_Routing(routingPolicyByName(Settings.Policy.Routing)) {}
 
 Entry::~Entry() = default;
 
 Result<std::unique_ptr<Entry>>
 Entry::create(const settings::EntrySettings &Settings) {
-  std::unique_ptr<Entry> Made(new Entry(Settings));
-  Made->m_Events.record(timeline::kinds::ProcessStarted,
-                        {SubjectType::Process, Settings.Process.Id});
-  Made->registerMetrics();
-  FIGLIFT_TRY(Made->openPlatform());
-  FIGLIFT_TRY(Made->openTransport());
-  Made->followConfiguration();
-  Made->serveOperators();
-  FIGLIFT_TRY(Made->listenToPeers());
-  FIGLIFT_TRY(Made->listenToCallers());
-  return Made;
+  std::unique_ptr<Entry> Created(new Entry(Settings));
+  Created->m_Events.record(timeline::kinds::ProcessStarted,
+                           {SubjectType::Process, Settings.Process.Id});
+  Created->registerMetrics();
+  FIGLIFT_TRY(Created->openPlatform());
+  FIGLIFT_TRY(Created->openTransport());
+  Created->followConfiguration();
+  Created->serveOperators();
+  FIGLIFT_TRY(Created->listenToPeers());
+  FIGLIFT_TRY(Created->listenToCallers());
+  return Created;
 }
 
 void Entry::registerMetrics() {
@@ -120,8 +123,8 @@
   platform::HttpCallOptions Options;
   Options.Server = m_Settings.Platform.Address;
   Options.Timeout = m_Settings.Platform.Timeout;
-  FIGLIFT_TRY(Made, platform::HttpPlatform::create(Options));
-  m_Platform = std::move(Made);
+  FIGLIFT_TRY(Created, platform::HttpPlatform::create(Options));
+  m_Platform = std::move(Created);
   return success();
 }
 
@@ -132,18 +135,18 @@
   Options.HeartbeatInterval = m_Settings.Wire.HeartbeatInterval;
   Options.HeartbeatTimeout = m_Settings.Wire.HeartbeatTimeout;
   Options.Seed = route::rendezvousKey(m_Settings.Process.Id);
-  FIGLIFT_TRY(Made, wire::Client::create(Options));
-  m_Transport = std::move(Made);
+  FIGLIFT_TRY(Created, wire::Client::create(Options));
+  m_Transport = std::move(Created);
   return success();
 }
 
 void Entry::followConfiguration() {
   m_Fleet = std::make_unique<Fleet>(
-      Fleet::Parts{m_Settings, m_Control, *m_Transport, m_Events, m_Metrics,
-                   *m_Platform, m_State});
+      Fleet::Dependencies{m_Settings, m_Control, *m_Transport, m_Events,
+                          m_Metrics, *m_Platform, m_State});
   m_Homes = std::make_unique<HomeReader>(m_Control, *m_Platform, *m_Fleet);
   m_Peers = std::make_unique<PeerConfiguration>(
-      PeerConfiguration::Parts{
+      PeerConfiguration::Dependencies{
           m_Control, *m_Transport, m_Events, m_Settings.Process.Id,
           m_Settings.Platform.Timeout,
           PeerPollFactor * m_Settings.Platform.PollInterval,
@@ -161,10 +164,10 @@
   m_Configuration = std::make_unique<config::ConfigService>(
       Options, config::makeTableSource(*m_Platform, m_Peers->fetcher()),
       std::move(Callbacks));
-  m_Planning = std::make_unique<Planning>(
-      Planning::Parts{m_Settings, m_Control, *m_Fleet, *m_Platform, m_Ids,
-                      m_Events, m_Metrics});
-  m_Planning->start();
+  m_Planner = std::make_unique<PlannerHost>(
+      PlannerHost::Dependencies{m_Settings, m_Control, *m_Fleet, *m_Platform,
+                                m_Ids, m_Events, m_Metrics});
+  m_Planner->start();
   m_Control.post([this] {
     m_Peers->setPeers(m_Settings.Peers);
     m_Peers->startPolling([this](config::Delta Newer) {
@@ -192,9 +195,11 @@
 }
 
 Result<void> Entry::ready() const {
-  if (m_Leaving.load())
-    return outcome::failure(Error{
-        ResultCode::Draining, "this entry is leaving", {}, NotReadyRetryAfter});
+  if (m_IsShuttingDown.load())
+    return outcome::failure(Error{ResultCode::Draining,
+                                  "this entry is shutting down",
+                                  {},
+                                  NotReadyRetryAfter});
   const auto Reason =
       m_State.read([](const ServingState &Now) { return Now.NotReady; });
   if (Reason)
@@ -203,41 +208,43 @@
 }
 
 void Entry::serveOperators() {
-  m_Status = std::make_unique<EntryStatusProvider>(EntryStatusProvider::Parts{
-      m_Settings.Process.Id, *m_Fleet, *m_Peers, m_State, m_Events});
+  m_Status =
+      std::make_unique<EntryStatusProvider>(EntryStatusProvider::Dependencies{
+          m_Settings.Process.Id, *m_Fleet, *m_Peers, m_State, m_Events});
   m_Operators =
       std::make_unique<config::OperatorService>(config::OperatorContext{
-          *m_Platform, *m_Status, [this] { return inForce(); },
+          *m_Platform, *m_Status, [this] { return servingConfiguration(); },
           [this] {
             const Result<void> State = ready();
             return State ? std::string() : State.error().Message;
           },
-          [this](const config::ChangeOutcome &What) {
-            m_Configuration->committed(What);
+          [this](const config::ChangeOutcome &Outcome) {
+            m_Configuration->committed(Outcome);
           },
           [this](const std::string &Target, bool Undo) {
-            return askAgentToDrain(Target, Undo);
+            return requestDrain(Target, Undo);
           }});
 }
 
-/// What requests are served with, not what has merely arrived: an operator who
-/// is told that a revision is in force may rely on the next answer.
-config::SnapshotPointer Entry::inForce() const {
+/// Returns the configuration that requests are served with, which may be older
+/// than the last one received: when a revision is reported as in force, the
+/// next request must be served with it.
+config::SnapshotPointer Entry::servingConfiguration() const {
   if (!m_Configuration->current())
     return nullptr;
   return m_State.read(
       [](const ServingState &Now) { return Now.Configuration; });
 }
 
-bool Entry::askAgentToDrain(const std::string &Target, bool Undo) const {
+bool Entry::requestDrain(const std::string &Target, bool Undo) const {
   const auto Link =
       m_State.read([&](const ServingState &Now) -> std::shared_ptr<TargetLink> {
-        const auto Found = Now.Links.find(Target);
-        return Found == Now.Links.end() ? nullptr : Found->second;
+        const auto Iterator = Now.Links.find(Target);
+        return Iterator == Now.Links.end() ? nullptr : Iterator->second;
       });
   if (!Link || Link->channel().state() != wire::ChannelState::Up)
     return false;
-  Link->askToDrain("an operator's wish that the table did not take", Undo);
+  Link->requestDrain("an operator's wish that the table did not take", Undo);
   return true;
 }
 
@@ -258,9 +265,9 @@
 Result<void> Entry::listenToCallers() {
   m_Calls = std::make_unique<CallContext>(CallContext{
       m_State, m_Timers, m_Events, m_CallMetrics, m_Ids, m_Budget,
-      m_Fleet->healthBook(), m_Workspaces, m_Routing, m_Retrying,
+      m_Fleet->healthBook(), m_Workspaces, m_Routing, m_RetryOptions,
       [this](uint64_t Revision) { m_Configuration->sawRevision(Revision); },
-      [this](const std::string &BackEnd) { m_Homes->wanted(BackEnd); }});
+      [this](const std::string &BackEnd) { m_Homes->requestRead(BackEnd); }});
 
   std::vector<http::Route> Routes = http::administrationRoutes(
       {.Ready = [this] { return ready(); },
@@ -269,11 +276,11 @@
            [this](uint64_t After) {
              return m_Events.toJson(timeline::Stamp{After});
            }});
-  for (http::Route &Added :
+  for (http::Route &Route :
        callerRoutes(*m_Calls, m_Settings.Limits.DefaultDeadline))
-    Routes.push_back(std::move(Added));
-  for (http::Route &Added : operatorRoutes(*m_Operators))
-    Routes.push_back(std::move(Added));
+    Routes.push_back(std::move(Route));
+  for (http::Route &Route : operatorRoutes(*m_Operators))
+    Routes.push_back(std::move(Route));
   http::ServerOptions Options;
   Options.Listen = m_Settings.Listen.Callers;
   Options.MaximumBodyBytes = m_Settings.Limits.RequestBytes.Bytes;
@@ -289,29 +296,29 @@
   const BootTime End = Begin + m_Settings.Drain.Timeout;
   while (BootClock::now() < End) {
     if (m_Callers->requestsInFlight() == 0 &&
-        BootClock::now() - Begin >= LeavingNotice)
+        BootClock::now() - Begin >= MinimumDrainTime)
       return true;
     std::this_thread::sleep_for(DrainCheckInterval);
   }
   return m_Callers->requestsInFlight() == 0;
 }
 
-void Entry::stopPlanning() {
+void Entry::stopPlanner() {
   std::promise<void> Stopped;
-  m_Planning->stop([&Stopped] { Stopped.set_value(); });
+  m_Planner->stop([&Stopped] { Stopped.set_value(); });
   Stopped.get_future().wait();
 }
 
-bool Entry::leave() {
+bool Entry::shutDown() {
   m_Events.record(timeline::kinds::ProcessStopping,
                   {SubjectType::Process, m_Settings.Process.Id});
   log::logEvent(log::Level::Info, "leaving",
                 {{"requests", m_Callers->requestsInFlight()}});
-  m_Leaving.store(true);
-  stopPlanning();
+  m_IsShuttingDown.store(true);
+  stopPlanner();
   m_Callers->drain();
   m_PeerServer->drain();
-  const bool Whole = waitForRequests();
+  const bool Completed = waitForRequests();
   m_Callers->stop();
   m_Timers.stop();
   m_Control.post([this] {
@@ -320,8 +327,8 @@
   });
   m_Control.stop();
   m_PeerServer->stop();
-  log::logEvent(log::Level::Info, "left", {{"whole", Whole}});
-  return Whole;
+  log::logEvent(log::Level::Info, "left", {{"whole", Completed}});
+  return Completed;
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Entry.h
+++ b/Services/figlift-entry/Entry.h
@@ -1,7 +1,7 @@
-//===- Entry.h - One entry process ------------------------------*- C++ -*-===//
+//===- Entry.h - The entry process ------------------------------*- C++ -*-===//
 //
-// Puts the parts of an entry together, and takes them apart again when the
-// process is told to leave.
+// Creates and connects the components of an entry, and shuts them down in order
+// when the process stops.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 #include "figlift-entry/OperatorApi.h"
 #include "figlift-entry/PeerConfiguration.h"
 #include "figlift-entry/PeerServer.h"
-#include "figlift-entry/Planning.h"
+#include "figlift-entry/PlannerHost.h"
 
 #include "LibConfig/ConfigService.h"
 #include "LibHttp/Server.h"
@@ -27,14 +27,15 @@
 
 class Entry {
 public:
-  /// Starts everything; the listeners are bound when this returns.
+  /// Starts all components. The listeners are bound when this returns.
   static Result<std::unique_ptr<Entry>>
   create(const settings::EntrySettings &Settings);
   ~Entry();
 
-  /// Refuses new requests, waits until the running ones have ended (at most
-  /// the drain timeout) and closes everything. False when some were cut.
-  bool leave();
+  /// Refuses new requests, waits for the requests in flight up to the drain
+  /// timeout and stops all components. Returns false when requests were
+  /// interrupted.
+  bool shutDown();
 
 private:
   explicit Entry(const settings::EntrySettings &Settings);
@@ -49,11 +50,11 @@
   Result<void> ready() const;
   void registerMetrics();
   uint64_t controlBytes() const;
-  /// Null before the first.
-  config::SnapshotPointer inForce() const;
-  bool askAgentToDrain(const std::string &Target, bool Undo) const;
+  /// Null until a configuration has been received.
+  config::SnapshotPointer servingConfiguration() const;
+  bool requestDrain(const std::string &Target, bool Undo) const;
   bool waitForRequests() const;
-  void stopPlanning();
+  void stopPlanner();
 
   const settings::EntrySettings m_Settings;
   timeline::Timeline m_Events;
@@ -61,14 +62,14 @@
   CallMetrics m_CallMetrics{m_Metrics};
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
-  WorkspaceBook m_Workspaces;
-  const retry::RetrySettings m_Retrying;
+  WorkspaceTracker m_Workspaces;
+  const retry::RetrySettings m_RetryOptions;
   const route::Policy m_Routing;
   ServingStatePointer m_State;
-  /// Control state and polls.
+  /// Runs control tasks and polls.
   EventLoop m_Control;
-  /// Deadlines and retries of requests; apart, so that they are never late
-  /// because a table is built.
+  /// Runs deadlines and retries of requests. Separate from m_Control, so that
+  /// building a routing table does not delay them.
   EventLoop m_Timers;
   std::unique_ptr<platform::HttpPlatform> m_Platform;
   std::unique_ptr<wire::Client> m_Transport;
@@ -76,13 +77,13 @@
   std::unique_ptr<PeerConfiguration> m_Peers;
   std::unique_ptr<HomeReader> m_Homes;
   std::unique_ptr<config::ConfigService> m_Configuration;
-  std::unique_ptr<Planning> m_Planning;
+  std::unique_ptr<PlannerHost> m_Planner;
   std::unique_ptr<EntryStatusProvider> m_Status;
   std::unique_ptr<config::OperatorService> m_Operators;
   std::unique_ptr<CallContext> m_Calls;
   std::unique_ptr<wire::Server> m_PeerServer;
   std::unique_ptr<http::Server> m_Callers;
-  std::atomic<bool> m_Leaving{false};
+  std::atomic<bool> m_IsShuttingDown{false};
 };
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/Planning.h
+++ b/Services/figlift-entry/PlannerHost.h
@@ -1,9 +1,8 @@
-//===- Planning.h - The planner in an entry ---------------------*- C++ -*-===//
+//===- PlannerHost.h - Runs the planner in an entry -------------*- C++ -*-===//
 //
-// Runs the planner service on the control thread: drives it, keeps the entry
-// connected to all targets of the shards it plans for, and writes down what
-// the planner did. Stopped first of all when the entry leaves, so that its
-// leases are given back.
+// Runs the planner service on the control thread, keeps the entry connected to
+// all targets of the shards it plans, and logs the planner's actions. Stopped
+// before the other components at shutdown, so that its leases are released.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,24 +17,24 @@
 
 namespace figlift::entry {
 
-class Planning {
+class PlannerHost {
 public:
-  struct Parts {
+  struct Dependencies {
     const settings::EntrySettings &Settings;
     EventLoop &Control;
-    Fleet &Known;
+    Fleet &Targets;
     platform::Table &Store;
     UuidGenerator &Ids;
     timeline::Timeline &Events;
     metrics::Registry &Metrics;
   };
 
-  explicit Planning(Parts Of);
+  explicit PlannerHost(Dependencies Services);
 
-  /// Any thread, as the next one.
+  /// Thread-safe, like stop().
   void start();
-  /// Gives every lease back; \p Done runs on the control thread once that is
-  /// written or given up.
+  /// Releases all leases. \p Done runs on the control thread when they are
+  /// released or the time limit has passed.
   void stop(std::function<void()> Done);
 
 private:
@@ -43,7 +42,7 @@
   planner::PlannerObserver observer();
   void tick();
 
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   EntryShardView m_View;
   planner::PlannerService m_Service;
   std::function<void()> m_OnStopped;
--- a/Services/figlift-entry/RequestHeaders.h
+++ b/Services/figlift-entry/RequestHeaders.h
@@ -1,6 +1,6 @@
-//===- RequestHeaders.h - What all callers' requests share ------*- C++ -*-===//
+//===- RequestHeaders.h - Headers common to all requests --------*- C++ -*-===//
 //
-// Internal to the reading of callers' requests.
+// Internal to the parsing of callers' requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,14 +11,15 @@
 namespace figlift::entry {
 
 /// Reads X-Request-Id, X-Figlift-Workspace and X-Figlift-Deadline.
-Result<void> readHeaders(const http::Request &From, const ReadContext &With,
-                         CallerRequest &Into);
+Result<void> readHeaders(const http::Request &Request,
+                         const ReadContext &Context, CallerRequest &Output);
 
-/// Reads Idempotency-Key; empty when there is none.
-Result<std::string> readKey(const http::Request &From);
+/// Reads Idempotency-Key; empty when it is missing.
+Result<std::string> readKey(const http::Request &Request);
 
-/// Sets class and, without an own one, deadline from the records.
-void applyClass(const ReadContext &With, const record::BackEnd &BackEnd,
-                bool HasOwnDeadline, CallerRequest &Into);
+/// Sets the service class from the configuration, and the deadline unless the
+/// request specifies one.
+void applyClass(const ReadContext &Context, const record::BackEnd &BackEnd,
+                bool HasExplicitDeadline, CallerRequest &Output);
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/TargetLink.cpp
+++ b/Services/figlift-entry/TargetLink.cpp
@@ -1,7 +1,7 @@
 //===- TargetLink.cpp - Connection to one target's agent ------------------===//
 //
-// See TargetLink.h. Listeners hold the link weakly, because the link owns the
-// channel which owns them.
+// See TargetLink.h. Listeners hold a weak pointer to the link, because the link
+// owns the channel and the channel owns the listeners.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,8 @@
 
 class TargetLink::ConnectionListener final : public wire::ChannelListener {
 public:
-  explicit ConnectionListener(Observer Told) : m_Observer(std::move(Told)) {}
+  explicit ConnectionListener(Observer Callbacks)
+      : m_Observer(std::move(Callbacks)) {}
 
   void onState(wire::Channel &, wire::ChannelState State) override {
     m_Observer.OnConnection(State == wire::ChannelState::Up);
@@ -40,21 +41,23 @@
   const std::weak_ptr<TargetLink> m_Owner;
 };
 
-/// The agent's own report says what came of it.
-class TargetLink::IgnoredReply final : public wire::StreamListener {
+/// Ignores the reply to a Drain request: the agent reports the result in its
+/// state.
+class TargetLink::DrainReplyListener final : public wire::StreamListener {
 public:
   void onMessage(std::string_view) override {}
   void onEnd(wire::StreamEnd) override {}
 };
 
-std::shared_ptr<TargetLink> TargetLink::connect(platform::Vm Target, Parts Of,
-                                                Observer Told) {
-  std::shared_ptr<TargetLink> Made(
-      new TargetLink(std::move(Target), std::move(Of), std::move(Told)));
-  Made->m_Channel = Made->m_Parts.Transport.connect(
-      Made->m_Target.Peer,
-      std::make_shared<ConnectionListener>(Made->m_Observer));
-  return Made;
+std::shared_ptr<TargetLink> TargetLink::connect(platform::Vm Target,
+                                                Dependencies Services,
+                                                Observer Callbacks) {
+  std::shared_ptr<TargetLink> Link(new TargetLink(
+      std::move(Target), std::move(Services), std::move(Callbacks)));
+  Link->m_Channel = Link->m_Dependencies.Transport.connect(
+      Link->m_Target.Peer,
+      std::make_shared<ConnectionListener>(Link->m_Observer));
+  return Link;
 }
 
 TargetLink::~TargetLink() {
@@ -74,14 +77,14 @@
   return m_Sync && m_Sync->send(Message.SerializeAsString());
 }
 
-void TargetLink::askToDrain(const std::string &Reason, bool Undo) {
+void TargetLink::requestDrain(const std::string &Reason, bool Undo) {
   wire::DrainRequest Request;
   Request.set_target(m_Target.Id);
   Request.set_reason(Reason);
   Request.set_undo(Undo);
-  Request.set_clock(m_Parts.Events.clockToSend());
+  Request.set_clock(m_Dependencies.Events.clockToSend());
   m_Channel->open(wire::Method::Drain, Request.SerializeAsString(),
-                  std::make_shared<IgnoredReply>());
+                  std::make_shared<DrainReplyListener>());
 }
 
 void TargetLink::onReport(std::string_view Bytes) {
@@ -91,8 +94,8 @@
                   {{"target", m_Target.Id}, {"bytes", Bytes.size()}});
     return;
   }
-  m_Parts.Events.received(Report.clock());
-  m_Parts.Gauge->report(loadFromWire(Report.load()), BootClock::now());
+  m_Dependencies.Events.received(Report.clock());
+  m_Dependencies.Gauge->report(loadFromWire(Report.load()), BootClock::now());
   m_Observer.OnReport(Report);
 }
 
--- a/Services/figlift-entry/TargetLink.h
+++ b/Services/figlift-entry/TargetLink.h
@@ -1,7 +1,7 @@
 //===- TargetLink.h - Connection to one target's agent ----------*- C++ -*-===//
 //
-// The channel to an agent with its Sync stream, and what the request path
-// needs beside it: the load gauge and the health of the target.
+// The channel to an agent with its Sync stream, and the load gauge and health
+// of the target for the request path.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +20,8 @@
 
 namespace figlift::entry {
 
-/// Kept by the fleet and by every attempt at the target; the channel is closed
-/// when the last of them lets go, so that no request is cut when the target
+/// Shared by the fleet and all attempts at the target. The channel is closed
+/// with the last reference, so that no request is interrupted when the target
 /// leaves the subset.
 class TargetLink : public std::enable_shared_from_this<TargetLink> {
 public:
@@ -30,15 +30,15 @@
     std::function<void(bool Up)> OnConnection;
     std::function<void(const wire::SyncDown &)> OnReport;
   };
-  struct Parts {
+  struct Dependencies {
     wire::Client &Transport;
     timeline::Timeline &Events;
     std::shared_ptr<route::TargetGauge> Gauge;
     std::shared_ptr<retry::TargetHealth> Health;
   };
 
-  static std::shared_ptr<TargetLink> connect(platform::Vm Target, Parts Of,
-                                             Observer Told);
+  static std::shared_ptr<TargetLink>
+  connect(platform::Vm Target, Dependencies Services, Observer Callbacks);
   ~TargetLink();
 
   const platform::Vm &target() const { return m_Target; }
@@ -46,30 +46,30 @@
   const std::shared_ptr<wire::Channel> &sharedChannel() const {
     return m_Channel;
   }
-  route::TargetGauge &gauge() { return *m_Parts.Gauge; }
-  retry::TargetHealth &health() { return *m_Parts.Health; }
+  route::TargetGauge &gauge() { return *m_Dependencies.Gauge; }
+  retry::TargetHealth &health() { return *m_Dependencies.Health; }
 
-  /// Opens the Sync stream anew; \p First is its first message. Control
-  /// thread only, as the next one.
+  /// Replaces the Sync stream by a new one that starts with \p First. Control
+  /// thread only, like sendSync().
   void openSync(const wire::SyncUp &First);
-  /// False when there is no Sync stream.
+  /// Returns false when there is no Sync stream.
   bool sendSync(const wire::SyncUp &Message);
-  /// Asks the agent to drain, or takes such a wish back. Any thread.
-  void askToDrain(const std::string &Reason, bool Undo = false);
+  /// Asks the agent to drain, or to resume work if \p Undo is set. Thread-safe.
+  void requestDrain(const std::string &Reason, bool Undo = false);
 
 private:
   class ConnectionListener;
   class SyncListener;
-  class IgnoredReply;
+  class DrainReplyListener;
 
-  TargetLink(platform::Vm Target, Parts Of, Observer Told)
-      : m_Target(std::move(Target)), m_Parts(std::move(Of)),
-        m_Observer(std::move(Told)) {}
+  TargetLink(platform::Vm Target, Dependencies Services, Observer Callbacks)
+      : m_Target(std::move(Target)), m_Dependencies(std::move(Services)),
+        m_Observer(std::move(Callbacks)) {}
 
   void onReport(std::string_view Bytes);
 
   const platform::Vm m_Target;
-  const Parts m_Parts;
+  const Dependencies m_Dependencies;
   const Observer m_Observer;
   std::shared_ptr<wire::Channel> m_Channel;
   std::shared_ptr<wire::Stream> m_Sync;
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -1,8 +1,6 @@
-//===- EntryFixtures.h - Agents and callers of the entry's tests -*- C++
-//-*-===//
+//===- EntryFixtures.h - Fake agents and callers ------------*- C++ -*-===//
 //
-// Fake agents behind real connections, and callers that keep what they were
-// answered.
+// Fake agents behind real connections, and callers that record responses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,9 +19,9 @@
 
 namespace figlift::test {
 
-/// Back end "lm-desk" with model "desk", service "booking-core" whose /slots
-/// may not be repeated.
-config::SnapshotPointer recordsInForce();
+/// Configuration with the model back end "lm-desk", which serves "desk", and
+/// the service "booking-core", whose /slots paths are not repeatable.
+config::SnapshotPointer testConfiguration();
 
 template <typename F> bool eventually(F Condition) {
   const auto End = std::chrono::steady_clock::now() + std::chrono::seconds(5);
@@ -35,16 +33,16 @@
   return true;
 }
 
-/// An agent that answers Run and Resume as its script says.
+/// An agent that handles Run and Resume streams with a script.
 class FakeAgent {
 public:
   /// The stream of one Run or Resume.
-  struct Asked {
-    wire::Method What = wire::Method::Run;
+  struct ReceivedCall {
+    wire::Method Method = wire::Method::Run;
     wire::RunRequest Run;
     wire::ResumeRequest Resume;
     std::shared_ptr<wire::Stream> Answer;
-    /// Set when the entry has reset the stream, or it ended.
+    /// Set when the stream has ended or was reset by the entry.
     std::shared_ptr<std::atomic<bool>> Ended;
 
     wire::RunFrame frame() const;
@@ -55,14 +53,14 @@
     void refuse(ResultCode Code) const;
     void answer(const std::string &Body) const;
   };
-  using Script = std::function<void(const Asked &)>;
+  using Script = std::function<void(const ReceivedCall &)>;
 
-  explicit FakeAgent(Script Does);
+  explicit FakeAgent(Script OnCall);
   ~FakeAgent() { stop(); }
   void stop();
   const Endpoint &endpoint() const { return m_Server->endpoint(); }
-  std::vector<Asked> asked() const;
-  size_t count() const { return asked().size(); }
+  std::vector<ReceivedCall> calls() const;
+  size_t count() const { return calls().size(); }
 
 private:
   class Listener;
@@ -71,22 +69,23 @@
   std::unique_ptr<wire::Server> m_Server;
 };
 
-/// Keeps what one caller was answered.
+/// Records the response to one caller.
 class FakeCaller final : public http::Exchange {
 public:
   const http::Request &request() const override { return m_Request; }
   void setRequestId(std::string) override {}
   void addHeader(std::string, std::string) override {}
   void reply(http::Response Answer) override;
-  void replyProblem(const Error &What) override;
+  void replyProblem(const Error &Failure) override;
   std::shared_ptr<http::EventStream>
-  startEvents(http::HeaderList Headers, std::function<void()> Gone) override;
+  startEvents(http::HeaderList Headers,
+              std::function<void()> OnDisconnect) override;
 
   bool answered() const { return m_Answered.load(); }
-  /// An event was sent to it.
-  bool begun() const { return m_Begun.load(); }
-  /// The caller's connection is lost.
-  void leave();
+  /// Whether an event has been received.
+  bool hasEvents() const { return m_HasEvents.load(); }
+  /// Simulates the loss of the caller's connection.
+  void disconnect();
 
   http::Response Answer;
   std::optional<Error> Problem;
@@ -97,32 +96,32 @@
 
   http::Request m_Request;
   std::atomic<bool> m_Answered{false};
-  std::atomic<bool> m_Begun{false};
-  std::atomic<bool> m_Left{false};
-  std::function<void()> m_Gone;
+  std::atomic<bool> m_HasEvents{false};
+  std::atomic<bool> m_IsDisconnected{false};
+  std::function<void()> m_OnDisconnect;
 };
 
-/// What an entry's calls need, with links to fake agents.
-class CallBench {
+/// Provides the context that calls need, with links to fake agents.
+class CallFixture {
 public:
-  CallBench();
-  ~CallBench();
+  CallFixture();
+  ~CallFixture();
 
-  /// Connects to the agent as a target that serves.
+  /// Connects to the agent and adds it as a serving target.
   void add(const std::string &Id, const std::string &BackEnd, FakeAgent &Agent);
   /// Makes the target the home of every slice of its back end.
   void makeHome(const std::string &Id, const std::string &BackEnd);
   void publish();
-  /// What the target reports from now on, until it reports again.
+  /// Sets the load reported by the target until its next report.
   void report(const std::string &Id, const route::TargetLoad &Load) {
-    m_Book.gauge(Id)->report(Load, BootClock::now());
+    m_InFlight.gauge(Id)->report(Load, BootClock::now());
   }
   retry::HealthBook &health() { return m_Health; }
   std::shared_ptr<FakeCaller> call(entry::CallerRequest Request);
 
   entry::CallerRequest completion(uint32_t MaximumTokens,
                                   bool Streamed = false);
-  entry::CallerRequest slotHold(const std::string &Key = {});
+  entry::CallerRequest slotReservation(const std::string &Key = {});
 
   metrics::Registry Metrics;
   entry::CallMetrics Counters{Metrics};
@@ -138,10 +137,10 @@
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
   retry::HealthBook m_Health;
-  entry::WorkspaceBook m_Workspaces;
+  entry::WorkspaceTracker m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
-  retry::RetrySettings m_Retrying;
-  route::InFlightBook m_Book;
+  retry::RetrySettings m_RetryOptions;
+  route::InFlightBook m_InFlight;
   entry::ServingStatePointer m_State;
   entry::EventLoop m_Timers;
   std::unique_ptr<wire::Client> m_Client;
