--- a/Services/figlift-gateway/CacheDiscovery.cpp
+++ b/Services/figlift-gateway/CacheDiscovery.cpp
@@ -1,4 +1,4 @@
-//===- CacheDiscovery.cpp - Asks engines what they keep -------------------===//
+//===- CacheDiscovery.cpp - Queries the KV cache of engines ---------------===//
 //
 // See CacheDiscovery.h.
 //
@@ -15,41 +15,43 @@
 
 namespace {
 
-/// A list delays the engine's work a little, so gateways that start together
-/// ask each engine at different moments within this time. A second made no
-/// difference beyond noise to the value earned after a loss of all gateways;
-/// the shorter time leaves fewer requests that are planned blindly.
-constexpr std::chrono::milliseconds Spread{200};
+/// A cache list delays the engine's work a little, so gateways that start
+/// together query each engine at different times within this interval. With
+/// one second the value earned after a loss of all gateways differs only by
+/// noise; the shorter interval leaves fewer requests that are planned without
+/// knowing the caches.
+constexpr std::chrono::milliseconds QuerySpread{200};
 
 } // namespace
 
-void CacheDiscovery::engineCame(const dispatch::Target &Which, BootTime Now) {
-  if (Which.Does == dispatch::Stage::None)
+void CacheDiscovery::engineAdded(const dispatch::Target &Engine, BootTime Now) {
+  if (Engine.Does == dispatch::Stage::None)
     return;
-  m_Open.push_back(
-      {Which.Id, Now + std::chrono::duration_cast<BootClock::duration>(
-                           Spread * m_Shared.draw())});
+  m_Pending.push_back(
+      {Engine.Id, Now + std::chrono::duration_cast<BootClock::duration>(
+                            QuerySpread * m_Shared.draw())});
 }
 
 void CacheDiscovery::tick(BootTime Now) {
-  std::vector<Question> Later;
-  for (const Question &Each : std::exchange(m_Open, {})) {
-    if (Now < Each.Due)
-      Later.push_back(Each);
+  std::vector<Query> Later;
+  for (const Query &Scheduled : std::exchange(m_Pending, {})) {
+    if (Now < Scheduled.Due)
+      Later.push_back(Scheduled);
     else
-      ask(Each.TargetId);
+      queryCache(Scheduled.TargetId);
   }
-  m_Open.insert(m_Open.end(), Later.begin(), Later.end());
+  m_Pending.insert(m_Pending.end(), Later.begin(), Later.end());
 }
 
-void CacheDiscovery::ask(const std::string &TargetId) {
-  const dispatch::Target *Asked = m_Shared.Targets.find(TargetId);
-  if (!Asked)
+void CacheDiscovery::queryCache(const std::string &TargetId) {
+  const dispatch::Target *Engine = m_Shared.Targets.find(TargetId);
+  if (!Engine)
     return;
-  const auto Listed = [&Shared = m_Shared, TargetId, Start = Asked->Started](
-                          unsigned Status, const std::string &Body) {
-    const dispatch::Target *Which = Shared.Targets.find(TargetId);
-    if (!Which || Which->Started != Start)
+  const auto OnResponse = [&Shared = m_Shared, TargetId,
+                           Start = Engine->Started](unsigned Status,
+                                                    const std::string &Body) {
+    const dispatch::Target *Current = Shared.Targets.find(TargetId);
+    if (!Current || Current->Started != Start)
       return;
     Shared.Loads.cacheTold(TargetId);
     const auto Parts = slopes::decodeCacheList(Status == 200 ? Body : "");
@@ -58,14 +60,15 @@
                            {{"target", TargetId},
                             {"status", Status},
                             {"message", Parts.error().Message}});
-    for (const dispatch::PromptPart &Each : Parts.value())
-      Shared.Loads.cache(TargetId).insert(Each);
+    for (const dispatch::PromptPart &Part : Parts.value())
+      Shared.Loads.cache(TargetId).insert(Part);
     log::logEvent(log::Level::Info, "cache-listed",
                   {{"target", TargetId}, {"parts", Parts.value().size()}});
   };
-  // An engine without a free connection is busy for this gateway already; what
-  // it keeps will show by its work.
-  callEngine(m_Shared, TargetId, "GET", slopes::CacheListTarget, "", Listed);
+  // An engine without a free connection already works for this gateway, and
+  // the responses will show what it has cached.
+  callEngine(m_Shared, TargetId, "GET", slopes::CacheListTarget, "",
+             OnResponse);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/CacheDiscovery.h
+++ b/Services/figlift-gateway/CacheDiscovery.h
@@ -1,10 +1,11 @@
-//===- CacheDiscovery.h - Asks engines what they keep -----------*- C++ -*-===//
+//===- CacheDiscovery.h - Queries the KV cache of engines -------*- C++ -*-===//
 //
-// A gateway knows what engines keep from what it and its peers had computed
-// since they started. When it starts before engines that are at work already,
-// it knows nothing: prompts that are kept look as if they had to be computed,
-// callers are refused for work that is not there, and after a loss of all
-// gateways at once nobody is left who could tell. So each engine is asked once.
+// A gateway knows the cache contents of engines from the work that it and its
+// peers sent since they started. A gateway that starts after the engines knows
+// nothing: cached prompts look as if they had to be computed, and callers are
+// rejected for work that does not exist. After a simultaneous loss of all
+// gateways, no peer can report the contents either. So each engine is queried
+// once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,20 +22,20 @@
 public:
   explicit CacheDiscovery(Context &Shared) : m_Shared(Shared) {}
 
-  /// An engine is listed that was not before.
-  void engineCame(const dispatch::Target &Which, BootTime Now);
-  /// Called regularly, several times a second.
+  /// An engine was added to the server list.
+  void engineAdded(const dispatch::Target &Engine, BootTime Now);
+  /// Called periodically, several times a second.
   void tick(BootTime Now);
 
 private:
-  struct Question {
+  struct Query {
     std::string TargetId;
     BootTime Due{};
   };
-  void ask(const std::string &TargetId);
+  void queryCache(const std::string &TargetId);
 
   Context &m_Shared;
-  std::vector<Question> m_Open;
+  std::vector<Query> m_Pending;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -1,6 +1,6 @@
-//===- Context.h - What the parts of a gateway share ------------*- C++ -*-===//
+//===- Context.h - State shared by the components of a gateway --*- C++ -*-===//
 //
-// Owned by Gateway; all of it is used from the loop's thread alone.
+// Owned by Gateway and accessed from the event loop's thread only.
 //
 //===----------------------------------------------------------------------===//
 
@@ -39,8 +39,8 @@
 namespace figlift::gateway {
 
 struct Context {
-  explicit Context(settings::GatewaySettings Given)
-      : Settings(std::move(Given)),
+  explicit Context(settings::GatewaySettings Values)
+      : Settings(std::move(Values)),
         Budget({Settings.Retry.Ratio, Settings.Retry.Base,
                 std::chrono::duration_cast<std::chrono::milliseconds>(
                     Settings.Retry.Window)},
@@ -48,27 +48,29 @@
         Prompts({}, Loads), Services({}, Loads),
         Log(Settings.Log.PlainLinesPerSecond), Random(std::random_device{}()) {}
 
-  /// Uniform in [0, 1).
+  /// Returns a uniform random number in [0, 1).
   double draw() { return std::uniform_real_distribution<double>(0, 1)(Random); }
-  /// Targets of \p Service that take new work.
+  /// Targets of \p ServiceName that accept new work.
   std::vector<const dispatch::Target *>
-  openTargets(const std::string &Service) const {
+  openTargets(const std::string &ServiceName) const {
     std::vector<const dispatch::Target *> Open;
-    for (const auto &[Id, Each] : Targets.all())
-      if (Each.Service == Service && !Each.Draining)
-        Open.push_back(&Each);
+    for (const auto &[Id, Target] : Targets.all())
+      if (Target.Service == ServiceName && !Target.Draining)
+        Open.push_back(&Target);
     return Open;
   }
 
-  /// What prompts cost the engines of \p Which, as far as known.
-  dispatch::EngineCosts costsOf(const dispatch::Service &Which, BootTime Now) {
-    return {EngineModels[Which.Name].figures(Now), *Which.Engine};
+  /// Cost model of the engines of \p Service, from the measurements so far.
+  dispatch::EngineCosts costsOf(const dispatch::Service &Service,
+                                BootTime Now) {
+    return {EngineModels[Service.Name].figures(Now), *Service.Engine};
   }
 
   settings::GatewaySettings Settings;
   boost::asio::io_context Loop{1};
   BackgroundWorker Worker{Loop};
-  /// Null until the first one was read. Requests keep the one they began with.
+  /// Null until the first configuration has been read. A request keeps the
+  /// configuration that it started with.
   std::shared_ptr<const dispatch::Configuration> Configuration;
   dispatch::TargetTable Targets;
   dispatch::LoadBook Loads;
@@ -78,31 +80,32 @@
   dispatch::ServicePlanner Services;
   dispatch::RepeatOptions Repeats;
   std::map<std::string, std::shared_ptr<upstream::ConnectionPool>> Pools;
-  /// What was learned of the engines of each service.
+  /// Learned cost model of the engines, by service.
   std::map<std::string, engine::EngineModel> EngineModels;
-  /// How late answers of each service of engines begin.
+  /// Scheduling delay of first events, by engine service.
   std::map<std::string, dispatch::StartLag> StartLags;
-  /// By service of engines.
+  /// By engine service.
   std::map<std::string, dispatch::KvReuse> KvReuses;
-  /// Parts that were computed since the last report to the peers.
+  /// Prompt parts that were cached since the last report to the peers.
   std::vector<dispatch::CachedPart> NewlyCached;
-  /// Demand on each service of engines through this gateway.
+  /// Demand on each engine service that passes through this gateway.
   std::map<std::string, dispatch::DemandMeter> Demands;
   /// By route.
   std::map<std::string, dispatch::StreamTimes> StreamTimes;
-  /// What the other gateways told of theirs, by gateway.
+  /// Demand that the other gateways reported, by gateway.
   std::map<std::string, std::vector<dispatch::ServiceDemand>> PeerDemands;
-  /// Engines that this gateway had change their stage, and until when they
-  /// take no work.
-  std::map<std::string, BootTime> Away;
+  /// Engines whose stage this gateway is changing, and the time until which
+  /// they accept no work.
+  std::map<std::string, BootTime> Switching;
   DecisionLog Log;
   CrashWatch Crashes{Loop, Log};
   metrics::Registry Metrics;
   std::mt19937_64 Random;
-  /// When the store last answered a question for the servers.
-  BootTime ServersSeen{};
-  /// How long this gateway leaves to others to order what all of them want;
-  /// grows with its place in the order of names.
+  /// When the cached view of the server list was last known to be current.
+  BootTime ServersKnownAt{};
+  /// How long this gateway waits for gateways with smaller ids to give an
+  /// order that all of them plan; grows with the number of live gateways
+  /// before it.
   std::chrono::milliseconds OrderTurnDelay{0};
   dispatch::ProcessStop Stop;
 };
--- a/Services/figlift-gateway/CrashWatch.cpp
+++ b/Services/figlift-gateway/CrashWatch.cpp
@@ -1,6 +1,7 @@
-//===- CrashWatch.cpp - Whether a server ended under a request ------------===//
+//===- CrashWatch.cpp - Detects server crashes caused by requests ---------===//
 //
-// One connection attempt for each doubt, closed as soon as it stands.
+// One connection attempt for each suspicion, closed as soon as it is
+// established.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,24 +25,29 @@
 
 namespace {
 
-/// Many round trips; a server that does not answer in this time is cut off or
-/// without power, which a refusal would have told.
+/// Many round trips. A server that does not answer in this time is unreachable
+/// or without power; a crashed process on a running host would refuse the
+/// connection.
 constexpr milliseconds ProbeTimeout{600};
-/// A process that is killed may lose its connections before its listener: one
-/// that stands then proves nothing, and is tried once more after a pause.
-constexpr unsigned ProbeTries = 2;
+/// A killed process may lose its connections before its listener. An
+/// established connection is therefore no proof that the server runs, and the
+/// probe is repeated once after a pause.
+constexpr unsigned ProbeAttempts = 2;
 constexpr milliseconds ProbePause{50};
-/// Until the store has dropped a server that ended without refusing anybody.
-constexpr milliseconds DoubtLifetime{6000};
-/// Sends that broke off this long before their server refused a connection did
-/// so with it; earlier ones it cut and lived on.
-constexpr milliseconds BrokeWithIt{1000};
-/// Some 90 bytes each.
-constexpr size_t MostRepeated = 10;
-
-/// A connection attempt, and what ends it.
-struct Probe {
-  explicit Probe(asio::io_context &Loop) : Socket(Loop), Timer(Loop) {}
+/// Covers the time until the store removes a server that crashed without
+/// refusing a connection.
+constexpr milliseconds SuspicionLifetime{6000};
+/// Connections that were lost at most this long before their server refused a
+/// probe were lost in the crash; the server closed earlier ones and kept
+/// running.
+constexpr milliseconds CrashLossWindow{1000};
+/// About 90 bytes each.
+constexpr size_t MaximumReannounced = 10;
+
+/// A connection attempt and its timeout.
+struct ProbeConnection {
+  explicit ProbeConnection(asio::io_context &Loop)
+      : Socket(Loop), Timer(Loop) {}
 
   tcp::socket Socket;
   asio::steady_timer Timer;
@@ -50,175 +56,183 @@
 } // namespace
 
 void CrashWatch::useSecret(const std::string &Secret) {
-  const auto Made = dispatch::Fingerprinter::fromSecret(Secret);
-  if (!Made)
+  const auto Fingerprinter = dispatch::Fingerprinter::fromSecret(Secret);
+  if (!Fingerprinter)
     return log::logError(log::Level::Error, "peer-secret-invalid",
-                         Made.error());
-  m_Fingerprinter = Made.value();
+                         Fingerprinter.error());
+  m_Fingerprinter = Fingerprinter.value();
 }
 
 std::optional<dispatch::RequestFingerprint>
-CrashWatch::fingerprintOf(const proxy::Request &What) const {
+CrashWatch::fingerprintOf(const proxy::Request &Request) const {
   if (!m_Fingerprinter)
     return std::nullopt;
-  const proxy::HeaderList &Fields = What.Head.Headers;
+  const proxy::HeaderList &Fields = Request.Head.Headers;
   return m_Fingerprinter->of(
-      {What.Head.Method, Fields.find("Host").value_or(""), What.Head.Target,
-       Fields.find("Authorization").value_or(""), What.Body});
-}
-
-void CrashWatch::brokeOff(const dispatch::RequestFingerprint &What,
-                          const dispatch::Target &Which, BootTime Began,
-                          BootTime Now) {
-  const Doubt::Broken Send{What, Began, Now};
-  if (m_Ended.contains(Which.start())) {
-    blame(Which.start(), Send, Now);
-    return tellFresh(Now);
+      {Request.Head.Method, Fields.find("Host").value_or(""),
+       Request.Head.Target, Fields.find("Authorization").value_or(""),
+       Request.Body});
+}
+
+void CrashWatch::connectionLost(const dispatch::RequestFingerprint &Request,
+                                const dispatch::Target &Target, BootTime SentAt,
+                                BootTime Now) {
+  const Suspicion::LostSend Loss{Request, SentAt, Now};
+  if (m_Ended.contains(Target.start())) {
+    suspect(Target.start(), Loss, Now);
+    return announceNew(Now);
   }
-  Doubt &Of = m_Doubts[Which.start()];
-  Of.Sends.push_back(Send);
-  if (!std::exchange(Of.Probing, true))
-    probe(Which.start(), Which.Address, 1);
+  Suspicion &Entry = m_Suspicions[Target.start()];
+  Entry.Losses.push_back(Loss);
+  if (!std::exchange(Entry.Probing, true))
+    probe(Target.start(), Target.Address, 1);
 }
 
-void CrashWatch::probe(const ServerStart &Which, const Endpoint &Where,
-                       unsigned Try) {
+void CrashWatch::probe(const ServerStart &Start, const Endpoint &Address,
+                       unsigned Attempt) {
   ErrorCode Code;
-  const auto Address = asio::ip::make_address_v4(Where.Address, Code);
+  const auto Host = asio::ip::make_address_v4(Address.Address, Code);
   if (Code)
     return;
-  const auto Each = std::make_shared<Probe>(m_Loop);
-  Each->Timer.expires_after(ProbeTimeout);
-  Each->Timer.async_wait([Each](const ErrorCode &Stopped) {
-    ErrorCode Ignored; // The attempt is given up either way.
+  const auto Probe = std::make_shared<ProbeConnection>(m_Loop);
+  Probe->Timer.expires_after(ProbeTimeout);
+  Probe->Timer.async_wait([Probe](const ErrorCode &Stopped) {
+    ErrorCode Ignored; // The attempt ends in any case.
     if (!Stopped)
-      Each->Socket.close(Ignored);
+      Probe->Socket.close(Ignored);
   });
-  Each->Socket.async_connect(
-      {Address, Where.Port},
-      [this, Each, Which, Where, Try](const ErrorCode &Result) {
-        Each->Timer.cancel();
+  Probe->Socket.async_connect(
+      {Host, Address.Port},
+      [this, Probe, Start, Address, Attempt](const ErrorCode &Result) {
+        Probe->Timer.cancel();
         if (Result == asio::error::connection_refused ||
             Result == asio::error::connection_reset)
-          serverEnded(Which, "refuses connections",
-                      BootClock::now() - BrokeWithIt);
+          serverEnded(Start, "refuses connections",
+                      BootClock::now() - CrashLossWindow);
         else if (!Result)
-          probeAgain(Which, Where, Try);
-        else if (const auto Of = m_Doubts.find(Which); Of != m_Doubts.end())
-          Of->second.Probing = false;
+          retryProbe(Start, Address, Attempt);
+        else if (const auto Entry = m_Suspicions.find(Start);
+                 Entry != m_Suspicions.end())
+          Entry->second.Probing = false;
       });
 }
 
-void CrashWatch::probeAgain(const ServerStart &Which, const Endpoint &Where,
-                            unsigned Try) {
-  if (Try == ProbeTries) {
-    if (const auto Of = m_Doubts.find(Which); Of != m_Doubts.end())
-      Of->second.Probing = false;
+void CrashWatch::retryProbe(const ServerStart &Start, const Endpoint &Address,
+                            unsigned Attempt) {
+  if (Attempt == ProbeAttempts) {
+    if (const auto Entry = m_Suspicions.find(Start);
+        Entry != m_Suspicions.end())
+      Entry->second.Probing = false;
     return;
   }
   const auto Timer = std::make_shared<asio::steady_timer>(m_Loop, ProbePause);
-  Timer->async_wait([this, Timer, Which, Where, Try](const ErrorCode &Stopped) {
-    if (!Stopped)
-      probe(Which, Where, Try + 1);
-  });
+  Timer->async_wait(
+      [this, Timer, Start, Address, Attempt](const ErrorCode &Stopped) {
+        if (!Stopped)
+          probe(Start, Address, Attempt + 1);
+      });
 }
 
-CrashWatch::Doubts::iterator CrashWatch::doubtOf(const std::string &TargetId) {
-  const auto Found = m_Doubts.lower_bound(ServerStart{TargetId, std::nullopt});
-  return Found != m_Doubts.end() && Found->first.TargetId == TargetId
-             ? Found
-             : m_Doubts.end();
+CrashWatch::Suspicions::iterator
+CrashWatch::findSuspicion(const std::string &TargetId) {
+  const auto Entry =
+      m_Suspicions.lower_bound(ServerStart{TargetId, std::nullopt});
+  return Entry != m_Suspicions.end() && Entry->first.TargetId == TargetId
+             ? Entry
+             : m_Suspicions.end();
 }
 
-void CrashWatch::targetLeaves(const std::string &TargetId) {
-  if (const auto Found = doubtOf(TargetId); Found != m_Doubts.end())
-    m_Doubts.erase(Found);
+void CrashWatch::targetDraining(const std::string &TargetId) {
+  if (const auto Entry = findSuspicion(TargetId); Entry != m_Suspicions.end())
+    m_Suspicions.erase(Entry);
 }
 
-void CrashWatch::targetGone(const std::string &TargetId) {
-  if (const auto Found = doubtOf(TargetId); Found != m_Doubts.end())
-    serverEnded(ServerStart(Found->first), "is listed no more",
-                BootClock::now() - DoubtLifetime);
+void CrashWatch::targetRemoved(const std::string &TargetId) {
+  if (const auto Entry = findSuspicion(TargetId); Entry != m_Suspicions.end())
+    serverEnded(ServerStart(Entry->first), "is listed no more",
+                BootClock::now() - SuspicionLifetime);
 }
 
-void CrashWatch::serverEnded(const ServerStart &Which, std::string_view How,
+void CrashWatch::serverEnded(const ServerStart &Start, std::string_view Reason,
                              BootTime Since) {
-  const auto Found = m_Doubts.find(Which);
-  if (Found == m_Doubts.end())
+  const auto Entry = m_Suspicions.find(Start);
+  if (Entry == m_Suspicions.end())
     return;
   const BootTime Now = BootClock::now();
-  const Doubt Settled = std::move(Found->second);
-  m_Doubts.erase(Found);
-  m_Ended[Which] = Now;
+  const Suspicion Confirmed = std::move(Entry->second);
+  m_Suspicions.erase(Entry);
+  m_Ended[Start] = Now;
   ++m_Crashes;
-  if (m_Log.allows(LineKind::Belief, Now))
+  if (m_Log.allows(LineKind::State, Now))
     log::logEvent(log::Level::Info, "server-ended",
-                  {{"target", Which.TargetId},
-                   {"how", How},
-                   {"brokeOff", Settled.Sends.size()}});
-  for (const Doubt::Broken &Each : Settled.Sends)
-    if (Each.At >= Since)
-      blame(Which, Each, Now);
-  tellFresh(Now);
-}
-
-void CrashWatch::blame(const ServerStart &Server, const Doubt::Broken &Send,
-                       BootTime Now) {
-  m_Suspects.crashed(Send.Request, {Server, Send.Began, Send.At}, Now);
-  const auto Age = [&](BootTime At) {
-    return std::chrono::duration_cast<milliseconds>(Now - At).count();
+                  {{"target", Start.TargetId},
+                   {"how", Reason},
+                   {"brokeOff", Confirmed.Losses.size()}});
+  for (const Suspicion::LostSend &Loss : Confirmed.Losses)
+    if (Loss.LostAt >= Since)
+      suspect(Start, Loss, Now);
+  announceNew(Now);
+}
+
+void CrashWatch::suspect(const ServerStart &Start,
+                         const Suspicion::LostSend &Loss, BootTime Now) {
+  m_Suspects.crashed(Loss.Request, {Start, Loss.SentAt, Loss.LostAt}, Now);
+  const auto Age = [&](BootTime Time) {
+    return std::chrono::duration_cast<milliseconds>(Now - Time).count();
   };
   if (m_Log.allows(LineKind::Notable, Now))
     log::logEvent(log::Level::Info, "request-suspected",
-                  {{"fingerprint", Send.Request.toString()},
-                   {"target", Server.TargetId},
-                   {"sentMsAgo", Age(Send.Began)},
-                   {"brokeOffMsAgo", Age(Send.At)},
-                   {"evidence", m_Suspects.evidence(Send.Request)},
-                   {"crashes", m_Suspects.crashes(Send.Request)}});
+                  {{"fingerprint", Loss.Request.toString()},
+                   {"target", Start.TargetId},
+                   {"sentMsAgo", Age(Loss.SentAt)},
+                   {"brokeOffMsAgo", Age(Loss.LostAt)},
+                   {"evidence", m_Suspects.evidence(Loss.Request)},
+                   {"crashes", m_Suspects.crashes(Loss.Request)}});
 }
 
-void CrashWatch::sent(const dispatch::RequestFingerprint &What, BootTime Now) {
-  m_Suspects.sent(What, Now);
-  tellFresh(Now);
+void CrashWatch::sent(const dispatch::RequestFingerprint &Request,
+                      BootTime Now) {
+  m_Suspects.sent(Request, Now);
+  announceNew(Now);
 }
 
-void CrashWatch::completed(const dispatch::RequestFingerprint &What,
+void CrashWatch::completed(const dispatch::RequestFingerprint &Request,
                            BootTime Now) {
-  m_Suspects.completed(What, Now);
-  tellFresh(Now);
+  m_Suspects.completed(Request, Now);
+  announceNew(Now);
 }
 
-void CrashWatch::tellFresh(BootTime Now) {
-  const auto Fresh = m_Suspects.takeFresh(Now);
-  if (!Fresh.empty() && m_Tell)
-    m_Tell(Fresh);
+void CrashWatch::announceNew(BootTime Now) {
+  const auto Updates = m_Suspects.takeFresh(Now);
+  if (!Updates.empty() && m_Announce)
+    m_Announce(Updates);
 }
 
-void CrashWatch::heard(const std::vector<dispatch::SuspectNews> &News,
-                       BootTime Now) {
-  for (const dispatch::SuspectNews &Each : News) {
-    m_Suspects.heard(Each, Now);
-    // Own sends broke off there, too, about when the peer's did.
-    for (const dispatch::SuspectNews::Crash &Crash : Each.Crashes)
-      serverEnded(Crash.Server, "told by a peer",
-                  Now - Crash.Age - BrokeWithIt);
+void CrashWatch::peerReported(const std::vector<dispatch::SuspectNews> &Updates,
+                              BootTime Now) {
+  for (const dispatch::SuspectNews &Update : Updates) {
+    m_Suspects.heard(Update, Now);
+    // This gateway lost its connections to the server at about the same time
+    // as the peer.
+    for (const dispatch::SuspectNews::Crash &Crash : Update.Crashes)
+      serverEnded(Crash.Server, "reported by a peer",
+                  Now - Crash.Age - CrashLossWindow);
   }
 }
 
-std::vector<dispatch::SuspectNews> CrashWatch::repeats(BootTime Now) {
-  return m_Suspects.repeats(MostRepeated, Now);
+std::vector<dispatch::SuspectNews> CrashWatch::reannouncements(BootTime Now) {
+  return m_Suspects.repeats(MaximumReannounced, Now);
 }
 
 void CrashWatch::tick(BootTime Now) {
-  for (auto &[Which, Of] : m_Doubts)
-    std::erase_if(Of.Sends, [&](const Doubt::Broken &Each) {
-      return Now - Each.At > DoubtLifetime;
+  for (auto &[Start, Entry] : m_Suspicions)
+    std::erase_if(Entry.Losses, [&](const Suspicion::LostSend &Loss) {
+      return Now - Loss.LostAt > SuspicionLifetime;
     });
-  std::erase_if(m_Doubts,
-                [](const auto &Each) { return Each.second.Sends.empty(); });
-  std::erase_if(m_Ended, [&](const auto &Each) {
-    return Now - Each.second > DoubtLifetime;
+  std::erase_if(m_Suspicions,
+                [](const auto &Entry) { return Entry.second.Losses.empty(); });
+  std::erase_if(m_Ended, [&](const auto &Entry) {
+    return Now - Entry.second > SuspicionLifetime;
   });
   m_Suspects.tick(Now);
 }
--- a/Services/figlift-gateway/CrashWatch.h
+++ b/Services/figlift-gateway/CrashWatch.h
@@ -1,12 +1,13 @@
-//===- CrashWatch.h - Whether a server ended under a request ----*- C++ -*-===//
+//===- CrashWatch.h - Detects server crashes caused by requests -*- C++ -*-===//
 //
-// An answer that breaks off is an everyday failure: servers cut some, links
-// reset some. A crash is a server that has ended, and that mostly shows at
-// once: its address refuses connections. So after a send that broke off its
-// server is asked for a connection, once for all sends that broke off together.
-// Where something else takes connections in its place, the store's list tells
-// seconds later: the server is gone, and had not said that it leaves. What is
-// found goes into CrashSuspects, which decides, and to the peers.
+// Lost connections are common: servers close some, and links reset others. A
+// crash is the end of the server process, and usually its address then refuses
+// connections. After a connection was lost during a request, the gateway
+// therefore probes the server with a connection attempt, one for all requests
+// that were lost together. If another process accepts connections at the
+// address, the server list shows the crash seconds later: the server is removed
+// without having been draining. Results go to CrashSuspects, which decides
+// which requests to reject, and to the peers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,86 +33,91 @@
 
 class CrashWatch {
 public:
-  using Teller =
+  using Announcer =
       std::function<void(const std::vector<dispatch::SuspectNews> &)>;
 
   CrashWatch(boost::asio::io_context &Loop, DecisionLog &Log)
       : m_Loop(Loop), m_Log(Log) {}
 
-  /// Called with what peers are to know at once.
-  void onNews(Teller Tell) { m_Tell = std::move(Tell); }
+  /// \p Announce is called with updates that peers need at once.
+  void onUpdate(Announcer Announce) { m_Announce = std::move(Announce); }
 
-  /// Fingerprints are made with the fleet's secret from now on.
+  /// Fingerprints are computed with the fleet's secret from now on.
   void useSecret(const std::string &Secret);
-  /// Absent while the secret is not known.
+  /// Empty while the secret is not known.
   std::optional<dispatch::RequestFingerprint>
-  fingerprintOf(const proxy::Request &What) const;
+  fingerprintOf(const proxy::Request &Request) const;
 
   const dispatch::CrashSuspects &suspects() const { return m_Suspects; }
-  void countHeldBack() { ++m_HeldBack; }
-  /// The request is being sent to a server.
-  void sent(const dispatch::RequestFingerprint &What, BootTime Now);
-  /// Whether a crash may become known for which it matters what runs came to
-  /// their end since.
-  bool wantsCompletions() const {
-    return !m_Doubts.empty() || !m_Suspects.empty();
+  void recordRejected() { ++m_Rejected; }
+  /// Records that the request is being sent to a server.
+  void sent(const dispatch::RequestFingerprint &Request, BootTime Now);
+  /// Whether a crash may be detected for which the completed requests have to
+  /// be known.
+  bool needsCompletions() const {
+    return !m_Suspicions.empty() || !m_Suspects.empty();
   }
-  /// A server has run it to an end, and goes on.
-  void completed(const dispatch::RequestFingerprint &What, BootTime Now);
-  /// A send of \p What to \p Which that began at \p Began broke off.
-  void brokeOff(const dispatch::RequestFingerprint &What,
-                const dispatch::Target &Which, BootTime Began, BootTime Now);
-  /// The target leaves by plan: what it cuts then is no crash.
-  void targetLeaves(const std::string &TargetId);
-  /// The store lists the target, or this start of it, no more.
-  void targetGone(const std::string &TargetId);
+  /// Records that a server completed the request and is still running.
+  void completed(const dispatch::RequestFingerprint &Request, BootTime Now);
+  /// Records that the connection for \p Request to \p Target was lost; the
+  /// request was sent at \p SentAt.
+  void connectionLost(const dispatch::RequestFingerprint &Request,
+                      const dispatch::Target &Target, BootTime SentAt,
+                      BootTime Now);
+  /// The target is draining: connections that it closes from now on are no
+  /// sign of a crash.
+  void targetDraining(const std::string &TargetId);
+  /// The target, or this start of it, was removed from the server list.
+  void targetRemoved(const std::string &TargetId);
   void tick(BootTime Now);
 
-  void heard(const std::vector<dispatch::SuspectNews> &News, BootTime Now);
-  /// News that peers may have missed.
-  std::vector<dispatch::SuspectNews> repeats(BootTime Now);
+  void peerReported(const std::vector<dispatch::SuspectNews> &Updates,
+                    BootTime Now);
+  /// Updates that are announced again because peers may have missed them.
+  std::vector<dispatch::SuspectNews> reannouncements(BootTime Now);
 
-  /// Servers that have ended under a request.
+  /// Servers that crashed during a request.
   uint64_t crashes() const { return m_Crashes; }
-  uint64_t heldBack() const { return m_HeldBack; }
+  uint64_t rejected() const { return m_Rejected; }
 
 private:
-  /// Sends that broke off at one start of a server, while it may turn out that
-  /// it has ended.
-  struct Doubt {
-    struct Broken {
+  /// Requests whose connections to one start of a server were lost, while it
+  /// is unknown whether the server crashed.
+  struct Suspicion {
+    struct LostSend {
       dispatch::RequestFingerprint Request;
-      BootTime Began{};
-      BootTime At{};
+      BootTime SentAt{};
+      BootTime LostAt{};
     };
     bool Probing = false;
-    std::vector<Broken> Sends;
+    std::vector<LostSend> Losses;
   };
-  using Doubts = std::map<dispatch::ServerStart, Doubt>;
-
-  Doubts::iterator doubtOf(const std::string &TargetId);
-  void probe(const dispatch::ServerStart &Which, const Endpoint &Where,
-             unsigned Try);
-  void probeAgain(const dispatch::ServerStart &Which, const Endpoint &Where,
-                  unsigned Try);
-  /// What broke off from \p Since on did so with it.
-  void serverEnded(const dispatch::ServerStart &Which, std::string_view How,
+  using Suspicions = std::map<dispatch::ServerStart, Suspicion>;
+
+  Suspicions::iterator findSuspicion(const std::string &TargetId);
+  void probe(const dispatch::ServerStart &Start, const Endpoint &Address,
+             unsigned Attempt);
+  void retryProbe(const dispatch::ServerStart &Start, const Endpoint &Address,
+                  unsigned Attempt);
+  /// Attributes the crash to the requests whose connections were lost at or
+  /// after \p Since.
+  void serverEnded(const dispatch::ServerStart &Start, std::string_view Reason,
                    BootTime Since);
-  void blame(const dispatch::ServerStart &Server, const Doubt::Broken &Send,
-             BootTime Now);
-  void tellFresh(BootTime Now);
+  void suspect(const dispatch::ServerStart &Start,
+               const Suspicion::LostSend &Loss, BootTime Now);
+  void announceNew(BootTime Now);
 
   boost::asio::io_context &m_Loop;
   DecisionLog &m_Log;
-  Teller m_Tell;
+  Announcer m_Announce;
   std::optional<dispatch::Fingerprinter> m_Fingerprinter;
   dispatch::CrashSuspects m_Suspects;
-  Doubts m_Doubts;
-  /// Starts that have ended, and since when that is known: the ends of their
-  /// other sends come in behind.
+  Suspicions m_Suspicions;
+  /// Starts of servers that crashed, and when the crash was detected. Further
+  /// lost connections to them may be reported later.
   std::map<dispatch::ServerStart, BootTime> m_Ended;
   uint64_t m_Crashes = 0;
-  uint64_t m_HeldBack = 0;
+  uint64_t m_Rejected = 0;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/DecisionLog.cpp
+++ b/Services/figlift-gateway/DecisionLog.cpp
@@ -1,6 +1,6 @@
-//===- DecisionLog.cpp - A bounded line for each decision -----------------===//
+//===- DecisionLog.cpp - Rate limit for log events of decisions -----------===//
 //
-// Allowances start anew each second.
+// The limits apply to windows of one second.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,11 +12,11 @@
 
 DecisionLog::DecisionLog(unsigned PlainLinesPerSecond)
     : m_Allowance{PlainLinesPerSecond, PlainLinesPerSecond * NotableFactor,
-                  PlainLinesPerSecond * NotableFactor, BeliefLinesPerSecond} {}
+                  PlainLinesPerSecond * NotableFactor, StateLinesPerSecond} {}
 
 bool DecisionLog::allows(LineKind Kind, BootTime Now) {
-  if (Now - m_SecondBegan >= std::chrono::seconds(1)) {
-    m_SecondBegan = Now;
+  if (Now - m_WindowStart >= std::chrono::seconds(1)) {
+    m_WindowStart = Now;
     m_Used.fill(0);
   }
   const auto Index = static_cast<size_t>(Kind);
@@ -24,21 +24,22 @@
     ++m_Used[Index];
     return true;
   }
-  ++m_LeftOut[Index];
-  ++m_LeftOutTotal;
+  ++m_Suppressed[Index];
+  ++m_SuppressedTotal;
   return false;
 }
 
 void DecisionLog::tick(BootTime Now) {
-  if (Now - m_SecondBegan < std::chrono::seconds(1) ||
-      std::accumulate(m_LeftOut.begin(), m_LeftOut.end(), uint64_t{0}) == 0)
+  if (Now - m_WindowStart < std::chrono::seconds(1) ||
+      std::accumulate(m_Suppressed.begin(), m_Suppressed.end(), uint64_t{0}) ==
+          0)
     return;
   log::logEvent(log::Level::Info, "lines-left-out",
-                {{"plain", m_LeftOut[0]},
-                 {"refused", m_LeftOut[1]},
-                 {"notable", m_LeftOut[2]},
-                 {"belief", m_LeftOut[3]}});
-  m_LeftOut.fill(0);
+                {{"plain", m_Suppressed[0]},
+                 {"refused", m_Suppressed[1]},
+                 {"notable", m_Suppressed[2]},
+                 {"belief", m_Suppressed[3]}});
+  m_Suppressed.fill(0);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/DecisionLog.h
+++ b/Services/figlift-gateway/DecisionLog.h
@@ -1,8 +1,8 @@
-//===- DecisionLog.h - A bounded line for each decision ---------*- C++ -*-===//
+//===- DecisionLog.h - Rate limit for log events of decisions ---*- C++ -*-===//
 //
-// Gives each kind of line its own allowance a second, so that a flood of one
-// kind cannot push out the others or use up the processor. What is left out is
-// counted and told in one line.
+// Limits each kind of event to a number per second, so that a flood of one kind
+// neither displaces the others nor uses up the processor. Suppressed events are
+// counted and reported in one event.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,38 +18,40 @@
 namespace figlift::gateway {
 
 enum class LineKind {
-  /// A request, counted when it is taken: the lines of some that go as planned
-  /// are written from the first to the last, and none of the others.
+  /// A request, counted when it is accepted. For a sample of the requests all
+  /// events are logged, and for the others that proceed as planned none.
   Plain,
-  /// A refusal.
-  Refused,
-  /// A failure, a repeat, a late or broken answer.
+  /// A rejected request.
+  Rejected,
+  /// A failure, a retry, or a late or interrupted response.
   Notable,
-  /// What the process believes: targets, configuration, dependencies.
-  Belief,
+  /// A change of the process's view of targets, configuration or dependencies.
+  State,
 };
 
 class DecisionLog {
 public:
   explicit DecisionLog(unsigned PlainLinesPerSecond);
 
-  /// Takes one line of the allowance; when false, the line is left out.
+  /// Uses one event of the limit. Returns false if the event must be
+  /// suppressed.
   bool allows(LineKind Kind, BootTime Now);
-  /// Tells how many lines were left out, at most once a second.
+  /// Logs the number of suppressed events, at most once a second.
   void tick(BootTime Now);
-  uint64_t leftOut() const { return m_LeftOutTotal; }
+  uint64_t suppressed() const { return m_SuppressedTotal; }
 
 private:
   static constexpr size_t Kinds = 4;
-  /// Refusals and failures are what a complaint is about.
+  /// Rejections and failures are needed to investigate complaints, so their
+  /// limits are higher.
   static constexpr unsigned NotableFactor = 10;
-  static constexpr unsigned BeliefLinesPerSecond = 200;
+  static constexpr unsigned StateLinesPerSecond = 200;
 
   std::array<unsigned, Kinds> m_Allowance;
   std::array<unsigned, Kinds> m_Used{};
-  std::array<uint64_t, Kinds> m_LeftOut{};
-  uint64_t m_LeftOutTotal = 0;
-  BootTime m_SecondBegan{};
+  std::array<uint64_t, Kinds> m_Suppressed{};
+  uint64_t m_SuppressedTotal = 0;
+  BootTime m_WindowStart{};
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/EngineCall.cpp
+++ b/Services/figlift-gateway/EngineCall.cpp
@@ -1,6 +1,6 @@
-//===- EngineCall.cpp - Calls to engines besides requests -----------------===//
+//===- EngineCall.cpp - Control calls to engines --------------------------===//
 //
-// A connection of the pool, a timer, and the answer as a whole.
+// Combines a pooled connection, a timer and a buffer for the response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,17 +14,18 @@
 
 namespace {
 
-/// Longer than any connection keeps a call on its way: after this an order
-/// without an answer is treated as one that may come into effect later.
+/// Longer than any connection delays a call in transit. An order without a
+/// response after this time may still take effect later.
 constexpr std::chrono::milliseconds CallTimeout{1500};
-/// A list of all parts in the largest cache of today takes a tenth of it.
-constexpr size_t LongestBody = 1 << 20;
+/// Ten times the size of a cache list with all parts of the largest cache in
+/// use.
+constexpr size_t MaximumBodyBytes = 1 << 20;
 
-/// One call; a status of 0 means that there was no answer.
+/// One call. A status of 0 means that no response was received.
 class Call : public upstream::ExchangeSink,
              public std::enable_shared_from_this<Call> {
 public:
-  Call(boost::asio::io_context &Loop, EngineAnswer Done)
+  Call(boost::asio::io_context &Loop, EngineCallback Done)
       : m_Timer(Loop), m_Done(std::move(Done)) {}
 
   void start(std::shared_ptr<upstream::ServerConnection> Connection,
@@ -44,13 +45,13 @@
   }
   void onBody(std::string Bytes) override {
     m_Body += Bytes;
-    if (m_Body.size() <= LongestBody || !m_Connection)
+    if (m_Body.size() <= MaximumBodyBytes || !m_Connection)
       return;
     m_Connection->abort();
     finish(0);
   }
-  void onEnd(upstream::ExchangeEnd How) override {
-    finish(How == upstream::ExchangeEnd::Complete ? m_Status : 0);
+  void onEnd(upstream::ExchangeEnd End) override {
+    finish(End == upstream::ExchangeEnd::Complete ? m_Status : 0);
   }
 
 private:
@@ -62,7 +63,7 @@
   }
 
   boost::asio::steady_timer m_Timer;
-  EngineAnswer m_Done;
+  EngineCallback m_Done;
   std::shared_ptr<upstream::ServerConnection> m_Connection;
   unsigned m_Status = 0;
   std::string m_Body;
@@ -72,7 +73,7 @@
 
 bool callEngine(Context &Shared, const std::string &TargetId,
                 std::string_view Method, std::string_view Path,
-                const std::string &Body, EngineAnswer Done) {
+                const std::string &Body, EngineCallback Done) {
   const auto Pool = Shared.Pools.find(TargetId);
   const dispatch::Target *Engine = Shared.Targets.find(TargetId);
   if (Pool == Shared.Pools.end() || !Engine)
--- a/Services/figlift-gateway/EngineCall.h
+++ b/Services/figlift-gateway/EngineCall.h
@@ -1,6 +1,6 @@
-//===- EngineCall.h - Calls to engines besides requests ---------*- C++ -*-===//
+//===- EngineCall.h - Control calls to engines ------------------*- C++ -*-===//
 //
-// One call with a whole answer, over the connections that requests use.
+// A call with a buffered response, over the connection pools that requests use.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,14 +14,15 @@
 
 namespace figlift::gateway {
 
-/// A status of 0 means that there was no answer.
-using EngineAnswer =
+/// A status of 0 means that no response was received.
+using EngineCallback =
     std::function<void(unsigned Status, const std::string &Body)>;
 
-/// Calls one start of an engine; any other turns the call away. False when the
-/// call could not be made; \p Done is not called then.
+/// Calls one start of an engine; if the engine has restarted, it rejects the
+/// call. Returns false if the call could not be sent; \p Done is not called
+/// then.
 bool callEngine(Context &Shared, const std::string &TargetId,
                 std::string_view Method, std::string_view Path,
-                const std::string &Body, EngineAnswer Done);
+                const std::string &Body, EngineCallback Done);
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/EngineHousekeeping.cpp
+++ b/Services/figlift-gateway/EngineHousekeeping.cpp
@@ -1,4 +1,4 @@
-//===- EngineHousekeeping.cpp - Small duties beside requests --------------===//
+//===- EngineHousekeeping.cpp - Auxiliary tasks around requests -----------===//
 //
 // See EngineHousekeeping.h.
 //
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Nobody waits for the answer; the connection goes back to its pool.
-class IgnoredAnswer : public upstream::ExchangeSink {
+/// Discards the response; the connection returns to its pool.
+class DiscardedResponse : public upstream::ExchangeSink {
 public:
   void onHead(const proxy::ResponseHead &) override {}
   void onBody(std::string) override {}
@@ -37,23 +37,24 @@
 void releaseKvCache(Context &Shared, const std::string &Engine,
                     const std::string &Handle) {
   const auto Pool = Shared.Pools.find(Engine);
-  const dispatch::Target *Which = Shared.Targets.find(Engine);
-  if (Pool == Shared.Pools.end() || !Which)
+  const dispatch::Target *Target = Shared.Targets.find(Engine);
+  if (Pool == Shared.Pools.end() || !Target)
     return;
   const BootTime Now = BootClock::now();
   if (const auto Connection = Pool->second->take(Now)) {
     Shared.Limits.sent(Engine, Now);
     Connection->exchange(slopes::callBytes("DELETE",
                                            slopes::releaseHandleTarget(Handle),
-                                           Which->Address.toString(), ""),
-                         true, std::make_shared<IgnoredAnswer>());
+                                           Target->Address.toString(), ""),
+                         true, std::make_shared<DiscardedResponse>());
   }
 }
 
-void noteRequestEnd(Context &Shared, const dispatch::Route &Which,
-                    std::string_view Outcome, dispatch::Milliseconds First) {
-  const metrics::Labels Labels = {{"kind", kindName(Which.Kind)},
-                                  {"priority", std::to_string(Which.Priority)},
+void recordRequestEnd(Context &Shared, const dispatch::Route &Route,
+                      std::string_view Outcome,
+                      dispatch::Milliseconds FirstByte) {
+  const metrics::Labels Labels = {{"kind", kindName(Route.Kind)},
+                                  {"priority", std::to_string(Route.Priority)},
                                   {"outcome", std::string(Outcome)}};
   Shared.Metrics
       .counter("figlift_gateway_requests_total", "Requests that ended", Labels)
@@ -61,7 +62,7 @@
   Shared.Metrics
       .summary("figlift_gateway_first_byte_seconds",
                "From a request to the first part of its answer", Labels)
-      .observe(std::chrono::duration_cast<std::chrono::nanoseconds>(First));
+      .observe(std::chrono::duration_cast<std::chrono::nanoseconds>(FirstByte));
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/EngineHousekeeping.h
+++ b/Services/figlift-gateway/EngineHousekeeping.h
@@ -1,6 +1,6 @@
-//===- EngineHousekeeping.h - Small duties beside requests ------*- C++ -*-===//
+//===- EngineHousekeeping.h - Auxiliary tasks around requests ---*- C++ -*-===//
 //
-// Frees KV cache that no run will fetch, and counts how requests ended.
+// Releases KV cache that will not be fetched, and records how requests ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,14 +13,16 @@
 
 namespace figlift::gateway {
 
-/// Asks \p Engine to drop a KV cache that it keeps for a fetch that will not
-/// come; until then it takes the memory of other prompts. Nobody waits for the
-/// answer: a lost call costs what the engine's own expiry costs.
+/// Asks \p Engine to drop a KV cache that it holds for a fetch that will not
+/// come; until then it occupies memory that other prompts need. The response
+/// is ignored: if the call is lost, the engine's own expiry frees the cache
+/// later.
 void releaseKvCache(Context &Shared, const std::string &Engine,
                     const std::string &Handle);
 
-/// Metrics of a request that has ended.
-void noteRequestEnd(Context &Shared, const dispatch::Route &Which,
-                    std::string_view Outcome, dispatch::Milliseconds First);
+/// Records the metrics of a request that has ended.
+void recordRequestEnd(Context &Shared, const dispatch::Route &Route,
+                      std::string_view Outcome,
+                      dispatch::Milliseconds FirstByte);
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -1,7 +1,7 @@
-//===- Gateway.cpp - The process that stands before the servers -----------===//
+//===- Gateway.cpp - The gateway process ----------------------------------===//
 //
-// Everything runs on one loop and one thread: the machines here have a
-// fraction of a core, and a second thread only adds wake-ups.
+// Everything runs on one event loop in one thread: the machines provide a
+// fraction of a core, where a second thread only adds wake-ups.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,29 +25,31 @@
 namespace {
 
 constexpr milliseconds TickInterval{100};
-/// How often the settings file is looked at: its changes are not urgent, and a
-/// look costs some system calls.
+/// How often the settings file is checked. Changes are not urgent, and each
+/// check costs some system calls.
 constexpr milliseconds SettingsInterval{1000};
-/// A tick this late means that the process stood still: what it believes is as
-/// old as that.
-constexpr milliseconds StandstillBound{1000};
-/// A delay of the loop that callers notice.
-constexpr milliseconds NotableDelay{250};
-/// Pause after an accept that failed for want of descriptors.
+/// A tick that is this late means that the process stalled, and its cached
+/// view of the store is at least as old.
+constexpr milliseconds StallThreshold{1000};
+/// Delay of the loop that callers notice.
+constexpr milliseconds LoggedDelay{250};
+/// Pause after accept() failed for lack of file descriptors.
 constexpr milliseconds AcceptPause{50};
-/// Share of a server's connections that all gateways together use: a
-/// connection that is being closed still counts at the server.
+/// Share of a server's connection limit that all gateways use together. The
+/// rest is headroom: the server still counts connections that are being
+/// closed.
 constexpr double ConnectionShare = 0.85;
 constexpr size_t MinimumConnections = 2;
-/// A wanted order that the first gateway has not given after this is given by
-/// the next: a lease and an order take a fifth of it.
-constexpr milliseconds OrderTurn{2500};
+/// A planned order that the first gateway has not given within this time is
+/// given by the next one. Acquiring the lease and sending the order take a
+/// fifth of it.
+constexpr milliseconds OrderTurnTime{2500};
 
 } // namespace
 
-Gateway::Gateway(settings::GatewaySettings Given, OutputWriter &Output,
+Gateway::Gateway(settings::GatewaySettings Settings, OutputWriter &Output,
                  std::string SettingsFile)
-    : m_Shared(std::move(Given)), m_Output(Output),
+    : m_Shared(std::move(Settings)), m_Output(Output),
       m_SettingsFile(std::move(SettingsFile)),
       m_Store(m_Shared.Loop, m_Shared.Worker, m_Shared.Settings.Store),
       m_ConfigurationFollower(
@@ -58,7 +60,7 @@
                        [this] { return m_Shared.draw(); }),
       m_Leases(m_Store, "figlift-leases"), m_Peers(m_Shared, m_Store),
       m_PeerLink(m_Shared, m_Peers,
-                 [this](const auto &News) { storeNewsHeard(News); }),
+                 [this](const auto &Update) { storeUpdateReceived(Update); }),
       m_Stages(m_Shared, m_Leases), m_Caches(m_Shared),
       m_Acceptor(m_Shared.Loop), m_AcceptTimer(m_Shared.Loop),
       m_ReadyServer(m_Shared.Loop,
@@ -74,12 +76,13 @@
 
 Result<void> Gateway::start() {
   describeMetrics();
-  m_Store.onNewEra([this](uint64_t Before) { storeCameBack(Before); });
+  m_Store.onNewEra(
+      [this](uint64_t PreviousEra) { storeRestored(PreviousEra); });
   FIGLIFT_TRY(listen());
   FIGLIFT_TRY(m_PeerLink.start());
   m_Peers.start();
   m_LastTick = BootClock::now();
-  m_TickBefore = m_LastTick;
+  m_PreviousTick = m_LastTick;
   m_ConfigurationFollower.start();
   m_ServerFollower.start();
   watchSignals();
@@ -92,13 +95,14 @@
 }
 
 Result<void> Gateway::listen() {
-  const settings::GatewayListen &Where = m_Shared.Settings.Listen;
-  auto Opened = openListener(m_Shared.Loop, Where.Callers, "listen.callers");
+  const settings::GatewayListen &Addresses = m_Shared.Settings.Listen;
+  auto Opened =
+      openListener(m_Shared.Loop, Addresses.Callers, "listen.callers");
   if (!Opened)
     return outcome::failure(Opened.error());
   m_Acceptor = std::move(Opened.value());
-  FIGLIFT_TRY(m_ReadyServer.start(Where.Ready, "listen.ready"));
-  FIGLIFT_TRY(m_MetricsServer.start(Where.Metrics, "listen.metrics"));
+  FIGLIFT_TRY(m_ReadyServer.start(Addresses.Ready, "listen.ready"));
+  FIGLIFT_TRY(m_MetricsServer.start(Addresses.Metrics, "listen.metrics"));
   accept();
   return success();
 }
@@ -109,14 +113,15 @@
     if (Code == asio::error::operation_aborted)
       return;
     if (Code) {
-      // Out of descriptors: the queue of the listener keeps what waits.
+      // Out of file descriptors: pending connections stay in the listen queue.
       log::logEvent(log::Level::Warning, "accept-failed",
                     {{"message", Code.message()}});
       m_AcceptTimer.expires_after(AcceptPause);
-      m_AcceptTimer.async_wait([this](const boost::system::error_code &Stop) {
-        if (!Stop)
-          accept();
-      });
+      m_AcceptTimer.async_wait(
+          [this](const boost::system::error_code &Stopped) {
+            if (!Stopped)
+              accept();
+          });
       return;
     }
     proxy::CallerLimits Limits;
@@ -135,11 +140,11 @@
 }
 
 std::shared_ptr<proxy::RequestProcess>
-Gateway::handle(proxy::Request What,
+Gateway::handle(proxy::Request Request,
                 std::shared_ptr<proxy::CallerConnection> Caller) {
   if (m_Shared.Stop.begun())
     Caller->closeAfterResponse();
-  auto Flow = std::make_shared<RequestFlow>(m_Shared, std::move(What),
+  auto Flow = std::make_shared<RequestFlow>(m_Shared, std::move(Request),
                                             std::move(Caller));
   Flow->start();
   return Flow;
@@ -163,7 +168,7 @@
   struct Visitor {
     Gateway &Self;
     void operator()(const dispatch::TargetCame &Event) const {
-      Self.targetCame(Event.Which);
+      Self.targetAdded(Event.Which);
     }
     void operator()(const dispatch::TargetChanged &Event) const {
       log::logEvent(log::Level::Info, "target-changed",
@@ -172,44 +177,43 @@
     }
     void operator()(const dispatch::TargetDrains &Event) const {
       log::logEvent(log::Level::Info, "target-drains", {{"target", Event.Id}});
-      Self.m_Shared.Crashes.targetLeaves(Event.Id);
+      Self.m_Shared.Crashes.targetDraining(Event.Id);
     }
     void operator()(const dispatch::TargetGone &Event) const {
-      Self.targetGone(Event.Id);
+      Self.targetRemoved(Event.Id);
     }
   };
-  for (const dispatch::TargetEvent &Each : Events)
-    std::visit(Visitor{*this}, Each);
+  for (const dispatch::TargetEvent &Event : Events)
+    std::visit(Visitor{*this}, Event);
 }
 
-void Gateway::targetCame(const dispatch::Target &Which) {
+void Gateway::targetAdded(const dispatch::Target &Target) {
   log::logEvent(log::Level::Info, "target-came",
-                {{"target", Which.Id},
-                 {"service", Which.Service},
-                 {"address", Which.Address.toString()},
-                 {"zone", Which.Zone},
-                 {"stage", static_cast<int>(Which.Does)}});
-  m_Shared.Pools[Which.Id] = std::make_shared<upstream::ConnectionPool>(
-      m_Shared.Loop, Which.Address, upstream::PoolSettings{});
+                {{"target", Target.Id},
+                 {"service", Target.Service},
+                 {"address", Target.Address.toString()},
+                 {"zone", Target.Zone},
+                 {"stage", static_cast<int>(Target.Does)}});
+  m_Shared.Pools[Target.Id] = std::make_shared<upstream::ConnectionPool>(
+      m_Shared.Loop, Target.Address, upstream::PoolSettings{});
   uint64_t Capacity = 0;
   if (m_Shared.Configuration)
-    if (const auto *Service = m_Shared.Configuration->service(Which.Service);
+    if (const auto *Service = m_Shared.Configuration->service(Target.Service);
         Service && Service->Engine)
       Capacity = Service->Engine->KvCapacityTokens;
-  m_Shared.Loads.targetCame(Which, Capacity);
+  m_Shared.Loads.targetCame(Target, Capacity);
   limitPools();
-  m_Caches.engineCame(Which, BootClock::now());
+  m_Caches.engineAdded(Target, BootClock::now());
 }
 
-void Gateway::targetGone(const std::string &Id) {
+void Gateway::targetRemoved(const std::string &Id) {
   log::logEvent(log::Level::Info, "target-gone", {{"target", Id}});
-  m_Shared.Away.erase(Id);
-  m_Shared.Crashes.targetGone(Id);
+  m_Shared.Switching.erase(Id);
+  m_Shared.Crashes.targetRemoved(Id);
   m_Shared.Limits.targetGone(Id);
-  if (const auto Found = m_Shared.Pools.find(Id);
-      Found != m_Shared.Pools.end()) {
-    Found->second->retire();
-    m_Shared.Pools.erase(Found);
+  if (const auto Pool = m_Shared.Pools.find(Id); Pool != m_Shared.Pools.end()) {
+    Pool->second->retire();
+    m_Shared.Pools.erase(Pool);
   }
   m_Shared.Loads.targetGone(Id);
 }
@@ -217,21 +221,22 @@
 void Gateway::limitPools() {
   if (!m_Shared.Configuration)
     return;
-  const auto Sharers = static_cast<double>(m_Peers.sharers(BootClock::now()));
-  for (const auto &[Id, Each] : m_Shared.Targets.all()) {
-    const auto *Service = m_Shared.Configuration->service(Each.Service);
+  const auto SharingGateways =
+      static_cast<double>(m_Peers.sharingGateways(BootClock::now()));
+  for (const auto &[Id, Target] : m_Shared.Targets.all()) {
+    const auto *Service = m_Shared.Configuration->service(Target.Service);
     if (!Service || Service->MaximumConnections == 0)
       continue;
     const auto Share = static_cast<size_t>(
-        ConnectionShare * Service->MaximumConnections / Sharers);
-    // Of several targets that came together, those whose event has not been
-    // handled yet have no pool: taking it for granted ended the process at each
-    // restart in a fleet that was running.
+        ConnectionShare * Service->MaximumConnections / SharingGateways);
+    // When several targets are added at once, those whose event has not been
+    // handled yet have no pool. Dereferencing it unchecked crashed a gateway
+    // that restarted in a running fleet.
     if (const auto Pool = m_Shared.Pools.find(Id); Pool != m_Shared.Pools.end())
       Pool->second->limit(std::max(MinimumConnections, Share));
-    // Targets may be known before the configuration is.
+    // A target may be added before the configuration has been read.
     if (Service->Engine)
-      m_Shared.Loads.targetCame(Each, Service->Engine->KvCapacityTokens);
+      m_Shared.Loads.targetCame(Target, Service->Engine->KvCapacityTokens);
   }
 }
 
@@ -247,21 +252,21 @@
 
 void Gateway::tick() {
   const BootTime Now = BootClock::now();
-  if (Now - m_LastTick > StandstillBound) {
+  if (Now - m_LastTick > StallThreshold) {
     log::logEvent(log::Level::Warning, "stood-still",
                   {{"for", Now - m_LastTick}});
-    m_ConfigurationFollower.distrust();
-    m_ServerFollower.distrust();
+    m_ConfigurationFollower.resync();
+    m_ServerFollower.resync();
   }
-  noteDelay(Now - m_LastTick - TickInterval);
-  m_TickBefore = std::exchange(m_LastTick, Now);
-  m_Shared.ServersSeen = m_ServerJournal.knownAt();
+  recordLoopDelay(Now - m_LastTick - TickInterval);
+  m_PreviousTick = std::exchange(m_LastTick, Now);
+  m_Shared.ServersKnownAt = m_ServerJournal.knownAt();
   apply(m_Shared.Targets.tick(Now));
-  m_Shared.Budget.setProcesses(m_Peers.sharers(Now), Now);
+  m_Shared.Budget.setProcesses(m_Peers.sharingGateways(Now), Now);
   limitPools();
   m_Shared.OrderTurnDelay =
-      OrderTurn * static_cast<int>(m_Peers.liveBefore(Now));
-  noteFigures(Now);
+      OrderTurnTime * static_cast<int>(m_Peers.liveBefore(Now));
+  logEngineCosts(Now);
   m_Stages.tick(Now);
   m_Caches.tick(Now);
   m_Shared.Crashes.tick(Now);
@@ -280,15 +285,16 @@
         Now);
 }
 
-void Gateway::noteDelay(BootClock::duration Delay) {
-  m_Delays += std::max(Delay, BootClock::duration::zero());
-  if (Delay >= NotableDelay && Delay <= StandstillBound)
+void Gateway::recordLoopDelay(BootClock::duration Delay) {
+  m_TotalLoopDelay += std::max(Delay, BootClock::duration::zero());
+  if (Delay >= LoggedDelay && Delay <= StallThreshold)
     log::logEvent(log::Level::Info, "loop-delayed", {{"for", Delay}});
 }
 
 void Gateway::watchSignals() {
-  // Taken from the process's start to its end: were they given back between
-  // two waits, one that came just then would end the process.
+  // The handler stays installed for the life of the process. If it were
+  // removed between two waits, a signal that arrives in between would kill the
+  // process.
   m_Signals.async_wait(
       [this](const boost::system::error_code &Code, int Signal) {
         if (Code)
@@ -301,11 +307,11 @@
       });
 }
 
-/// The platform may change the file without a signal.
+/// The platform may change the file without sending a signal.
 void Gateway::watchSettings(BootTime Now) {
-  if (Now - m_SettingsSeen < SettingsInterval)
+  if (Now - m_SettingsCheckedAt < SettingsInterval)
     return;
-  m_SettingsSeen = Now;
+  m_SettingsCheckedAt = Now;
   if (const auto Changed = m_SettingsFile.readIfChanged())
     reloadSettings(*Changed);
 }
@@ -314,7 +320,8 @@
   auto Read = settings::parseGatewaySettings(Text);
   if (!Read)
     return log::logError(log::Level::Error, "reload-refused", Read.error());
-  // Addresses are bound for the life of the process; the rest takes effect.
+  // Addresses stay bound for the life of the process; the other settings take
+  // effect now.
   m_Shared.Settings.Drain = Read.value().Drain;
   m_Shared.Stop.graceChanged(grace());
   m_Shared.Settings.Orders = Read.value().Orders;
@@ -331,14 +338,15 @@
   if (m_Shared.Stop.begun())
     return;
   const BootTime Now = BootClock::now();
-  m_Shared.Stop.begin(m_TickBefore, grace());
-  // A change of the settings right before SIGTERM may not have been seen yet;
-  // the kill may be due by either, so the earlier one has to be known.
+  m_Shared.Stop.begin(m_PreviousTick, grace());
+  // A settings change right before SIGTERM may not have been read yet. SIGKILL
+  // may follow the old or the new grace time, so the earlier one has to be
+  // known.
   if (const auto Changed = m_SettingsFile.readIfChanged())
     reloadSettings(*Changed);
-  // Also the answers to what is at hand say that the connection closes.
-  for (proxy::CallerConnection *Each : m_Callers)
-    Each->closeAfterResponse();
+  // Responses to requests in progress announce the end of the connection, too.
+  for (proxy::CallerConnection *Caller : m_Callers)
+    Caller->closeAfterResponse();
   log::logEvent(log::Level::Info, "stopping",
                 {{"callers", m_Callers.size()},
                  {"busy", busyCallers()},
@@ -349,23 +357,23 @@
 size_t Gateway::busyCallers() const {
   return static_cast<size_t>(std::count_if(
       m_Callers.begin(), m_Callers.end(),
-      [](const proxy::CallerConnection *Each) { return Each->busy(); }));
+      [](const proxy::CallerConnection *Caller) { return Caller->busy(); }));
 }
 
 void Gateway::stopTick(BootTime Now) {
   const auto Callers = m_Callers;
   if (m_Shared.Stop.closesIdle(Now))
-    for (proxy::CallerConnection *Each : Callers)
-      Each->closeIfIdle();
+    for (proxy::CallerConnection *Caller : Callers)
+      Caller->closeIfIdle();
   if (m_Shared.Stop.answersNow(Now))
-    for (proxy::CallerConnection *Each : Callers)
-      Each->announceEnd();
+    for (proxy::CallerConnection *Caller : Callers)
+      Caller->announceEnd();
   if (!m_Shared.Stop.over(Now, m_Callers.empty()))
     return;
   log::logEvent(log::Level::Info, "stopped",
                 {{"callers", Callers.size()}, {"cut", busyCallers()}});
-  for (proxy::CallerConnection *Each : Callers)
-    Each->end();
+  for (proxy::CallerConnection *Caller : Callers)
+    Caller->end();
   m_Output.flush();
   m_Shared.Loop.stop();
 }
--- a/Services/figlift-gateway/Gateway.h
+++ b/Services/figlift-gateway/Gateway.h
@@ -1,7 +1,7 @@
-//===- Gateway.h - The process that stands before the servers ---*- C++ -*-===//
+//===- Gateway.h - The gateway process --------------------------*- C++ -*-===//
 //
-// Wires the parts: listens for callers, follows the configuration and the list
-// of servers, answers whether it is ready, and stops without cutting requests.
+// Connects the components: accepts callers, follows the configuration and the
+// server list, reports readiness, and shuts down without interrupting requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,17 +33,17 @@
 
 class Gateway : public proxy::RequestHandler {
 public:
-  Gateway(settings::GatewaySettings Given, OutputWriter &Output,
+  Gateway(settings::GatewaySettings Settings, OutputWriter &Output,
           std::string SettingsFile);
 
   Result<void> start();
   /// Returns when the process has stopped.
   void run();
-  /// Ends run() at once; from any thread.
+  /// Makes run() return at once; may be called from any thread.
   void interrupt() { m_Shared.Loop.stop(); }
 
   std::shared_ptr<proxy::RequestProcess>
-  handle(proxy::Request What,
+  handle(proxy::Request Request,
          std::shared_ptr<proxy::CallerConnection> Caller) override;
   proxy::Rejection rejected(unsigned Status) override;
   void closed(proxy::CallerConnection &Caller) override;
@@ -52,52 +52,52 @@
   Result<void> listen();
   void describeMetrics();
   void describeServices();
-  void noteFigures(BootTime Now);
+  void logEngineCosts(BootTime Now);
   void accept();
   bool ready() const;
   StoreFollower::Listener configurationListener();
   StoreFollower::Listener serverListener();
   void configurationRead(const slopes::RowsRead &Read, BootTime KnownAt);
   void configurationKnown(BootTime KnownAt);
-  void putIntoForce(dispatch::Configuration Newer,
-                    const slopes::AnswerCost &Cost);
+  void activateConfiguration(dispatch::Configuration Newer,
+                             const slopes::AnswerCost &Cost);
   std::optional<dispatch::Target> readServer(const slopes::StoreRow &Row);
-  void allServers(const slopes::RowsRead &Read, BootTime KnownAt);
-  void changedServers(const slopes::RowsRead &Read, BootTime KnownAt);
-  /// The store has forgotten what was written in the last seconds of the era
-  /// before, and gives its versions out again.
-  void storeCameBack(uint64_t EraBefore);
-  /// Tells the peers what was just read in the store, unless one of them has
-  /// told as much.
-  void tellStoreNews();
-  void storeNewsHeard(const dispatch::StoreNews &News);
+  void serverListRead(const slopes::RowsRead &Read, BootTime KnownAt);
+  void serverChangesRead(const slopes::RowsRead &Read, BootTime KnownAt);
+  /// The store was restored from a copy: writes of the last seconds of the
+  /// previous era are lost, and their version numbers are assigned again.
+  void storeRestored(uint64_t EraBefore);
+  /// Announces the last known state of the store to the peers, unless a peer
+  /// has announced the same.
+  void announceStoreState();
+  void storeUpdateReceived(const dispatch::StoreNews &Update);
   void apply(const std::vector<dispatch::TargetEvent> &Events);
-  void targetCame(const dispatch::Target &Which);
-  void targetGone(const std::string &Id);
+  void targetAdded(const dispatch::Target &Target);
+  void targetRemoved(const std::string &Id);
   void limitPools();
-  /// Which part of each server's limit is this gateway's.
+  /// Computes this gateway's share of each server's request limit.
   void shareLimits(BootTime Now);
   void scheduleTick();
   void tick();
-  /// \p Delay: from when the loop should have called tick() to when it did.
-  void noteDelay(BootClock::duration Delay);
+  /// \p Delay is how much later than scheduled the loop called tick().
+  void recordLoopDelay(BootClock::duration Delay);
   void watchSignals();
   void watchSettings(BootTime Now);
   void reloadSettings(const std::string &Text);
-  /// From SIGTERM to the kill, as in force.
+  /// Time from SIGTERM to SIGKILL, by the current settings.
   std::chrono::milliseconds grace() const;
   void stop();
   void stopTick(BootTime Now);
-  /// Connections with a request at hand.
+  /// Connections that have a request in progress.
   size_t busyCallers() const;
 
   Context m_Shared;
   OutputWriter &m_Output;
   SettingsFile m_SettingsFile;
-  /// When the file was last looked at.
-  BootTime m_SettingsSeen{};
+  /// When the settings file was last checked.
+  BootTime m_SettingsCheckedAt{};
   uint64_t m_Reloads = 0;
-  uint64_t m_RefusedEntries = 0;
+  uint64_t m_RejectedEntries = 0;
   slopes::StoreClient m_Store;
   StoreFollower m_ConfigurationFollower;
   StoreFollower m_ServerFollower;
@@ -114,28 +114,29 @@
   boost::asio::steady_timer m_TickTimer;
   std::set<proxy::CallerConnection *> m_Callers;
   BootTime m_LastTick{};
-  /// SIGTERM is noticed after the tick that ends a standstill, so it may have
-  /// come at any time since the one before.
-  BootTime m_TickBefore{};
+  /// SIGTERM is handled after the tick that ends a stall, so it may have
+  /// arrived at any time since the previous tick.
+  BootTime m_PreviousTick{};
   /// Sum of the delays of all ticks.
-  BootClock::duration m_Delays{};
+  BootClock::duration m_TotalLoopDelay{};
   bool m_ServersKnown = false;
-  /// What is known of the servers, as of when, to tell peers.
+  /// Recent changes of the server list and the time as of which it is known,
+  /// for announcements to peers.
   dispatch::ServerJournal m_ServerJournal;
-  /// Of the text of the configuration that was decoded last.
+  /// Hash of the configuration text that was decoded last.
   size_t m_ConfigurationDigest = 0;
   unsigned m_ConfigurationsBeingDecoded = 0;
-  /// The configuration in force was the newest one then.
+  /// Time as of which the configuration in force is known to be the newest.
   BootTime m_ConfigurationKnownAt{};
-  /// Newest version that this gateway or a peer has told.
-  uint64_t m_ConfigurationTold = 0;
-  /// \name As of when peers knew what they told.
+  /// Newest version that this gateway or a peer has announced.
+  uint64_t m_AnnouncedConfiguration = 0;
+  /// \name Time as of which the state that peers announced was current.
   /// @{
-  BootTime m_ServersToldAt{};
-  BootTime m_ConfigurationToldAt{};
+  BootTime m_ServersAnnouncedAt{};
+  BootTime m_ConfigurationAnnouncedAt{};
   /// @}
-  /// Learned cost of reading a thousand tokens as told last, by service.
-  std::map<std::string, dispatch::Milliseconds> m_FiguresTold;
+  /// Learned prefill cost per thousand tokens as logged last, by service.
+  std::map<std::string, dispatch::Milliseconds> m_LoggedPrefillCosts;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -1,7 +1,7 @@
-//===- GatewayMetrics.cpp - What a gateway shows of itself ----------------===//
+//===- GatewayMetrics.cpp - Metrics of a gateway --------------------------===//
 //
-// Metrics of the process and of each service, and the line that tells of a
-// change in what was learned.
+// Metrics of the process and of each service, and the log event for a change of
+// the learned engine costs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// A change of the learned cost of reading by more than this is told in the
-/// log: plans made before and after it differ visibly.
-constexpr double FiguresChange = 0.15;
+/// A relative change of the learned prefill cost by more than this is logged:
+/// plans before and after it differ visibly.
+constexpr double LoggedCostChange = 0.15;
 
 } // namespace
 
@@ -38,9 +38,9 @@
                     });
   Metrics.readGauge("figlift_gateway_targets", "Servers that are listed",
                     [this] { return double(m_Shared.Targets.all().size()); });
-  Metrics.readGauge("figlift_gateway_live_gateways",
-                    "Gateways heard lately, this one too",
-                    [this] { return double(m_Peers.live(BootClock::now())); });
+  Metrics.readGauge(
+      "figlift_gateway_live_gateways", "Gateways heard lately, this one too",
+      [this] { return double(m_Peers.liveCount(BootClock::now())); });
   Metrics.readGauge("figlift_gateway_callers", "Open connections of callers",
                     [this] { return double(m_Callers.size()); });
   Metrics.readGauge("figlift_gateway_connections_open",
@@ -60,10 +60,10 @@
                       });
   Metrics.readCounter("figlift_gateway_server_entries_refused_total",
                       "Entries in the list of servers that name none to use",
-                      [this] { return double(m_RefusedEntries); });
+                      [this] { return double(m_RejectedEntries); });
   Metrics.readCounter("figlift_gateway_datagrams_refused_total",
                       "Datagrams that no gateway of this fleet has sealed",
-                      [this] { return double(m_PeerLink.refused()); });
+                      [this] { return double(m_PeerLink.rejected()); });
   Metrics.readCounter("figlift_gateway_server_crashes_total",
                       "Servers that ended under requests of this gateway",
                       [this] { return double(m_Shared.Crashes.crashes()); });
@@ -73,7 +73,7 @@
       [this] { return double(m_Shared.Crashes.suspects().size()); });
   Metrics.readCounter("figlift_gateway_requests_held_back_total",
                       "Requests refused because servers ended under them",
-                      [this] { return double(m_Shared.Crashes.heldBack()); });
+                      [this] { return double(m_Shared.Crashes.rejected()); });
   Metrics.readGauge("figlift_gateway_limited_servers",
                     "Servers that name how many requests they take", [this] {
                       return double(m_Shared.Limits.inForce().size());
@@ -86,48 +86,49 @@
                       [this] { return double(m_Store.calls()); });
   Metrics.readCounter(
       "figlift_gateway_loop_delay_seconds_total",
-      "Time by which ten looks a second at the clock were late",
-      [this] { return std::chrono::duration<double>(m_Delays).count(); });
+      "Time by which ten looks a second at the clock were late", [this] {
+        return std::chrono::duration<double>(m_TotalLoopDelay).count();
+      });
   Metrics.readCounter("figlift_gateway_reloads_total",
                       "Changes of the settings that were taken",
                       [this] { return double(m_Reloads); });
   Metrics.readCounter("figlift_gateway_log_lines_left_out_total",
                       "Lines beyond the allowance of their kind",
-                      [this] { return double(m_Shared.Log.leftOut()); });
+                      [this] { return double(m_Shared.Log.suppressed()); });
   Metrics.readCounter("figlift_gateway_log_lines_dropped_total",
                       "Lines that standard output did not take",
                       [this] { return double(m_Output.dropped()); });
 }
 
-/// Gauges of each service; services come with configurations.
+/// Registers the gauges of each service; services change with the
+/// configuration.
 void Gateway::describeServices() {
   metrics::Registry &Metrics = m_Shared.Metrics;
-  for (const dispatch::Service &Each : m_Shared.Configuration->Services) {
-    const metrics::Labels Labels = {{"service", Each.Name}};
+  for (const dispatch::Service &Service : m_Shared.Configuration->Services) {
+    const metrics::Labels Labels = {{"service", Service.Name}};
     Metrics.readGauge(
         "figlift_gateway_repeat_budget_left", "Repeats that may be sent now",
-        [this, Name = Each.Name] {
+        [this, Name = Service.Name] {
           return m_Shared.Budget.left(Name, BootClock::now());
         },
         Labels);
-    if (!Each.Engine)
+    if (!Service.Engine)
       continue;
-    const auto Figures = [this, Name = Each.Name] {
+    const auto Costs = [this, Name = Service.Name] {
       return m_Shared.EngineModels[Name].figures(BootClock::now());
     };
     Metrics.readGauge(
         "figlift_gateway_engine_read_fixed_seconds",
         "Learned: fixed part of reading a prompt",
-        [Figures] { return Figures().ReadFixed.count() / 1000; }, Labels);
+        [Costs] { return Costs().ReadFixed.count() / 1000; }, Labels);
     Metrics.readGauge(
         "figlift_gateway_engine_read_thousand_tokens_seconds",
         "Learned: reading a thousand tokens of a prompt",
-        [Figures] { return Figures().ReadThousandTokens.count() / 1000; },
-        Labels);
+        [Costs] { return Costs().ReadThousandTokens.count() / 1000; }, Labels);
     Metrics.readGauge(
         "figlift_gateway_start_lag_seconds",
         "Lateness of first events that plans allow for",
-        [this, Name = Each.Name] {
+        [this, Name = Service.Name] {
           return m_Shared.StartLags[Name].current(BootClock::now()).count() /
                  1000;
         },
@@ -135,29 +136,31 @@
     Metrics.readGauge(
         "figlift_gateway_engine_start_seconds",
         "Learned: from a run whose prompt was read to its first event",
-        [Figures] { return Figures().StartFixed.count() / 1000; }, Labels);
+        [Costs] { return Costs().StartFixed.count() / 1000; }, Labels);
   }
 }
 
-/// A plan is explained by what was believed of engines when it was made.
-void Gateway::noteFigures(BootTime Now) {
+/// Logs the cost model when it changes, so that a plan can be explained by the
+/// costs that it was based on.
+void Gateway::logEngineCosts(BootTime Now) {
   for (auto &[Service, Model] : m_Shared.EngineModels) {
-    const engine::EngineFigures Known = Model.figures(Now);
-    const dispatch::Milliseconds Read = Known.ReadThousandTokens;
-    dispatch::Milliseconds &Told = m_FiguresTold[Service];
-    if (std::abs((Read - Told).count()) <= FiguresChange * Told.count())
+    const engine::EngineFigures Costs = Model.figures(Now);
+    const dispatch::Milliseconds PrefillCost = Costs.ReadThousandTokens;
+    dispatch::Milliseconds &Logged = m_LoggedPrefillCosts[Service];
+    if (std::abs((PrefillCost - Logged).count()) <=
+        LoggedCostChange * Logged.count())
       continue;
-    Told = Read;
+    Logged = PrefillCost;
     log::logEvent(log::Level::Info, "engine-figures",
                   {{"service", Service},
-                   {"readFixedMs", Known.ReadFixed},
-                   {"readThousandTokensMs", Known.ReadThousandTokens},
-                   {"readMillionPairsMs", Known.ReadMillionPairs},
-                   {"fetchFixedMs", Known.FetchFixed},
-                   {"decodeReadFactor", Known.DecodeReadFactor},
-                   {"startFixedMs", Known.StartFixed},
-                   {"transferFactor", Known.TransferFactor},
-                   {"measurements", Known.ReadWeight}});
+                   {"readFixedMs", Costs.ReadFixed},
+                   {"readThousandTokensMs", Costs.ReadThousandTokens},
+                   {"readMillionPairsMs", Costs.ReadMillionPairs},
+                   {"fetchFixedMs", Costs.FetchFixed},
+                   {"decodeReadFactor", Costs.DecodeReadFactor},
+                   {"startFixedMs", Costs.StartFixed},
+                   {"transferFactor", Costs.TransferFactor},
+                   {"measurements", Costs.ReadWeight}});
   }
 }
 
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -1,8 +1,8 @@
-//===- GatewayStore.cpp - What a gateway knows of the store ---------------===//
+//===- GatewayStore.cpp - A gateway's view of the store -------------------===//
 //
-// The configuration and the list of servers, as read here or told by a peer.
-// What a peer tells moves the time at which this process has to read itself;
-// see ReadTurn.h.
+// The configuration and the server list, read from the store or announced by a
+// peer. An announcement postpones the next read of this process; see
+// ReadTurn.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,63 +21,63 @@
 
 namespace {
 
-/// What a peer told that was at most this much older than what is known here
-/// is as good for the others: both need not tell. It is longer than a reader
-/// takes between two reads, so one that reads only because it was told of a
-/// change keeps quiet.
-constexpr milliseconds AsGoodAs{900};
+/// If a peer's announcement is at most this much older than the state known
+/// here, this gateway does not announce it again. The bound is longer than the
+/// interval between two reads of the elected reader, so a gateway that reads
+/// only because a change was announced stays silent.
+constexpr milliseconds AnnouncementTolerance{900};
 
 } // namespace
 
 StoreFollower::Listener Gateway::configurationListener() {
-  const auto Take = [this](const slopes::RowsRead &Read, BootTime KnownAt) {
+  const auto OnRead = [this](const slopes::RowsRead &Read, BootTime KnownAt) {
     configurationRead(Read, KnownAt);
   };
-  return {Take, Take, [] {},
-          [this](bool WasQuiet) {
+  return {OnRead, OnRead, [] {},
+          [this](bool WasUnchanged) {
             return dispatch::ConfigurationReadTurn.due(
                 m_Peers.liveBefore(BootClock::now()), m_ConfigurationKnownAt,
-                WasQuiet);
+                WasUnchanged);
           }};
 }
 
 StoreFollower::Listener Gateway::serverListener() {
   return {[this](const slopes::RowsRead &Read, BootTime KnownAt) {
-            allServers(Read, KnownAt);
+            serverListRead(Read, KnownAt);
           },
           [this](const slopes::RowsRead &Read, BootTime KnownAt) {
-            changedServers(Read, KnownAt);
+            serverChangesRead(Read, KnownAt);
           },
           [this] { m_Shared.Targets.storeLost(BootClock::now()); },
-          [this](bool WasQuiet) {
+          [this](bool WasUnchanged) {
             return dispatch::ServerReadTurn.due(
                 m_Peers.liveBefore(BootClock::now()), m_ServerJournal.knownAt(),
-                WasQuiet);
+                WasUnchanged);
           }};
 }
 
 namespace {
 
-/// The operator's newest configuration, if there is one among \p Rows. Changes
-/// come in order, each of several in quick succession among them.
+/// Returns the operator's newest configuration in \p Rows, or null. Changes
+/// are in order, and several in quick succession may be among them.
 const slopes::StoreRow *
 findConfiguration(const std::vector<slopes::StoreRow> &Rows) {
-  const auto Found = std::find_if(
-      Rows.rbegin(), Rows.rend(), [](const slopes::StoreRow &Each) {
-        return Each.Key == slopes::ConfigurationKey && !Each.Removed;
+  const auto Newest =
+      std::find_if(Rows.rbegin(), Rows.rend(), [](const slopes::StoreRow &Row) {
+        return Row.Key == slopes::ConfigurationKey && !Row.Removed;
       });
-  return Found == Rows.rend() ? nullptr : &*Found;
+  return Newest == Rows.rend() ? nullptr : &*Newest;
 }
 
 struct DecodedConfiguration {
-  Result<dispatch::Configuration> What;
-  BootClock::duration Took;
+  Result<dispatch::Configuration> Configuration;
+  BootClock::duration DecodingTime;
 };
 
 DecodedConfiguration decode(const std::string &Text) {
-  const BootTime Begun = BootClock::now();
-  auto What = slopes::decodeConfiguration(Text);
-  return {std::move(What), BootClock::now() - Begun};
+  const BootTime Start = BootClock::now();
+  auto Configuration = slopes::decodeConfiguration(Text);
+  return {std::move(Configuration), BootClock::now() - Start};
 }
 
 } // namespace
@@ -86,7 +86,7 @@
                                 BootTime KnownAt) {
   const slopes::StoreRow *Row = findConfiguration(Read.Rows);
   const auto Digest = Row ? std::hash<std::string>()(Row->Value) : 0;
-  // Reads of the whole table bring the same text again and again.
+  // Every full read of the table returns the same text.
   if (!Row || Digest == m_ConfigurationDigest)
     return configurationKnown(KnownAt);
   m_ConfigurationDigest = Digest;
@@ -95,57 +95,58 @@
       [Text = Row->Value] { return decode(Text); },
       [this, KnownAt, Cost = Read.Cost](DecodedConfiguration Decoded) {
         --m_ConfigurationsBeingDecoded;
-        if (Decoded.What)
-          putIntoForce(
-              std::move(Decoded.What.value()),
+        if (Decoded.Configuration)
+          activateConfiguration(
+              std::move(Decoded.Configuration.value()),
               {Cost.Bytes, Cost.Receiving,
                Cost.Decoding +
                    std::chrono::duration_cast<std::chrono::microseconds>(
-                       Decoded.Took)});
+                       Decoded.DecodingTime)});
         else
           log::logError(log::Level::Error, "configuration-invalid",
-                        Decoded.What.error());
+                        Decoded.Configuration.error());
         configurationKnown(KnownAt);
       });
 }
 
-/// The configuration in force was the newest one at \p KnownAt, unless a newer
-/// one is still being decoded.
+/// The configuration in force is the newest one as of \p KnownAt, unless a
+/// newer one is still being decoded.
 void Gateway::configurationKnown(BootTime KnownAt) {
   if (m_ConfigurationsBeingDecoded > 0)
     return;
   m_ConfigurationKnownAt = std::max(m_ConfigurationKnownAt, KnownAt);
-  tellStoreNews();
+  announceStoreState();
 }
 
-void Gateway::putIntoForce(dispatch::Configuration Newer,
-                           const slopes::AnswerCost &Cost) {
+void Gateway::activateConfiguration(dispatch::Configuration Candidate,
+                                    const slopes::AnswerCost &Cost) {
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
-  // A slow answer may come after a newer one; versions only go up.
-  if (Newer.Version <= InForce)
+  // Responses may be reordered; versions only increase.
+  if (Candidate.Version <= InForce)
     return;
   log::logEvent(log::Level::Info, "configuration-in-force",
-                {{"version", Newer.Version},
+                {{"version", Candidate.Version},
                  {"before", InForce},
-                 {"routes", Newer.Routes.size()},
+                 {"routes", Candidate.Routes.size()},
                  {"bytes", Cost.Bytes},
                  {"receivingMs", Cost.Receiving},
                  {"decodingMs", Cost.Decoding}});
   m_Shared.Configuration =
-      std::make_shared<const dispatch::Configuration>(std::move(Newer));
+      std::make_shared<const dispatch::Configuration>(std::move(Candidate));
   describeServices();
   limitPools();
 }
 
-/// An entry that cannot be read names no server to use. One bad writer may
-/// leave many, again and again: the counter tells of all, the log of some.
+/// Returns no target for an entry that cannot be decoded. A faulty writer may
+/// produce many such entries repeatedly: all of them are counted, and only
+/// some are logged.
 std::optional<dispatch::Target>
 Gateway::readServer(const slopes::StoreRow &Row) {
   auto Read = slopes::decodeServer(Row.Key, Row.Value);
   if (Read)
     return std::move(Read.value());
-  ++m_RefusedEntries;
+  ++m_RejectedEntries;
   if (m_Shared.Log.allows(LineKind::Notable, BootClock::now()))
     log::logEvent(log::Level::Warning, "server-entry-refused",
                   {{"entry", Row.Key},
@@ -154,7 +155,7 @@
   return std::nullopt;
 }
 
-void Gateway::allServers(const slopes::RowsRead &Read, BootTime KnownAt) {
+void Gateway::serverListRead(const slopes::RowsRead &Read, BootTime KnownAt) {
   std::vector<dispatch::Target> Listed;
   for (const slopes::StoreRow &Row : Read.Rows) {
     if (auto Entry = readServer(Row))
@@ -162,89 +163,94 @@
   }
   m_ServersKnown = true;
   const auto Events = m_Shared.Targets.replaceAll(Listed, BootClock::now());
-  // A list that says nothing new continues what is known; of one that does,
-  // peers have to read in which order it came. One that lacks a server which is
-  // kept here for a while has a removal that peers must not pass over.
+  // A list without changes only renews the known state. After a list with
+  // changes, peers have to read the store to learn their order. A list that
+  // lacks a server which is retained here for a while contains a removal that
+  // peers must not skip.
   if (Events.empty() && !m_Shared.Targets.keepsMissing())
     m_ServerJournal.changesRead(Read.Version, KnownAt, {});
   else
     m_ServerJournal.wholeRead(Read.Version, KnownAt);
   apply(Events);
-  tellStoreNews();
+  announceStoreState();
 }
 
-void Gateway::changedServers(const slopes::RowsRead &Read, BootTime KnownAt) {
+void Gateway::serverChangesRead(const slopes::RowsRead &Read,
+                                BootTime KnownAt) {
   const BootTime Now = BootClock::now();
   std::vector<dispatch::ServerChange> Changes;
   for (const slopes::StoreRow &Row : Read.Rows) {
     const auto Entry = Row.Removed ? std::nullopt : readServer(Row);
     const auto Events = Entry ? m_Shared.Targets.update(*Entry, Now)
                               : m_Shared.Targets.remove(Row.Key, Now);
-    // Most entries are heartbeats, which need not be told.
+    // Most entries are heartbeats, which are not announced.
     if (!Entry || !Events.empty())
       Changes.push_back({Row.Version, Row.Key, Entry});
     apply(Events);
   }
   m_ServerJournal.changesRead(Read.Version, KnownAt, std::move(Changes));
-  tellStoreNews();
+  announceStoreState();
 }
 
-void Gateway::storeCameBack(uint64_t EraBefore) {
+void Gateway::storeRestored(uint64_t PreviousEra) {
   log::logEvent(log::Level::Warning, "store-era",
-                {{"before", EraBefore}, {"now", m_Store.era()}});
-  // Servers whose entries the copy lacks run, and write them again.
+                {{"before", PreviousEra}, {"now", m_Store.era()}});
+  // Servers whose entries are missing in the copy are still running and write
+  // them again.
   m_Shared.Targets.storeLost(BootClock::now());
-  m_ConfigurationFollower.distrust();
-  m_ServerFollower.distrust();
-  m_Stages.storeCameBack(m_Store.era());
-  m_Peers.readSoon();
+  m_ConfigurationFollower.resync();
+  m_ServerFollower.resync();
+  m_Stages.storeRestored(m_Store.era());
+  m_Peers.refreshSoon();
 }
 
-void Gateway::tellStoreNews() {
+void Gateway::announceStoreState() {
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
-  const bool WasTold =
-      m_ConfigurationTold >= InForce &&
-      m_ServerJournal.knownAt() - m_ServersToldAt < AsGoodAs &&
-      m_ConfigurationKnownAt - m_ConfigurationToldAt < AsGoodAs;
-  if (!m_ServersKnown || WasTold)
+  const bool IsAnnounced = m_AnnouncedConfiguration >= InForce &&
+                           m_ServerJournal.knownAt() - m_ServersAnnouncedAt <
+                               AnnouncementTolerance &&
+                           m_ConfigurationKnownAt - m_ConfigurationAnnouncedAt <
+                               AnnouncementTolerance;
+  if (!m_ServersKnown || IsAnnounced)
     return;
   const BootTime Now = BootClock::now();
-  dispatch::StoreNews News;
-  News.From = m_Shared.Settings.Process.Id;
-  News.Servers = m_ServerJournal.news(Now);
-  News.Configuration = {
+  dispatch::StoreNews Update;
+  Update.From = m_Shared.Settings.Process.Id;
+  Update.Servers = m_ServerJournal.news(Now);
+  Update.Configuration = {
       InForce, std::chrono::ceil<milliseconds>(Now - m_ConfigurationKnownAt)};
-  m_ConfigurationTold = InForce;
-  m_PeerLink.tell(News);
+  m_AnnouncedConfiguration = InForce;
+  m_PeerLink.announce(Update);
 }
 
-void Gateway::storeNewsHeard(const dispatch::StoreNews &News) {
+void Gateway::storeUpdateReceived(const dispatch::StoreNews &Update) {
   const BootTime Now = BootClock::now();
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
-  if (News.Configuration.Version > InForce)
-    // Its changes would have each version since the one that is known.
-    m_ConfigurationFollower.readWholeNow();
-  else if (News.Configuration.Version == InForce)
+  if (Update.Configuration.Version > InForce)
+    // A read of the changes would return each version since the known one.
+    m_ConfigurationFollower.readAllNow();
+  else if (Update.Configuration.Version == InForce)
     m_ConfigurationKnownAt =
-        std::max(m_ConfigurationKnownAt, Now - News.Configuration.Age);
-  // Changes say nothing to a process that has not read the whole list.
+        std::max(m_ConfigurationKnownAt, Now - Update.Configuration.Age);
+  // Changes cannot be applied before the first full read.
   if (!m_ServersKnown)
     return;
-  const auto Verdict = m_ServerJournal.heard(News.Servers, Now);
+  const auto Outcome = m_ServerJournal.heard(Update.Servers, Now);
   m_ServerFollower.advance(m_ServerJournal.version());
-  m_ConfigurationTold =
-      std::max(m_ConfigurationTold, News.Configuration.Version);
-  m_ServersToldAt = std::max(m_ServersToldAt, Now - News.Servers.Age);
-  m_ConfigurationToldAt =
-      std::max(m_ConfigurationToldAt, Now - News.Configuration.Age);
-  if (std::holds_alternative<dispatch::MissingPart>(Verdict))
+  m_AnnouncedConfiguration =
+      std::max(m_AnnouncedConfiguration, Update.Configuration.Version);
+  m_ServersAnnouncedAt =
+      std::max(m_ServersAnnouncedAt, Now - Update.Servers.Age);
+  m_ConfigurationAnnouncedAt =
+      std::max(m_ConfigurationAnnouncedAt, Now - Update.Configuration.Age);
+  if (std::holds_alternative<dispatch::MissingPart>(Outcome))
     return m_ServerFollower.readNow();
-  if (const auto *Told = std::get_if<dispatch::NewChanges>(&Verdict))
-    for (const dispatch::ServerChange &Each : Told->Changes)
-      apply(Each.Entry ? m_Shared.Targets.update(*Each.Entry, Now)
-                       : m_Shared.Targets.remove(Each.Id, Now));
+  if (const auto *Missed = std::get_if<dispatch::NewChanges>(&Outcome))
+    for (const dispatch::ServerChange &Change : Missed->Changes)
+      apply(Change.Entry ? m_Shared.Targets.update(*Change.Entry, Now)
+                         : m_Shared.Targets.remove(Change.Id, Now));
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/Main.cpp
+++ b/Services/figlift-gateway/Main.cpp
@@ -1,6 +1,6 @@
-//===- Main.cpp - figlift-gateway -----------------------------------------===//
+//===- Main.cpp - Entry point of figlift-gateway --------------------------===//
 //
-// Reads the settings, sets up the log and runs the gateway.
+// Reads the settings, configures the log and runs the gateway.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,28 +18,30 @@
 
 constexpr std::string_view Program = "figlift-gateway";
 
-/// The name behind --settings; the command line was checked before.
+/// Returns the argument of --settings. The command line has been validated
+/// before.
 std::string settingsFile(int Count, const char *const *Arguments) {
-  for (int At = 1; At < Count; ++At) {
-    const std::string_view Each = Arguments[At];
-    if (Each == "--settings" && At + 1 < Count)
-      return Arguments[At + 1];
-    if (Each.starts_with("--settings="))
-      return std::string(Each.substr(Each.find('=') + 1));
+  for (int i = 1; i < Count; ++i) {
+    const std::string_view Argument = Arguments[i];
+    if (Argument == "--settings" && i + 1 < Count)
+      return Arguments[i + 1];
+    if (Argument.starts_with("--settings="))
+      return std::string(Argument.substr(Argument.find('=') + 1));
   }
   return {};
 }
 
-int serve(const settings::GatewaySettings &Given, const std::string &File) {
-  // A write to a connection that its peer has closed must not end the process.
+int serve(const settings::GatewaySettings &Settings, const std::string &File) {
+  // A write to a connection that the peer has closed must not kill the
+  // process.
   std::signal(SIGPIPE, SIG_IGN);
   gateway::OutputWriter Output;
   log::Options Log;
-  Log.Threshold = Given.Log.Level;
-  Log.ProcessId = Given.Process.Id;
+  Log.Threshold = Settings.Log.Level;
+  Log.ProcessId = Settings.Process.Id;
   Log.Sink = [&Output](std::string_view Line) { Output.line(Line); };
   log::configure(Log);
-  gateway::Gateway Process(Given, Output, File);
+  gateway::Gateway Process(Settings, Output, File);
   if (const auto Started = Process.start(); !Started)
     return settings::reportFailure(Program, Started.error());
   Output.flush();
@@ -52,7 +54,7 @@
 int main(int Count, char **Arguments) {
   return settings::runProgram<settings::GatewaySettings>(
       Program, settings::readGatewayCommandLine(Count, Arguments),
-      [&](const settings::GatewaySettings &Given) {
-        return serve(Given, settingsFile(Count, Arguments));
+      [&](const settings::GatewaySettings &Settings) {
+        return serve(Settings, settingsFile(Count, Arguments));
       });
 }
--- a/Services/figlift-gateway/OutputWriter.cpp
+++ b/Services/figlift-gateway/OutputWriter.cpp
@@ -1,8 +1,8 @@
-//===- OutputWriter.cpp - Standard output that never blocks ---------------===//
+//===- OutputWriter.cpp - Non-blocking standard output --------------------===//
 //
-// Whole lines in writes that a pipe takes as one. A larger write may be taken
-// in part; what another process writes into the same pipe then lands in the
-// middle of a line, and a reader loses both lines.
+// Writes whole lines in chunks that a pipe accepts atomically. A larger write
+// may be accepted in part; the output of another process on the same pipe then
+// splits a line, and both lines become unreadable.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,32 +22,32 @@
 }
 
 void OutputWriter::line(std::string_view Text) {
-  if (m_Held.size() + Text.size() + 1 > MaximumHeld) {
+  if (m_Buffer.size() + Text.size() + 1 > MaximumBufferedBytes) {
     ++m_Dropped;
     return;
   }
-  m_Held += Text;
-  m_Held += '\n';
+  m_Buffer += Text;
+  m_Buffer += '\n';
 }
 
-/// Bytes of the lines that leave in the next write; a line that is longer than
-/// an atomic write leaves alone.
+/// Size of the whole lines in the next write. A line that exceeds the size of
+/// an atomic write is written on its own.
 size_t OutputWriter::nextWrite() const {
-  if (m_Held.size() <= PIPE_BUF)
-    return m_Held.size();
-  const size_t LastEnd = m_Held.rfind('\n', PIPE_BUF - 1);
-  return LastEnd == std::string::npos ? m_Held.find('\n') + 1 : LastEnd + 1;
+  if (m_Buffer.size() <= PIPE_BUF)
+    return m_Buffer.size();
+  const size_t LastEnd = m_Buffer.rfind('\n', PIPE_BUF - 1);
+  return LastEnd == std::string::npos ? m_Buffer.find('\n') + 1 : LastEnd + 1;
 }
 
 void OutputWriter::flush() {
-  while (!m_Held.empty()) {
-    const ssize_t Count = write(m_Handle, m_Held.data(), nextWrite());
+  while (!m_Buffer.empty()) {
+    const ssize_t Count = write(m_Handle, m_Buffer.data(), nextWrite());
     if (Count > 0) {
-      m_Held.erase(0, static_cast<size_t>(Count));
+      m_Buffer.erase(0, static_cast<size_t>(Count));
       continue;
     }
-    // Full: the next tick tries again. Closed for good: nobody reads, and the
-    // bound on what is held counts the lines that are lost.
+    // If the pipe is full, the next tick tries again. If it is closed, lines
+    // are dropped and counted once the buffer is full.
     if (Count < 0 && errno == EINTR)
       continue;
     return;
--- a/Services/figlift-gateway/OutputWriter.h
+++ b/Services/figlift-gateway/OutputWriter.h
@@ -1,8 +1,8 @@
-//===- OutputWriter.h - Standard output that never blocks -------*- C++ -*-===//
+//===- OutputWriter.h - Non-blocking standard output ------------*- C++ -*-===//
 //
-// Log lines wait in a bounded buffer until standard output takes them. When it
-// does not, lines are dropped and counted: a reader of the log that has stopped
-// must not stop the requests.
+// Log lines wait in a bounded buffer until standard output accepts them. When
+// the buffer is full, lines are dropped and counted: a stalled reader of the
+// log must not block requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,22 +17,22 @@
 
 class OutputWriter {
 public:
-  /// \p Handle is made non-blocking.
+  /// Makes \p Handle non-blocking.
   explicit OutputWriter(int Handle = 1);
 
   void line(std::string_view Text);
-  /// Writes what fits; called regularly.
+  /// Writes as much as standard output accepts; called periodically.
   void flush();
   uint64_t dropped() const { return m_Dropped; }
 
 private:
   size_t nextWrite() const;
 
-  /// Some seconds of lines at the bound of the log's rate.
-  static constexpr size_t MaximumHeld = 256 << 10;
+  /// Holds some seconds of log lines at the maximum log rate.
+  static constexpr size_t MaximumBufferedBytes = 256 << 10;
 
   int m_Handle;
-  std::string m_Held;
+  std::string m_Buffer;
   uint64_t m_Dropped = 0;
 };
 
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -1,6 +1,7 @@
 //===- PeerLink.cpp - Datagrams between gateways --------------------------===//
 //
-// Sealed UDP, to each peer alike; a lost datagram is made up for by the next.
+// Sealed UDP datagrams, the same to each peer; the next datagram compensates
+// for a lost one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,40 +21,44 @@
 /// \name Kinds of datagrams.
 /// @{
 constexpr char ReportKind = 'R';
-constexpr char NewsKind = 'N';
+constexpr char StoreUpdateKind = 'N';
 constexpr char SuspectsKind = 'S';
 /// @}
-/// How often a report tells limits of servers, some 30 bytes each, and what was
-/// learned of engines, some 100 bytes a
-/// service. After a start the figures of a process are good within ten answers,
-/// which come in about this time.
-constexpr milliseconds FiguresInterval{250};
-/// Suspects are told at once; again with each of so many reports, a tenth of a
-/// second at four gateways and half a second at a hundred.
-constexpr unsigned ReportsPerRepeat = 4;
-/// Parts in one report; what is beyond waits for the next.
+/// How often a report includes server limits, about 30 bytes each, and the
+/// learned engine costs, about 100 bytes per service. After a start the
+/// learned costs of a process are accurate after ten responses, which arrive
+/// in about this time.
+constexpr milliseconds EngineCostInterval{250};
+/// Suspects are announced at once, and again with every fourth report: after a
+/// tenth of a second with four gateways, and half a second with a hundred.
+constexpr unsigned ReportsPerReannouncement = 4;
+/// Maximum number of parts in one report; the rest follows in the next.
 constexpr size_t MaximumParts = 64;
 
 } // namespace
 
-PeerLink::PeerLink(Context &Shared, PeerList &Peers, NewsHandler News)
-    : m_Shared(Shared), m_Peers(Peers), m_News(std::move(News)),
-      m_Socket(Shared.Loop), m_ReportTimer(Shared.Loop) {}
+PeerLink::PeerLink(Context &Shared, PeerList &Peers,
+                   UpdateHandler OnStoreUpdate)
+    : m_Shared(Shared), m_Peers(Peers),
+      m_StoreUpdateHandler(std::move(OnStoreUpdate)), m_Socket(Shared.Loop),
+      m_ReportTimer(Shared.Loop) {}
 
 Result<void> PeerLink::start() {
-  const Endpoint &Own = m_Shared.Settings.Listen.Peers;
+  const Endpoint &Address = m_Shared.Settings.Listen.Peers;
   boost::system::error_code Code;
   m_Socket.open(asio::ip::udp::v4(), Code);
   if (!Code)
-    m_Socket.bind({asio::ip::make_address_v4(Own.Address, Code), Own.Port},
-                  Code);
+    m_Socket.bind(
+        {asio::ip::make_address_v4(Address.Address, Code), Address.Port}, Code);
   if (!Code)
     m_Socket.non_blocking(true, Code);
   if (Code)
     return failure(ResultCode::SettingsInvalid,
-                   "cannot listen at " + Own.toString() + ": " + Code.message(),
+                   "cannot listen at " + Address.toString() + ": " +
+                       Code.message(),
                    "listen.peers");
-  m_Shared.Crashes.onNews([this](const auto &What) { tellSuspects(What); });
+  m_Shared.Crashes.onUpdate(
+      [this](const auto &Updates) { announceSuspects(Updates); });
   receive();
   scheduleReport();
   return success();
@@ -71,40 +76,42 @@
 }
 
 void PeerLink::report() {
-  dispatch::PeerReport What;
-  What.From = m_Shared.Settings.Process.Id;
-  What.Loads = m_Shared.Loads.ownLoads();
+  dispatch::PeerReport Report;
+  Report.From = m_Shared.Settings.Process.Id;
+  Report.Loads = m_Shared.Loads.ownLoads();
   auto &Parts = m_Shared.NewlyCached;
   const size_t Count = std::min(Parts.size(), MaximumParts);
   const auto End = Parts.begin() + static_cast<std::ptrdiff_t>(Count);
-  What.Cached.assign(Parts.begin(), End);
+  Report.Cached.assign(Parts.begin(), End);
   Parts.erase(Parts.begin(), End);
   const BootTime Now = BootClock::now();
   for (const auto &[Service, Meter] : m_Shared.Demands)
-    What.Demands.push_back({Service, Meter.demand(Now)});
-  for (const auto &[Id, Until] : m_Shared.Away)
+    Report.Demands.push_back({Service, Meter.demand(Now)});
+  for (const auto &[Id, Until] : m_Shared.Switching)
     if (Now < Until)
-      What.Away.push_back(
+      Report.Away.push_back(
           {Id, std::chrono::duration_cast<milliseconds>(Until - Now)});
-  if (Now - m_FiguresTold >= FiguresInterval) {
-    m_FiguresTold = Now;
+  if (Now - m_EngineCostsSentAt >= EngineCostInterval) {
+    m_EngineCostsSentAt = Now;
     for (const auto &[Service, Model] : m_Shared.EngineModels)
-      What.Engines.push_back({Service, Model.own()});
-    What.Limits = m_Shared.Limits.news(Now);
+      Report.Engines.push_back({Service, Model.own()});
+    Report.Limits = m_Shared.Limits.news(Now);
   }
-  sendToAll(ReportKind, encodePeerReport(What));
-  if (++m_ReportsSinceRepeat >= ReportsPerRepeat)
-    repeatSuspects(Now);
+  sendToAll(ReportKind, encodePeerReport(Report));
+  if (++m_ReportsSinceReannouncement >= ReportsPerReannouncement)
+    reannounceSuspects(Now);
 }
 
-void PeerLink::tellSuspects(const std::vector<dispatch::SuspectNews> &What) {
-  sendToAll(SuspectsKind, encodeSuspectNews(What));
+void PeerLink::announceSuspects(
+    const std::vector<dispatch::SuspectNews> &Updates) {
+  sendToAll(SuspectsKind, encodeSuspectNews(Updates));
 }
 
-void PeerLink::repeatSuspects(BootTime Now) {
-  m_ReportsSinceRepeat = 0;
-  if (const auto Repeats = m_Shared.Crashes.repeats(Now); !Repeats.empty())
-    tellSuspects(Repeats);
+void PeerLink::reannounceSuspects(BootTime Now) {
+  m_ReportsSinceReannouncement = 0;
+  if (const auto Updates = m_Shared.Crashes.reannouncements(Now);
+      !Updates.empty())
+    announceSuspects(Updates);
 }
 
 void PeerLink::suspectsReceived(std::string_view Body) {
@@ -112,11 +119,11 @@
   if (!Read)
     return log::logError(log::Level::Warning, "suspect-news-invalid",
                          Read.error());
-  m_Shared.Crashes.heard(Read.value(), BootClock::now());
+  m_Shared.Crashes.peerReported(Read.value(), BootClock::now());
 }
 
-void PeerLink::tell(const dispatch::StoreNews &What) {
-  sendToAll(NewsKind, encodeStoreNews(What));
+void PeerLink::announce(const dispatch::StoreNews &Update) {
+  sendToAll(StoreUpdateKind, encodeStoreNews(Update));
 }
 
 void PeerLink::sendToAll(char Kind, const std::string &Body) {
@@ -124,10 +131,10 @@
   if (!Seal)
     return;
   const std::string Bytes = Seal->seal(Kind, Body);
-  for (const auto &[Id, Each] : m_Peers.all()) {
-    // A datagram that can't be sent is made up for by the next one.
+  for (const auto &[Id, Peer] : m_Peers.all()) {
+    // The next datagram compensates for one that could not be sent.
     boost::system::error_code Ignored;
-    m_Socket.send_to(asio::buffer(Bytes), Each.Address, 0, Ignored);
+    m_Socket.send_to(asio::buffer(Bytes), Peer.Address, 0, Ignored);
   }
 }
 
@@ -137,7 +144,7 @@
       [this](const boost::system::error_code &Code, size_t Count) {
         if (Code == asio::error::operation_aborted)
           return;
-        // Other errors tell of an earlier datagram that reached nobody.
+        // Other errors refer to an earlier datagram that was not delivered.
         if (!Code)
           received({m_Buffer.data(), Count});
         receive();
@@ -148,23 +155,23 @@
   const dispatch::DatagramSeal *Seal = m_Peers.seal();
   const auto Opened = Seal ? Seal->open(Bytes) : std::nullopt;
   if (!Opened) {
-    ++m_Refused;
+    ++m_Rejected;
     return;
   }
   if (Opened->Kind == ReportKind)
     reportReceived(Opened->Body);
-  else if (Opened->Kind == NewsKind)
-    newsReceived(Opened->Body);
+  else if (Opened->Kind == StoreUpdateKind)
+    storeUpdateReceived(Opened->Body);
   else if (Opened->Kind == SuspectsKind)
     suspectsReceived(Opened->Body);
 }
 
-void PeerLink::newsReceived(std::string_view Body) {
+void PeerLink::storeUpdateReceived(std::string_view Body) {
   const auto Read = dispatch::decodeStoreNews(Body);
   if (!Read)
     return log::logError(log::Level::Warning, "store-news-invalid",
                          Read.error());
-  m_News(Read.value());
+  m_StoreUpdateHandler(Read.value());
 }
 
 void PeerLink::reportReceived(std::string_view Body) {
@@ -174,24 +181,26 @@
     return;
   }
   const BootTime Now = BootClock::now();
-  const dispatch::PeerReport &What = Read.value();
-  m_Peers.heard(What.From, m_Sender, Now);
-  m_Shared.Loads.peerReported(What.From, What.Loads, Now);
-  m_Shared.PeerDemands[What.From] = What.Demands;
-  for (const dispatch::ServiceFigures &Each : What.Engines)
-    m_Shared.EngineModels[Each.Service].peerTold(What.From, Each.Figures, Now);
-  for (const dispatch::LimitNews &Each : What.Limits)
-    if (m_Shared.Targets.find(Each.Server.TargetId))
-      m_Shared.Limits.heard(Each, Now);
-  for (const dispatch::AwayTarget &Each : What.Away)
-    m_Shared.Loads.avoid(Each.TargetId, Now + Each.Left);
-  for (const dispatch::CachedPart &Each : What.Cached)
-    if (!m_Shared.Targets.find(Each.TargetId))
+  const dispatch::PeerReport &Report = Read.value();
+  m_Peers.reportReceived(Report.From, m_Sender, Now);
+  m_Shared.Loads.peerReported(Report.From, Report.Loads, Now);
+  m_Shared.PeerDemands[Report.From] = Report.Demands;
+  for (const dispatch::ServiceFigures &Costs : Report.Engines)
+    m_Shared.EngineModels[Costs.Service].peerTold(Report.From, Costs.Figures,
+                                                  Now);
+  for (const dispatch::LimitNews &Limit : Report.Limits)
+    if (m_Shared.Targets.find(Limit.Server.TargetId))
+      m_Shared.Limits.heard(Limit, Now);
+  for (const dispatch::AwayTarget &Switching : Report.Away)
+    m_Shared.Loads.avoid(Switching.TargetId, Now + Switching.Left);
+  for (const dispatch::CachedPart &Entry : Report.Cached)
+    if (!m_Shared.Targets.find(Entry.TargetId))
       continue;
-    else if (Each.Within > milliseconds(0))
-      m_Shared.Loads.cache(Each.TargetId).expect(Each.Part, Now + Each.Within);
+    else if (Entry.Within > milliseconds(0))
+      m_Shared.Loads.cache(Entry.TargetId)
+          .expect(Entry.Part, Now + Entry.Within);
     else
-      m_Shared.Loads.cache(Each.TargetId).insert(Each.Part);
+      m_Shared.Loads.cache(Entry.TargetId).insert(Entry.Part);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/PeerLink.h
+++ b/Services/figlift-gateway/PeerLink.h
@@ -1,7 +1,8 @@
 //===- PeerLink.h - Datagrams between gateways ------------------*- C++ -*-===//
 //
-// Tells the other gateways, many times a second, what this one has under way,
-// and now and then what it read in the store; takes what they tell.
+// Reports the work in progress to the other gateways many times a second,
+// announces the state of the store when it was read, and receives the same from
+// peers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,15 +24,15 @@
 
 class PeerLink {
 public:
-  using NewsHandler = std::function<void(const dispatch::StoreNews &)>;
+  using UpdateHandler = std::function<void(const dispatch::StoreNews &)>;
 
-  PeerLink(Context &Shared, PeerList &Peers, NewsHandler News);
+  PeerLink(Context &Shared, PeerList &Peers, UpdateHandler OnStoreUpdate);
 
   Result<void> start();
-  /// Tells all peers what was read in the store.
-  void tell(const dispatch::StoreNews &What);
-  /// Datagrams that were not sealed by this fleet.
-  uint64_t refused() const { return m_Refused; }
+  /// Announces the state of the store to all peers.
+  void announce(const dispatch::StoreNews &Update);
+  /// Datagrams without a valid seal of this fleet.
+  uint64_t rejected() const { return m_Rejected; }
 
 private:
   void sendToAll(char Kind, const std::string &Body);
@@ -40,23 +41,23 @@
   void receive();
   void received(std::string_view Bytes);
   void reportReceived(std::string_view Body);
-  void newsReceived(std::string_view Body);
-  void tellSuspects(const std::vector<dispatch::SuspectNews> &What);
-  void repeatSuspects(BootTime Now);
+  void storeUpdateReceived(std::string_view Body);
+  void announceSuspects(const std::vector<dispatch::SuspectNews> &Updates);
+  void reannounceSuspects(BootTime Now);
   void suspectsReceived(std::string_view Body);
 
   Context &m_Shared;
   PeerList &m_Peers;
-  NewsHandler m_News;
+  UpdateHandler m_StoreUpdateHandler;
   boost::asio::ip::udp::socket m_Socket;
   boost::asio::steady_timer m_ReportTimer;
   std::array<char, 65536> m_Buffer;
   boost::asio::ip::udp::endpoint m_Sender;
-  uint64_t m_Refused = 0;
-  /// Reports since suspects were last told again.
-  unsigned m_ReportsSinceRepeat = 0;
-  /// When a report last told what was learned of engines.
-  BootTime m_FiguresTold{};
+  uint64_t m_Rejected = 0;
+  /// Reports since suspects were last announced again.
+  unsigned m_ReportsSinceReannouncement = 0;
+  /// When a report last included learned engine costs.
+  BootTime m_EngineCostsSentAt{};
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/PeerList.h
+++ b/Services/figlift-gateway/PeerList.h
@@ -1,8 +1,9 @@
 //===- PeerList.h - The other gateways of the fleet -------------*- C++ -*-===//
 //
-// Which gateways there are, by the store's list and by what is heard of them,
-// and the secret that the fleet has in common. Who was heard lately counts as
-// live; shares of budgets and connections go by the numbers kept here.
+// Tracks the gateways by the store's list and by the reports received, and
+// holds the secret that the fleet shares. A gateway is live if it reported
+// recently. The counts kept here determine the shares of budgets and
+// connections.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,51 +28,53 @@
 public:
   struct Peer {
     boost::asio::ip::udp::endpoint Address;
-    BootTime Heard{};
+    BootTime LastReport{};
   };
 
   PeerList(Context &Shared, slopes::StoreClient &Store);
 
-  /// Enrolls this gateway and reads who the others are, now and then again.
+  /// Registers this gateway and reads the list, now and periodically.
   void start();
-  /// The store came back from a copy: this gateway's row and the secret may be
-  /// gone.
-  void readSoon();
-  void heard(const std::string &Id,
-             const boost::asio::ip::udp::endpoint &Address, BootTime Now);
-  /// By name; also those that the store lists and nobody has heard.
+  /// The store was restored from a copy: this gateway's row and the secret may
+  /// be lost.
+  void refreshSoon();
+  void reportReceived(const std::string &Id,
+                      const boost::asio::ip::udp::endpoint &Address,
+                      BootTime Now);
+  /// By id; includes gateways that are in the list but never reported.
   const std::map<std::string, Peer> &all() const { return m_Peers; }
-  /// Null until the fleet's secret was read: nobody is told anything, and
-  /// nobody is believed.
+  /// Null until the fleet's secret has been read: until then nothing is sent
+  /// to peers, and their datagrams are rejected.
   const dispatch::DatagramSeal *seal() const {
     return m_Seal ? &*m_Seal : nullptr;
   }
 
-  /// Gateways that were heard lately, this one included.
-  size_t live(BootTime Now) const;
-  /// Live gateways whose names come before this one's.
+  /// Live gateways, including this one.
+  size_t liveCount(BootTime Now) const;
+  /// Live gateways whose ids sort before this one's.
   size_t liveBefore(BootTime Now) const;
-  /// Gateways that may be spending a share of what the fleet has in common:
-  /// those heard lately, and at least as many as the store lists. One that is
-  /// cut off from its peers hears nobody, and would take all for itself.
-  size_t sharers(BootTime Now) const;
-  /// The fleet as it shares the limit of one server.
+  /// Gateways that may be using a share of the fleet's common budgets: the
+  /// live ones, and at least as many as the store lists. A gateway that is
+  /// partitioned from its peers receives no reports and would use the whole
+  /// budget alone.
+  size_t sharingGateways(BootTime Now) const;
+  /// The input for this gateway's share of one server's limit.
   dispatch::LimitFleet limitFleet(const std::string &TargetId,
                                   BootTime Now) const;
-  /// Between two reports of a gateway to all others.
+  /// Interval between two reports of one gateway.
   std::chrono::microseconds reportInterval() const;
 
 private:
-  void enroll();
-  bool makesSecret(const std::string &FirstListed) const;
-  void makeSecret();
-  void takeSecret(const std::string &Secret);
+  void registerSelf();
+  bool shouldCreateSecret(const std::string &FirstListed) const;
+  void createSecret();
+  void useSecret(const std::string &Secret);
   void scheduleList();
-  void list();
+  void readList();
   std::chrono::milliseconds listInterval() const;
-  void learn(const std::vector<slopes::StoreRow> &Rows);
-  void learnAddress(const slopes::StoreRow &Row, Peer &Which);
-  bool isLive(const Peer &Which, BootTime Now) const;
+  void updatePeers(const std::vector<slopes::StoreRow> &Rows);
+  void updateAddress(const slopes::StoreRow &Row, Peer &Entry);
+  bool isLive(const Peer &Entry, BootTime Now) const;
 
   Context &m_Shared;
   slopes::StoreClient &m_Store;
@@ -80,18 +83,18 @@
   std::optional<dispatch::DatagramSeal> m_Seal;
   /// Text of m_Seal; empty without it.
   std::string m_Secret;
-  /// Since the store came back from a copy no list had both the secret and this
+  /// No list since the store was restored contained both the secret and this
   /// gateway's row.
-  bool m_Restores = false;
-  /// Lists in a row that had no secret.
+  bool m_Restoring = false;
+  /// Consecutive reads of the list without a secret.
   unsigned m_ListsWithoutSecret = 0;
-  bool m_Enrolled = false;
-  /// Gateways that the store listed last, this one included.
+  bool m_Registered = false;
+  /// Gateways in the last list, including this one.
   size_t m_Listed = 1;
-  /// The store answered the last question for the list.
-  bool m_Reached = false;
-  /// Times that the list was read.
-  unsigned m_Lists = 0;
+  /// The store responded to the last read of the list.
+  bool m_StoreReachable = false;
+  /// Number of times that the list has been read.
+  unsigned m_ListReads = 0;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/RequestAnswer.cpp
+++ b/Services/figlift-gateway/RequestAnswer.cpp
@@ -1,6 +1,7 @@
-//===- RequestAnswer.cpp - The answer to one request ----------------------===//
+//===- RequestAnswer.cpp - The response to one request --------------------===//
 //
-// Forwards a server's answer, gives one of our own, and ends the request.
+// Forwards a server's response, generates one in the gateway, and ends the
+// request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,31 +15,32 @@
 
 namespace {
 
-/// Held back for a caller that does not read; more stays at the server.
+/// Limit of bytes buffered for a slow caller; further bytes stay at the
+/// server.
 constexpr size_t MaximumUnsentBytes = 256 << 10;
-/// A stream that pauses this many times as long as its route allows for an
-/// event on time is late already; callers leave after eight times.
-constexpr int EventGapFactor = 3;
-constexpr milliseconds MinimumEventSilence{400};
+/// A stream that is silent for this multiple of the event gap that its route
+/// targets is late already; callers disconnect after eight times the gap.
+constexpr int EventTimeoutFactor = 3;
+constexpr milliseconds MinimumEventTimeout{400};
 
 } // namespace
 
-void RequestFlow::sendAnswered(ServerSend &Which) {
+void RequestFlow::sendAnswered(ServerSend &Send) {
   if (streaming())
-    Which.streamBody();
+    Send.streamBody();
 }
 
-void RequestFlow::sendBody(ServerSend &Which, std::string Bytes) {
+void RequestFlow::sendBody(ServerSend &Send, std::string Bytes) {
   const std::string Events = m_Relay.feed(Bytes);
   if (Events.empty())
     return;
-  if (!m_AnswerBegun) {
-    Which.noteSpeed();
-    learnRun();
-    learnLateness();
-    proxy::ResponseHead Head = Which.head();
+  if (!m_ResponseStarted) {
+    Send.recordLatency();
+    learnExecutionStart();
+    learnStartLag();
+    proxy::ResponseHead Head = Send.head();
     Head.Headers = proxy::endToEndHeaders(Head.Headers);
-    m_AnswerBegun = true;
+    m_ResponseStarted = true;
     m_FirstEvent = BootClock::now();
     m_Shared.StreamTimes[m_Route.Name].began(*m_FirstEvent);
     m_Caller->beginStream(Head);
@@ -49,17 +51,17 @@
 void RequestFlow::forwardEvents(const std::string &Events) {
   m_Caller->writeStream(Events);
   if (m_Route.Resumable)
-    watchNextEvent();
+    armEventTimeout();
 }
 
-/// A server that loses its power or its network sends no reset; its streams
-/// stand still until the caller leaves. A stream that can go on elsewhere is
-/// watched from event to event.
-void RequestFlow::watchNextEvent() {
+/// A server that loses power or network sends no reset, and its streams stall
+/// until the caller disconnects. Resumable streams are therefore monitored
+/// with a timeout for each event.
+void RequestFlow::armEventTimeout() {
   const milliseconds Gap =
       m_Route.EventGapTarget.value_or(dispatch::DefaultEventGap);
-  armWatch(
-      std::max<BootClock::duration>(Gap * EventGapFactor, MinimumEventSilence));
+  armSilenceTimeout(std::max<BootClock::duration>(Gap * EventTimeoutFactor,
+                                                  MinimumEventTimeout));
 }
 
 bool RequestFlow::wantsMore() const {
@@ -71,44 +73,45 @@
     m_Send->resumeReading();
 }
 
-void RequestFlow::streamEnded(ServerSend &Which) {
-  if (!m_AnswerBegun) {
-    proxy::ResponseHead Head = Which.head();
+void RequestFlow::streamEnded(ServerSend &Send) {
+  if (!m_ResponseStarted) {
+    proxy::ResponseHead Head = Send.head();
     Head.Headers = proxy::endToEndHeaders(Head.Headers);
     m_Caller->beginStream(Head);
   }
   m_Caller->writeStream(m_Relay.finish());
   m_Caller->endStream();
-  finish("answered", Which.head().Status, "");
+  finish("answered", Send.head().Status, "");
 }
 
-void RequestFlow::forwardWhole(ServerSend &Which) {
-  proxy::ResponseHead Head = Which.head();
+void RequestFlow::forwardBuffered(ServerSend &Send) {
+  proxy::ResponseHead Head = Send.head();
   Head.Headers = proxy::endToEndHeaders(Head.Headers);
-  m_Caller->respond(Head, Which.body());
+  m_Caller->respond(Head, Send.body());
   finish("answered", Head.Status, "");
 }
 
-void RequestFlow::passOn(ServerSend &Which) {
-  proxy::ResponseHead Head = Which.head();
+void RequestFlow::forwardFailure(ServerSend &Send) {
+  proxy::ResponseHead Head = Send.head();
   Head.Headers = proxy::endToEndHeaders(Head.Headers);
-  // These statuses promise that nothing ran, which this server has not said.
-  const bool Promise = Head.Status == 408 || Head.Status == 421 ||
-                       Head.Status == 429 || Head.Status == 503;
-  if (Promise && !Which.fields().Signed)
-    return giveUp(dispatch::OutcomeUnknownStatus, "server failed",
-                  milliseconds(0));
-  m_Caller->respond(Head, Which.body());
+  // These statuses guarantee that the request was not executed, which an
+  // unsigned response of the server does not.
+  const bool MeansNotExecuted = Head.Status == 408 || Head.Status == 421 ||
+                                Head.Status == 429 || Head.Status == 503;
+  if (MeansNotExecuted && !Send.fields().Signed)
+    return respondWithError(dispatch::OutcomeUnknownStatus, "server failed",
+                            milliseconds(0));
+  m_Caller->respond(Head, Send.body());
   finish("server-failed", Head.Status, "");
 }
 
 void RequestFlow::releaseHandle() {
-  if (const auto Held = std::exchange(m_Handle, std::nullopt))
-    releaseKvCache(m_Shared, m_Reader, Held->Handle);
+  if (const auto Handle = std::exchange(m_Handle, std::nullopt))
+    releaseKvCache(m_Shared, m_PrefillTarget, Handle->Handle);
 }
 
-void RequestFlow::giveUp(unsigned Status, std::string_view Reason,
-                         milliseconds RetryAfter) {
+void RequestFlow::respondWithError(unsigned Status, std::string_view Reason,
+                                   milliseconds RetryAfter) {
   proxy::ResponseHead Head;
   Head.Status = Status;
   slopes::addAttemptId(Head.Headers, m_Fields.AttemptId);
@@ -119,34 +122,35 @@
          Reason);
 }
 
-void RequestFlow::cutOff(std::string_view Reason) {
+void RequestFlow::abortStream(std::string_view Reason) {
   const auto Caller = m_Caller;
   finish("cut-off", 0, Reason);
   Caller->abort();
 }
 
-/// Ends what no server will answer in time.
-void RequestFlow::endUnanswered(std::string_view Reason) {
+/// Ends a request that no server will answer in time.
+void RequestFlow::endWithoutResponse(std::string_view Reason) {
   if (m_Done)
     return;
-  dropSend();
-  if (m_AnswerBegun)
-    return cutOff(Reason);
-  giveUp(m_Runs == 0 ? dispatch::NotRunStatus : dispatch::TimedOutStatus,
-         Reason, FailureRetryAfter);
+  cancelSend();
+  if (m_ResponseStarted)
+    return abortStream(Reason);
+  respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                     : dispatch::TimedOutStatus,
+                   Reason, FailureRetryAfter);
 }
 
 void RequestFlow::processEndsSoon() {
-  // An answer that has begun may still end by itself.
-  if (!m_AnswerBegun)
-    endUnanswered("the process ends");
+  // A response that has started may still complete in time.
+  if (!m_ResponseStarted)
+    endWithoutResponse("the process ends");
 }
 
-void RequestFlow::processEndsNow() { endUnanswered("the process ended"); }
+void RequestFlow::processEndsNow() { endWithoutResponse("the process ended"); }
 
-void RequestFlow::dropSend() {
+void RequestFlow::cancelSend() {
   if (const auto Send = std::exchange(m_Send, nullptr)) {
-    abandonExpected(Send->targetId());
+    abandonExpectedCache(Send->targetId());
     Send->cancel();
   }
   releaseHandle();
@@ -155,7 +159,7 @@
 void RequestFlow::callerGone() {
   if (m_Done)
     return;
-  dropSend();
+  cancelSend();
   finish("caller-gone", 0, "");
 }
 
@@ -164,11 +168,11 @@
   if (std::exchange(m_Done, true))
     return;
   m_DeadlineTimer.cancel();
-  m_WatchTimer.cancel();
+  m_SilenceTimer.cancel();
   const BootTime Now = BootClock::now();
   if (m_FirstEvent)
     m_Shared.StreamTimes[m_Route.Name].ended(Now);
-  noteRequestEnd(m_Shared, m_Route, Outcome, firstAfter(Now));
+  recordRequestEnd(m_Shared, m_Route, Outcome, firstAfter(Now));
   logEnded(Outcome, Status, Reason);
 }
 
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -1,7 +1,7 @@
-//===- RequestFlow.cpp - One request from its caller to its answer --------===//
+//===- RequestFlow.cpp - Processing of one request ------------------------===//
 //
-// Plans and sends. Each event ends in exactly one of: another send, a part of
-// the answer, or finish(); see RequestAnswer.cpp for the latter two.
+// Plans and sends. Each event leads to exactly one of: another attempt, a part
+// of the response, or finish(); see RequestAnswer.cpp for the latter two.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,13 +19,13 @@
 
 namespace {
 
-/// A request without a deadline of its own ends at its route's timeout; the
-/// final answer leaves this much earlier, so that it arrives in time.
-constexpr milliseconds AnswerMargin{15};
-/// A process without a configuration gets one within a read of the store.
+/// A request without its own deadline ends at its route's timeout. The final
+/// response is sent this much earlier, so that it arrives in time.
+constexpr milliseconds ResponseMargin{15};
+/// A process without a configuration gets one with the next read of the store.
 constexpr milliseconds NotReadyRetryAfter{500};
-/// Another gateway takes it at once.
-constexpr milliseconds EndingRetryAfter{50};
+/// Another gateway can accept the request at once.
+constexpr milliseconds StoppingRetryAfter{50};
 
 std::optional<uint64_t> eventNumber(const std::optional<std::string> &Text) {
   uint64_t Number = 0;
@@ -38,60 +38,61 @@
 
 } // namespace
 
-RequestFlow::RequestFlow(Context &Shared, proxy::Request What,
+RequestFlow::RequestFlow(Context &Shared, proxy::Request Request,
                          std::shared_ptr<proxy::CallerConnection> Caller)
-    : m_Shared(Shared), m_Request(std::move(What)), m_Caller(std::move(Caller)),
-      m_DeadlineTimer(Shared.Loop), m_WatchTimer(Shared.Loop),
-      m_Started(BootClock::now()) {}
+    : m_Shared(Shared), m_Request(std::move(Request)),
+      m_Caller(std::move(Caller)), m_DeadlineTimer(Shared.Loop),
+      m_SilenceTimer(Shared.Loop), m_Started(BootClock::now()) {}
 
 void RequestFlow::start() {
   auto Fields = slopes::decodeCallerFields(m_Request.Head.Headers);
   if (!Fields) {
-    giveUp(400, Fields.error().Message, milliseconds(0));
+    respondWithError(400, Fields.error().Message, milliseconds(0));
     return;
   }
   m_Fields = std::move(Fields.value());
   m_Configuration = m_Shared.Configuration;
   if (!m_Configuration)
-    return giveUp(dispatch::NotRunStatus, "no configuration yet",
-                  NotReadyRetryAfter);
+    return respondWithError(dispatch::NotRunStatus, "no configuration yet",
+                            NotReadyRetryAfter);
   const auto Host = m_Request.Head.Headers.find("Host").value_or("");
-  const dispatch::Route *Found =
+  const dispatch::Route *Route =
       m_Configuration->match(Host, m_Request.Head.path());
-  if (!Found)
-    return giveUp(404, "no route", milliseconds(0));
-  m_Route = *Found;
+  if (!Route)
+    return respondWithError(404, "no route", milliseconds(0));
+  m_Route = *Route;
   m_Relay = dispatch::EventRelay(eventNumber(m_Fields.LastEventId));
   m_Service = dispatch::pickService(m_Route, m_Shared.draw());
   milliseconds Allowed = m_Route.Timeout;
   if (m_Fields.Deadline)
     Allowed = std::min(Allowed, *m_Fields.Deadline);
   m_Deadline = m_Started + Allowed;
-  m_EndsIn = m_Shared.Stop.timeLeft(m_Started);
-  if (!mayBegin(Milliseconds(0), m_Started))
-    return turnAway();
+  m_TimeUntilStop = m_Shared.Stop.timeLeft(m_Started);
+  if (!mayStart(Milliseconds(0), m_Started))
+    return rejectStopping();
   m_Shared.Budget.requestSent(m_Service, m_Started);
   m_Traced = m_Shared.Log.allows(LineKind::Plain, m_Started);
   if (m_Traced)
-    logTaken();
+    logAccepted();
   armDeadline();
   plan();
 }
 
-/// Whether what begins now ends before a process that is stopping does. A
-/// stream that has begun goes on in any case: nothing better is left for it.
-bool RequestFlow::mayBegin(Milliseconds Expected, BootTime Now) const {
+/// Whether work that starts now ends before the process stops. A stream that
+/// has started continues in any case, as there is no better alternative.
+bool RequestFlow::mayStart(Milliseconds Expected, BootTime Now) const {
   const auto Form =
       streaming() ? dispatch::AnswerForm::Stream : dispatch::AnswerForm::Whole;
-  return m_AnswerBegun ||
+  return m_ResponseStarted ||
          m_Shared.Stop.takes({Form, timeLeft(Now), Expected}, Now);
 }
 
-/// The process ends too soon for it.
-void RequestFlow::turnAway() {
+/// Rejects a request that would not end before the process stops.
+void RequestFlow::rejectStopping() {
   releaseHandle();
-  giveUp(m_Runs == 0 ? dispatch::NotRunStatus : dispatch::OutcomeUnknownStatus,
-         "the process ends", EndingRetryAfter);
+  respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                     : dispatch::OutcomeUnknownStatus,
+                   "the process ends", StoppingRetryAfter);
 }
 
 Milliseconds RequestFlow::timeLeft(BootTime Now) const {
@@ -99,36 +100,37 @@
 }
 
 void RequestFlow::armDeadline() {
-  const auto Left = m_Deadline - BootClock::now() - AnswerMargin;
+  const auto Left = m_Deadline - BootClock::now() - ResponseMargin;
   m_DeadlineTimer.expires_after(Left);
   m_DeadlineTimer.async_wait(
       [Self = shared_from_this()](const boost::system::error_code &Stopped) {
         if (!Stopped)
-          Self->endUnanswered("the deadline passed");
+          Self->endWithoutResponse("the deadline passed");
       });
 }
 
 const dispatch::Service *RequestFlow::engineService() const {
-  const dispatch::Service *Which = m_Configuration->service(m_Service);
-  return Which && Which->Engine && m_Fields.Prompt ? Which : nullptr;
+  const dispatch::Service *Service = m_Configuration->service(m_Service);
+  return Service && Service->Engine && m_Fields.Prompt ? Service : nullptr;
 }
 
 void RequestFlow::plan() {
-  if (heldBack())
+  if (rejectIfSuspected())
     return;
-  if (const dispatch::Service *Which = engineService())
-    return planPrompt(*Which);
-  planPlain();
+  if (const dispatch::Service *Service = engineService())
+    return planPrompt(*Service);
+  planService();
 }
 
-dispatch::PromptPlan RequestFlow::promptPlan(const dispatch::Service &Which,
+dispatch::PromptPlan RequestFlow::promptPlan(const dispatch::Service &Service,
                                              BootTime Now) {
   return m_Shared.Prompts.plan(promptRequest(Now),
                                m_Shared.openTargets(m_Service),
-                               m_Shared.costsOf(Which, Now), Now);
+                               m_Shared.costsOf(Service, Now), Now);
 }
 
-/// Those that failed it, and those whose limit is used up for this moment.
+/// Targets that failed this request, and those whose request limit is used up
+/// at present.
 std::vector<std::string> RequestFlow::excluded(BootTime Now) const {
   std::vector<std::string> All = m_Shared.Limits.exhausted(Now);
   All.insert(All.end(), m_Excluded.begin(), m_Excluded.end());
@@ -140,17 +142,18 @@
                                 m_Shared.openTargets(m_Service), Now);
 }
 
-/// Whether the request would be planned at a target other than this one.
-bool RequestFlow::findsAnother(const std::string &ThanTargetId, BootTime Now) {
-  m_Excluded.push_back(ThanTargetId);
-  const dispatch::Service *Which = engineService();
-  const bool Found =
-      Which
+/// Whether there is a plan for the request that avoids this target.
+bool RequestFlow::hasAlternative(const std::string &AvoidedTargetId,
+                                 BootTime Now) {
+  m_Excluded.push_back(AvoidedTargetId);
+  const dispatch::Service *Service = engineService();
+  const bool HasPlan =
+      Service
           ? !std::holds_alternative<dispatch::RefuseNow>(
-                promptPlan(*Which, Now))
+                promptPlan(*Service, Now))
           : !std::holds_alternative<dispatch::RefuseService>(servicePlan(Now));
   m_Excluded.pop_back();
-  return Found;
+  return HasPlan;
 }
 
 dispatch::PromptRequest RequestFlow::promptRequest(BootTime Now) {
@@ -162,8 +165,8 @@
       std::max(Milliseconds(0), Milliseconds(m_Route.LatencyTarget) -
                                     Milliseconds(Now - m_Started));
   Request.TimeLeft = timeLeft(Now);
-  if (const auto *Which = m_Configuration->service(m_Service))
-    Request.EventGap = Which->ShortestEventGap;
+  if (const auto *Service = m_Configuration->service(m_Service))
+    Request.EventGap = Service->ShortestEventGap;
   Request.Lag = m_Shared.StartLags[m_Service].current(Now);
   Request.Excluded = excluded(Now);
   Request.Draw = m_Shared.draw();
@@ -171,134 +174,139 @@
 }
 
 Milliseconds RequestFlow::generationTime() const {
-  const auto Known = m_Shared.StreamTimes.find(m_Route.Name);
-  return Known == m_Shared.StreamTimes.end()
+  const auto Times = m_Shared.StreamTimes.find(m_Route.Name);
+  return Times == m_Shared.StreamTimes.end()
              ? Milliseconds(0)
-             : Known->second.mean(BootClock::now());
+             : Times->second.mean(BootClock::now());
 }
 
-void RequestFlow::planPrompt(const dispatch::Service &Which) {
+void RequestFlow::planPrompt(const dispatch::Service &Service) {
   const BootTime Now = BootClock::now();
   if (m_Sends == 0)
-    noteDemand(m_Shared.costsOf(Which, Now), m_Shared.openTargets(m_Service),
-               Now);
-  const auto Plan = promptPlan(Which, Now);
+    recordDemand(m_Shared.costsOf(Service, Now),
+                 m_Shared.openTargets(m_Service), Now);
+  const auto Plan = promptPlan(Service, Now);
   m_PlannedAt = Now;
   m_PlannedLag = m_Shared.StartLags[m_Service].current(Now);
   if (const auto *Read = std::get_if<dispatch::ReadThenRun>(&Plan)) {
     m_PlannedFirst = Read->FirstEvent;
-    return startRead(*Read);
+    return startPrefill(*Read);
   }
   if (const auto *Run = std::get_if<dispatch::RunAt>(&Plan)) {
     m_PlannedFirst = Run->Expected;
-    return startRun(*Run);
+    return startExecution(*Run);
   }
   const auto &Refusal = std::get<dispatch::RefuseNow>(Plan);
   m_PlannedFirst = Refusal.FirstEvent;
-  if (m_AnswerBegun)
-    return cutOff(Refusal.Reason);
-  giveUp(m_Runs == 0 ? dispatch::NotRunStatus : dispatch::OutcomeUnknownStatus,
-         Refusal.Reason, Refusal.RetryAfter);
+  if (m_ResponseStarted)
+    return abortStream(Refusal.Reason);
+  respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                     : dispatch::OutcomeUnknownStatus,
+                   Refusal.Reason, Refusal.RetryAfter);
 }
 
-void RequestFlow::planPlain() {
+void RequestFlow::planService() {
   const BootTime Now = BootClock::now();
   const auto Plan = servicePlan(Now);
   if (const auto *Chosen = std::get_if<dispatch::SendTo>(&Plan)) {
     m_PlannedFirst = Chosen->Expected;
-    if (m_Sends == 0 && !mayBegin(Chosen->Expected, Now))
-      return turnAway();
-    return startRun({Chosen->TargetId, {}, Chosen->Cost, Chosen->Expected, {}});
+    if (m_Sends == 0 && !mayStart(Chosen->Expected, Now))
+      return rejectStopping();
+    return startExecution(
+        {Chosen->TargetId, {}, Chosen->Cost, Chosen->Expected, {}});
   }
   const auto &Refusal = std::get<dispatch::RefuseService>(Plan);
-  if (m_AnswerBegun)
-    return cutOff(Refusal.Reason);
-  giveUp(m_Runs == 0 ? dispatch::NotRunStatus : dispatch::OutcomeUnknownStatus,
-         Refusal.Reason, Refusal.RetryAfter);
+  if (m_ResponseStarted)
+    return abortStream(Refusal.Reason);
+  respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                     : dispatch::OutcomeUnknownStatus,
+                   Refusal.Reason, Refusal.RetryAfter);
 }
 
-void RequestFlow::startRead(const dispatch::ReadThenRun &Plan) {
-  m_Reader = Plan.Reader;
-  m_PlannedRead = Plan.Expected;
-  m_ReadPlan = Plan.How;
+void RequestFlow::startPrefill(const dispatch::ReadThenRun &Plan) {
+  m_PrefillTarget = Plan.Reader;
+  m_PlannedPrefill = Plan.Expected;
+  m_PrefillPlan = Plan.How;
   m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Reader);
-  send(Plan.Reader, Plan.FetchFrom, SendPurpose::ReadPrompt,
+  send(Plan.Reader, Plan.FetchFrom, SendPurpose::Prefill,
        {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
 }
 
-void RequestFlow::startRun(const dispatch::RunAt &Plan) {
-  // Another attempt may have ended a server while the prompt was read.
-  if (heldBack())
+void RequestFlow::startExecution(const dispatch::RunAt &Plan) {
+  // Another attempt may have crashed a server during the prefill.
+  if (rejectIfSuspected())
     return;
-  m_Runner = Plan.Runner;
-  m_PlannedRun = Plan.Expected;
-  m_RunSent = BootClock::now();
-  m_RunPlan = Plan.How;
+  m_ExecutionTarget = Plan.Runner;
+  m_PlannedExecution = Plan.Expected;
+  m_ExecutionSent = BootClock::now();
+  m_ExecutionPlan = Plan.How;
   m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Runner);
-  send(Plan.Runner, Plan.FetchFrom, SendPurpose::Run,
+  send(Plan.Runner, Plan.FetchFrom, SendPurpose::Execute,
        {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
 }
 
 void RequestFlow::send(const std::string &TargetId,
                        const std::string &FetchFrom, SendPurpose Purpose,
-                       dispatch::Work What) {
+                       dispatch::Work Work) {
   const BootTime Now = BootClock::now();
-  const Milliseconds Expected = What.Expected;
+  const Milliseconds Expected = Work.Expected;
   slopes::SendFields Fields;
   Fields.TimeLeft = std::chrono::duration_cast<milliseconds>(timeLeft(Now));
   Fields.ExpectedTarget = TargetId;
-  Fields.ReadOnly = Purpose == SendPurpose::ReadPrompt;
-  if (Purpose == SendPurpose::Run)
+  Fields.ReadOnly = Purpose == SendPurpose::Prefill;
+  if (Purpose == SendPurpose::Execute)
     Fields.Source = m_Handle;
-  if (const dispatch::Target *From = m_Shared.Targets.find(FetchFrom))
-    Fields.FetchFrom = From->Address.toString();
-  if (const auto Last = m_Relay.lastEvent(); Last && m_Relay.events() > 0)
-    Fields.LastEventId = std::to_string(*Last);
+  if (const dispatch::Target *Source = m_Shared.Targets.find(FetchFrom))
+    Fields.FetchFrom = Source->Address.toString();
+  if (const auto LastEvent = m_Relay.lastEvent();
+      LastEvent && m_Relay.events() > 0)
+    Fields.LastEventId = std::to_string(*LastEvent);
   proxy::HeaderList Headers = slopes::forwardedFields(m_Request.Head.Headers);
   slopes::applySendFields(Headers, Fields);
   m_Relay.restart();
   ++m_Sends;
   m_Send = std::make_shared<ServerSend>(m_Shared, *this, TargetId, Purpose,
                                         m_Fields.AttemptId);
-  if (!enginesKnown(Now))
-    What.Expected = Milliseconds(0);
+  if (!engineCostsKnown(Now))
+    Work.Expected = Milliseconds(0);
   if (m_Send->start(proxy::requestText(m_Request.Head, Headers, m_Request.Body),
-                    What)) {
-    chargeRepeat(Purpose, Now);
-    expectComputed(TargetId, Expected);
+                    Work)) {
+    chargeRetry(Purpose, Now);
+    expectCached(TargetId, Expected);
     logSent(TargetId, FetchFrom, Purpose, Expected);
-    if (Purpose == SendPurpose::Run)
-      ++m_Runs;
+    if (Purpose == SendPurpose::Execute)
+      ++m_Executions;
     if (isSuspected())
       m_Shared.Crashes.sent(*m_Fingerprint, Now);
-    return watchSend(Expected + m_PlannedLag);
+    return armSendTimeout(Expected + m_PlannedLag);
   }
   const auto Unsent = m_Send;
   sendEnded(*Unsent, dispatch::NotSent{});
 }
 
-/// The first read and the first run of a request are its own; each further
-/// arrival is a repeat, also where one cycle of both follows a rejected run.
-void RequestFlow::chargeRepeat(SendPurpose Purpose, BootTime Now) {
+/// The first prefill and the first execution of a request are free. Each
+/// further one that reaches a server is charged as a retry, also when both are
+/// repeated after a rejected execution.
+void RequestFlow::chargeRetry(SendPurpose Purpose, BootTime Now) {
   bool &Sent =
-      Purpose == SendPurpose::ReadPrompt ? m_ReadArrived : m_RunArrived;
+      Purpose == SendPurpose::Prefill ? m_PrefillArrived : m_ExecutionArrived;
   if (std::exchange(Sent, true))
     m_Shared.Budget.charge(m_Service, Now);
 }
 
-void RequestFlow::watchSend(Milliseconds Expected) {
-  armWatch(std::chrono::duration_cast<BootClock::duration>(
+void RequestFlow::armSendTimeout(Milliseconds Expected) {
+  armSilenceTimeout(std::chrono::duration_cast<BootClock::duration>(
       Expected * OverdueFactor + OverdueBase));
 }
 
-void RequestFlow::armWatch(BootClock::duration After) {
-  m_WatchFor = After;
-  waitForWatch();
+void RequestFlow::armSilenceTimeout(BootClock::duration Timeout) {
+  m_SilenceTimeout = Timeout;
+  waitForSilence();
 }
 
-void RequestFlow::waitForWatch() {
-  m_WatchTimer.expires_after(m_WatchFor);
-  m_WatchTimer.async_wait(
+void RequestFlow::waitForSilence() {
+  m_SilenceTimer.expires_after(m_SilenceTimeout);
+  m_SilenceTimer.async_wait(
       [Self = shared_from_this()](const boost::system::error_code &Stopped) {
         if (!Stopped)
           Self->sendOverdue();
@@ -308,79 +316,81 @@
 void RequestFlow::sendOverdue() {
   if (m_Done || !m_Send)
     return;
-  // Silence alone ends nothing: only when the request may go elsewhere, and
-  // there is a server for it, is the wait given up. Given up before one was
-  // looked for, requests were failed, and streams cut, that the silent server
-  // answered a moment later.
-  const auto Late = m_Send;
-  const SendEnd How = dispatch::TookTooLong{};
-  if (!std::holds_alternative<dispatch::SendAgain>(nextStep(How, *Late)) ||
-      !findsAnother(Late->targetId(), BootClock::now()))
-    return waitForWatch();
-  logSendEnded(*Late, How);
-  abandonExpected(Late->targetId());
-  Late->cancel();
-  sendAgain(*Late);
-}
-
-void RequestFlow::sendCompleted(ServerSend &Which) {
-  m_WatchTimer.cancel();
+  // Silence alone does not end an attempt: it is canceled only when the
+  // request may be retried and another server is available. Canceling before
+  // checking for one failed requests and interrupted streams that the silent
+  // server answered a moment later.
+  const auto Overdue = m_Send;
+  const SendEnd End = dispatch::TookTooLong{};
+  if (!std::holds_alternative<dispatch::SendAgain>(nextStep(End, *Overdue)) ||
+      !hasAlternative(Overdue->targetId(), BootClock::now()))
+    return waitForSilence();
+  logSendEnded(*Overdue, End);
+  abandonExpectedCache(Overdue->targetId());
+  Overdue->cancel();
+  retry(*Overdue);
+}
+
+void RequestFlow::sendCompleted(ServerSend &Send) {
+  m_SilenceTimer.cancel();
   m_Send = nullptr;
-  if (Which.purpose() == SendPurpose::ReadPrompt)
-    return readCompleted(Which);
+  if (Send.purpose() == SendPurpose::Prefill)
+    return prefillCompleted(Send);
   if (m_Handle && m_HandleRejected)
     m_Shared.KvReuses[m_Service].tried(true, BootClock::now());
   m_Handle.reset();
-  noteCompleted();
-  if (m_Fields.Prompt && !Which.targetStartedAgain())
-    noteComputed(Which.targetId());
+  recordCompletion();
+  if (m_Fields.Prompt && !Send.targetRestarted())
+    recordCached(Send.targetId());
   if (streaming())
-    return streamEnded(Which);
-  forwardWhole(Which);
-}
-
-void RequestFlow::readCompleted(ServerSend &Which) {
-  const auto Read = slopes::decodePromptRead(Which.body());
-  const dispatch::Target *Reader = m_Shared.Targets.find(Which.targetId());
-  if (!Read || !Reader || Which.targetStartedAgain())
-    return sendEnded(Which, dispatch::BrokeOff{});
-  noteComputed(Which.targetId());
-  m_ReadTook = BootClock::now() - Which.started();
-  learnRead();
-  m_Handle = slopes::KvSource{Reader->Address.toString(), Read.value().Handle};
+    return streamEnded(Send);
+  forwardBuffered(Send);
+}
+
+void RequestFlow::prefillCompleted(ServerSend &Send) {
+  const auto Read = slopes::decodePromptRead(Send.body());
+  const dispatch::Target *PrefillTarget =
+      m_Shared.Targets.find(Send.targetId());
+  if (!Read || !PrefillTarget || Send.targetRestarted())
+    return sendEnded(Send, dispatch::BrokeOff{});
+  recordCached(Send.targetId());
+  m_PrefillTime = BootClock::now() - Send.started();
+  learnPrefill();
+  m_Handle =
+      slopes::KvSource{PrefillTarget->Address.toString(), Read.value().Handle};
   m_HandleRejected = false;
   const BootTime Now = BootClock::now();
-  // SIGTERM may have come while the prompt was read.
-  if (!mayBegin(Milliseconds(0), Now))
-    return turnAway();
-  const auto Runner = chooseRunner(Now);
-  if (!Runner) {
+  // SIGTERM may have arrived during the prefill.
+  if (!mayStart(Milliseconds(0), Now))
+    return rejectStopping();
+  const auto Decode = chooseDecodeTarget(Now);
+  if (!Decode) {
     releaseHandle();
-    if (m_AnswerBegun)
-      return cutOff("no engine to run at");
-    return giveUp(m_Runs == 0 ? dispatch::NotRunStatus
-                              : dispatch::OutcomeUnknownStatus,
-                  "no engine to run at", FailureRetryAfter);
+    if (m_ResponseStarted)
+      return abortStream("no decode engine available");
+    return respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                              : dispatch::OutcomeUnknownStatus,
+                            "no decode engine available", FailureRetryAfter);
   }
-  startRun(*Runner);
+  startExecution(*Decode);
 }
 
-/// Where the prompt runs that m_Reader has read.
-std::optional<dispatch::RunAt> RequestFlow::chooseRunner(BootTime Now) {
+/// Chooses the target that decodes after the prefill at m_PrefillTarget.
+std::optional<dispatch::RunAt> RequestFlow::chooseDecodeTarget(BootTime Now) {
   return m_Shared.Prompts.chooseRunner(
-      promptRequest(Now), m_Shared.Targets.find(m_Reader),
+      promptRequest(Now), m_Shared.Targets.find(m_PrefillTarget),
       m_Shared.openTargets(m_Service), m_Shared.costsOf(*engineService(), Now),
       Now);
 }
 
-/// A run that reached no engine, or a full one, has not used up the KV cache
-/// that was read for it. After a rejection that is tried once.
-bool RequestFlow::mayUseHandleAgain(const SendEnd &How, BootTime Now) {
+/// An execution that reached no engine, or was rejected, has not consumed the
+/// KV cache of its prefill. After a rejection the cache is reused once.
+bool RequestFlow::mayReuseHandle(const SendEnd &End, BootTime Now) {
   if (!m_Handle)
     return false;
-  if (std::holds_alternative<dispatch::NotSent>(How))
+  if (std::holds_alternative<dispatch::NotSent>(End))
     return true;
-  if (!std::holds_alternative<dispatch::Rejected>(How))
+  if (!std::holds_alternative<dispatch::Rejected>(End))
     return false;
   dispatch::KvReuse &Reuse = m_Shared.KvReuses[m_Service];
   if (std::exchange(m_HandleRejected, true)) {
@@ -392,85 +402,88 @@
          m_Shared.Budget.left(m_Service, Now) >= 1;
 }
 
-/// Another engine runs what was read, as the request's first run. Planned anew,
-/// the prompt would be read once more: two arrivals where one is enough, and of
-/// a run that was not sent nobody had asked the budget for them.
-bool RequestFlow::runsAtAnother(const ServerSend &Than, BootTime Now) {
+/// Decodes at another engine from the existing KV cache, as the first
+/// execution of the request. A new plan would repeat the prefill: two arrivals
+/// instead of one, and the retry budget is not consulted for an execution that
+/// was not sent.
+bool RequestFlow::decodeElsewhere(const ServerSend &Failed, BootTime Now) {
   if (m_Sends >= m_Shared.Repeats.MaximumSends ||
-      !mayBegin(Milliseconds(0), Now))
+      !mayStart(Milliseconds(0), Now))
     return false;
-  m_Excluded.push_back(Than.targetId());
-  const auto Runner = chooseRunner(Now);
-  if (Runner)
-    startRun(*Runner);
-  return Runner.has_value();
+  m_Excluded.push_back(Failed.targetId());
+  const auto Decode = chooseDecodeTarget(Now);
+  if (Decode)
+    startExecution(*Decode);
+  return Decode.has_value();
 }
 
-void RequestFlow::sendEnded(ServerSend &Which, SendEnd How) {
-  m_WatchTimer.cancel();
+void RequestFlow::sendEnded(ServerSend &Send, SendEnd End) {
+  m_SilenceTimer.cancel();
   m_Send = nullptr;
-  if (std::holds_alternative<dispatch::NotSent>(How))
-    (Which.purpose() == SendPurpose::ReadPrompt ? m_ReadArrived
-                                                : m_RunArrived) = false;
-  if (Which.purpose() == SendPurpose::Run && !dispatch::mayHaveRun(How) &&
-      m_Runs > 0 && Which.started() != BootTime{})
-    --m_Runs;
-  abandonExpected(Which.targetId());
-  if (std::holds_alternative<dispatch::BrokeOff>(How))
-    noteBrokenOff(Which);
-  logSendEnded(Which, How);
-  settle(How, Which);
-}
-
-dispatch::NextStep RequestFlow::nextStep(const SendEnd &How,
-                                         const ServerSend &Which) {
+  if (std::holds_alternative<dispatch::NotSent>(End))
+    (Send.purpose() == SendPurpose::Prefill ? m_PrefillArrived
+                                            : m_ExecutionArrived) = false;
+  if (Send.purpose() == SendPurpose::Execute && !dispatch::mayHaveRun(End) &&
+      m_Executions > 0 && Send.started() != BootTime{})
+    --m_Executions;
+  abandonExpectedCache(Send.targetId());
+  if (std::holds_alternative<dispatch::BrokeOff>(End))
+    recordConnectionLost(Send);
+  logSendEnded(Send, End);
+  handleFailedSend(End, Send);
+}
+
+dispatch::NextStep RequestFlow::nextStep(const SendEnd &End,
+                                         const ServerSend &Send) {
   const BootTime Now = BootClock::now();
   dispatch::RequestProgress Progress;
   Progress.Sends = m_Sends;
-  Progress.AnswerBegun = m_AnswerBegun;
+  Progress.AnswerBegun = m_ResponseStarted;
   Progress.TimeLeft = timeLeft(Now);
-  Progress.Runs = m_Runs;
+  Progress.Runs = m_Executions;
   Progress.MaximumRuns = m_Route.MaximumAttempts;
   Progress.Repeatable =
       m_Route.repeatable() &&
       (!isSuspected() || m_Shared.Crashes.suspects().mayRepeat(*m_Fingerprint));
-  Progress.EndsInTime = mayBegin(m_PlannedFirst, Now);
-  if (Which.purpose() == SendPurpose::ReadPrompt && m_Runs == 0) {
-    // Reading a prompt runs nothing.
+  Progress.EndsInTime = mayStart(m_PlannedFirst, Now);
+  if (Send.purpose() == SendPurpose::Prefill && m_Executions == 0) {
+    // A prefill does not execute the request.
     Progress.Repeatable = true;
     Progress.MaximumRuns = m_Shared.Repeats.MaximumSends;
   }
-  return dispatch::decideNext(m_Shared.Repeats, Progress, How, [&] {
-    // What reached no server has not used any of the service's time. Once a
-    // part of the request has, what follows may arrive as a repeat.
+  return dispatch::decideNext(m_Shared.Repeats, Progress, End, [&] {
+    // An attempt that reached no server has not used any time of the service.
+    // Once a part of the request has reached a server, the next attempt may
+    // count as a retry.
     const bool NothingArrived =
-        std::holds_alternative<dispatch::NotSent>(How) && !m_ReadArrived &&
-        !m_RunArrived;
+        std::holds_alternative<dispatch::NotSent>(End) && !m_PrefillArrived &&
+        !m_ExecutionArrived;
     return NothingArrived || m_Shared.Budget.left(m_Service, Now) >= 1;
   });
 }
 
-void RequestFlow::settle(const SendEnd &How, ServerSend &Which) {
+void RequestFlow::handleFailedSend(const SendEnd &End, ServerSend &Send) {
   const BootTime Now = BootClock::now();
-  if (std::holds_alternative<dispatch::Rejected>(How) && engineService())
+  if (std::holds_alternative<dispatch::Rejected>(End) && engineService())
     m_Shared.StartLags[m_Service].turnedAway(m_Route.LatencyTarget, Now);
-  if (mayUseHandleAgain(How, Now) && runsAtAnother(Which, Now))
+  if (mayReuseHandle(End, Now) && decodeElsewhere(Send, Now))
     return;
-  const auto Next = nextStep(How, Which);
+  const auto Next = nextStep(End, Send);
   if (std::holds_alternative<dispatch::SendAgain>(Next))
-    return sendAgain(Which);
+    return retry(Send);
   releaseHandle();
   if (std::holds_alternative<dispatch::PassOn>(Next)) {
-    noteCompleted();
-    return passOn(Which);
+    recordCompletion();
+    return forwardFailure(Send);
   }
   if (const auto *Final = std::get_if<dispatch::GiveUp>(&Next))
-    return giveUp(Final->Status, dispatch::describe(How), FailureRetryAfter);
-  cutOff(dispatch::describe(How));
+    return respondWithError(Final->Status, dispatch::describe(End),
+                            FailureRetryAfter);
+  abortStream(dispatch::describe(End));
 }
 
-void RequestFlow::sendAgain(const ServerSend &After) {
-  m_Excluded.push_back(After.targetId());
+void RequestFlow::retry(const ServerSend &Failed) {
+  m_Excluded.push_back(Failed.targetId());
   releaseHandle();
   plan();
 }
--- a/Services/figlift-gateway/RequestFlow.h
+++ b/Services/figlift-gateway/RequestFlow.h
@@ -1,9 +1,8 @@
-//===- RequestFlow.h - One request from its caller to its answer -*- C++
-//-*-===//
+//===- RequestFlow.h - Processing of one request ----------------*- C++ -*-===//
 //
-// Carries out what the planners and the repeat rules decide for one request:
-// sends to servers, forwards the answer, cancels when the caller leaves, and
-// ends at the deadline. Logs each decision with its inputs.
+// Carries out the decisions of the planners and the retry rules for one
+// request: sends it to servers, forwards the response, cancels when the caller
+// disconnects, and ends at the deadline. Logs each decision with its inputs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,7 +30,7 @@
                     public SendOwner,
                     public std::enable_shared_from_this<RequestFlow> {
 public:
-  RequestFlow(Context &Shared, proxy::Request What,
+  RequestFlow(Context &Shared, proxy::Request Request,
               std::shared_ptr<proxy::CallerConnection> Caller);
 
   void start();
@@ -41,93 +40,96 @@
   void processEndsSoon() override;
   void processEndsNow() override;
 
-  void sendAnswered(ServerSend &Which) override;
-  void sendBody(ServerSend &Which, std::string Bytes) override;
-  void sendEnded(ServerSend &Which, dispatch::SendEnd How) override;
-  void sendCompleted(ServerSend &Which) override;
+  void sendAnswered(ServerSend &Send) override;
+  void sendBody(ServerSend &Send, std::string Bytes) override;
+  void sendEnded(ServerSend &Send, dispatch::SendEnd End) override;
+  void sendCompleted(ServerSend &Send) override;
   bool wantsMore() const override;
 
 private:
-  bool mayBegin(dispatch::Milliseconds Expected, BootTime Now) const;
-  void turnAway();
+  bool mayStart(dispatch::Milliseconds Expected, BootTime Now) const;
+  void rejectStopping();
   void plan();
-  /// Null for a request that goes to a plain server.
+  /// Null for a request to a service without engines.
   const dispatch::Service *engineService() const;
-  dispatch::PromptPlan promptPlan(const dispatch::Service &Which, BootTime Now);
+  dispatch::PromptPlan promptPlan(const dispatch::Service &Service,
+                                  BootTime Now);
   dispatch::ServicePlan servicePlan(BootTime Now);
-  /// Targets that must not get this request now.
+  /// Targets that this request must not use at present.
   std::vector<std::string> excluded(BootTime Now) const;
-  bool findsAnother(const std::string &ThanTargetId, BootTime Now);
-  void planPrompt(const dispatch::Service &Which);
-  void planPlain();
+  bool hasAlternative(const std::string &AvoidedTargetId, BootTime Now);
+  void planPrompt(const dispatch::Service &Service);
+  void planService();
   dispatch::Milliseconds generationTime() const;
-  void noteDemand(const dispatch::EngineCosts &Costs,
-                  std::span<const dispatch::Target *const> Open, BootTime Now);
-  void startRead(const dispatch::ReadThenRun &Plan);
-  void startRun(const dispatch::RunAt &Plan);
-  void readCompleted(ServerSend &Which);
-  std::optional<dispatch::RunAt> chooseRunner(BootTime Now);
-  bool mayUseHandleAgain(const dispatch::SendEnd &How, BootTime Now);
-  bool runsAtAnother(const ServerSend &Than, BootTime Now);
+  void recordDemand(const dispatch::EngineCosts &Costs,
+                    std::span<const dispatch::Target *const> Open,
+                    BootTime Now);
+  void startPrefill(const dispatch::ReadThenRun &Plan);
+  void startExecution(const dispatch::RunAt &Plan);
+  void prefillCompleted(ServerSend &Send);
+  std::optional<dispatch::RunAt> chooseDecodeTarget(BootTime Now);
+  bool mayReuseHandle(const dispatch::SendEnd &End, BootTime Now);
+  bool decodeElsewhere(const ServerSend &Failed, BootTime Now);
   void send(const std::string &TargetId, const std::string &FetchFrom,
-            SendPurpose Purpose, dispatch::Work What);
-  bool enginesKnown(BootTime Now) const;
-  /// \name Servers that end under this request.
+            SendPurpose Purpose, dispatch::Work Work);
+  bool engineCostsKnown(BootTime Now) const;
+  /// \name Detection of requests that crash servers.
   /// @{
-  /// Absent while the fleet's secret is not known.
+  /// Empty while the fleet's secret is not known.
   const std::optional<dispatch::RequestFingerprint> &fingerprint();
-  /// For the log; empty if nobody has asked for it.
+  /// For the log; empty if the fingerprint has not been computed.
   std::string fingerprintText() const {
     return m_Fingerprint ? m_Fingerprint->toString() : std::string();
   }
-  void noteBrokenOff(const ServerSend &Which);
-  void noteCompleted();
+  void recordConnectionLost(const ServerSend &Send);
+  void recordCompletion();
   bool isSuspected();
-  bool heldBack();
+  bool rejectIfSuspected();
   /// @}
-  void learnRead();
-  void learnRun();
-  void learnLateness();
-  void learnReadBesideStreams(const dispatch::EngineCosts &Costs,
-                              dispatch::Milliseconds Took,
-                              engine::EngineModel &Model) const;
-  void streamEnded(ServerSend &Which);
+  void learnPrefill();
+  void learnExecutionStart();
+  void learnStartLag();
+  void learnPrefillBesideStreams(const dispatch::EngineCosts &Costs,
+                                 dispatch::Milliseconds FirstEventTime,
+                                 engine::EngineModel &Model) const;
+  void streamEnded(ServerSend &Send);
   void forwardEvents(const std::string &Events);
-  void forwardWhole(ServerSend &Which);
-  void passOn(ServerSend &Which);
-  void settle(const dispatch::SendEnd &How, ServerSend &Which);
-  dispatch::NextStep nextStep(const dispatch::SendEnd &How,
-                              const ServerSend &Which);
-  void sendAgain(const ServerSend &After);
-  void giveUp(unsigned Status, std::string_view Reason,
-              std::chrono::milliseconds RetryAfter);
-  void cutOff(std::string_view Reason);
-  void dropSend();
+  void forwardBuffered(ServerSend &Send);
+  void forwardFailure(ServerSend &Send);
+  void handleFailedSend(const dispatch::SendEnd &End, ServerSend &Send);
+  dispatch::NextStep nextStep(const dispatch::SendEnd &End,
+                              const ServerSend &Send);
+  void retry(const ServerSend &Failed);
+  void respondWithError(unsigned Status, std::string_view Reason,
+                        std::chrono::milliseconds RetryAfter);
+  void abortStream(std::string_view Reason);
+  void cancelSend();
   void releaseHandle();
   void finish(std::string_view Outcome, unsigned Status,
               std::string_view Reason);
   void armDeadline();
-  void endUnanswered(std::string_view Reason);
-  void chargeRepeat(SendPurpose Purpose, BootTime Now);
-  void watchSend(dispatch::Milliseconds Expected);
-  void watchNextEvent();
-  void logTaken();
+  void endWithoutResponse(std::string_view Reason);
+  void chargeRetry(SendPurpose Purpose, BootTime Now);
+  void armSendTimeout(dispatch::Milliseconds Expected);
+  void armEventTimeout();
+  void logAccepted();
   void logEnded(std::string_view Outcome, unsigned Status,
                 std::string_view Reason);
-  void logSendEnded(const ServerSend &Which, const dispatch::SendEnd &How);
+  void logSendEnded(const ServerSend &Send, const dispatch::SendEnd &End);
   void logSent(const std::string &TargetId, const std::string &FetchFrom,
                SendPurpose Purpose, dispatch::Milliseconds Expected);
-  void armWatch(BootClock::duration After);
-  void waitForWatch();
+  void armSilenceTimeout(BootClock::duration Timeout);
+  void waitForSilence();
   void sendOverdue();
-  void expectComputed(const std::string &TargetId,
-                      dispatch::Milliseconds Expected);
-  void abandonExpected(const std::string &TargetId);
-  void noteComputed(const std::string &TargetId);
+  void expectCached(const std::string &TargetId,
+                    dispatch::Milliseconds Expected);
+  void abandonExpectedCache(const std::string &TargetId);
+  void recordCached(const std::string &TargetId);
 
   dispatch::PromptRequest promptRequest(BootTime Now);
   dispatch::Milliseconds timeLeft(BootTime Now) const;
-  /// From the request's arrival to its first event or, without one, to \p Now.
+  /// Time from the arrival of the request to its first event or, without one,
+  /// to \p Now.
   dispatch::Milliseconds firstAfter(BootTime Now) const {
     return m_FirstEvent.value_or(Now) - m_Started;
   }
@@ -135,12 +137,13 @@
     return m_Route.Kind == dispatch::RouteKind::Streaming;
   }
 
-  /// What a caller is told to wait after a failure that says nothing about when
-  /// it passes: a crashed server is known as gone about that much later.
+  /// Retry-After for a failure whose duration is unknown. A crashed server is
+  /// known to be gone after about this time.
   static constexpr std::chrono::milliseconds FailureRetryAfter{300};
-  /// A send is overdue after this many times its expected time and a fixed
-  /// part. Sent again too early, work is done twice under load; too late, the
-  /// caller has left. Both ends are bounded by the retry budget.
+  /// An attempt is overdue after this multiple of its expected time plus a
+  /// fixed part. A lower value duplicates work under load; with a higher one
+  /// the caller has disconnected before the retry. The retry budget bounds the
+  /// cost of both.
   static constexpr double OverdueFactor = 4;
   static constexpr dispatch::Milliseconds OverdueBase{250};
 
@@ -148,57 +151,60 @@
   proxy::Request m_Request;
   std::shared_ptr<proxy::CallerConnection> m_Caller;
   slopes::CallerFields m_Fields;
-  /// Absent until it is asked for, and while the fleet's secret is not known.
+  /// Computed on first use; empty while the fleet's secret is not known.
   std::optional<dispatch::RequestFingerprint> m_Fingerprint;
-  /// The configuration that the request began with; m_Route is its copy.
+  /// The configuration that the request started with; m_Route is a copy from
+  /// it.
   std::shared_ptr<const dispatch::Configuration> m_Configuration;
   dispatch::Route m_Route;
   std::string m_Service;
   boost::asio::steady_timer m_DeadlineTimer;
-  boost::asio::steady_timer m_WatchTimer;
-  /// How long the send at hand may be silent.
-  BootClock::duration m_WatchFor{};
+  boost::asio::steady_timer m_SilenceTimer;
+  /// Maximum silence of the current attempt.
+  BootClock::duration m_SilenceTimeout{};
   BootTime m_Started;
   BootTime m_Deadline{};
   std::shared_ptr<ServerSend> m_Send;
   std::vector<std::string> m_Excluded;
   /// KV cache that was computed for this request and not fetched yet.
   std::optional<slopes::KvSource> m_Handle;
-  std::string m_Reader;
-  std::string m_Runner;
+  std::string m_PrefillTarget;
+  std::string m_ExecutionTarget;
   dispatch::EventRelay m_Relay;
   std::optional<BootTime> m_FirstEvent;
   dispatch::Milliseconds m_PlannedFirst{0};
-  /// What was allowed for the service's lateness besides, and when that was.
+  /// Scheduling delay of the service that was added to the plan, and when the
+  /// plan was made.
   dispatch::Milliseconds m_PlannedLag{0};
   BootTime m_PlannedAt{};
-  /// Only of a request that came while the process was stopping, for the log:
-  /// from there to its end.
-  std::optional<dispatch::Milliseconds> m_EndsIn;
-  /// \name The newest read of the prompt and the newest run, for the log: as
-  /// planned when they were sent, and when the run was sent.
+  /// Set only for a request that arrived while the process was stopping, for
+  /// the log: time from its arrival to the end of the process.
+  std::optional<dispatch::Milliseconds> m_TimeUntilStop;
+  /// \name The latest prefill and the latest execution, for the log: as
+  /// planned when they were sent, and when the execution was sent.
   /// @{
-  dispatch::Milliseconds m_PlannedRead{0};
-  dispatch::Milliseconds m_ReadTook{0};
-  dispatch::Milliseconds m_PlannedRun{0};
-  dispatch::ReadPlan m_ReadPlan;
-  dispatch::ReadPlan m_RunPlan;
-  /// An engine has rejected the run of m_Handle.
+  dispatch::Milliseconds m_PlannedPrefill{0};
+  dispatch::Milliseconds m_PrefillTime{0};
+  dispatch::Milliseconds m_PlannedExecution{0};
+  dispatch::ReadPlan m_PrefillPlan;
+  dispatch::ReadPlan m_ExecutionPlan;
+  /// An engine has rejected the execution that uses m_Handle.
   bool m_HandleRejected = false;
-  /// Whether the newest send was planned with the target's cache known.
+  /// Whether the cache contents of the target were known when the latest
+  /// attempt was planned.
   bool m_CacheKnown = false;
-  std::optional<BootTime> m_RunSent;
+  std::optional<BootTime> m_ExecutionSent;
   /// @}
   unsigned m_Sends = 0;
-  unsigned m_Runs = 0;
-  /// A read, or a run, of this request has reached a server.
-  bool m_ReadArrived = false;
-  bool m_RunArrived = false;
-  bool m_AnswerBegun = false;
-  /// Of a refusal that has a code of its own.
+  unsigned m_Executions = 0;
+  /// A prefill, or an execution, of this request has reached a server.
+  bool m_PrefillArrived = false;
+  bool m_ExecutionArrived = false;
+  bool m_ResponseStarted = false;
+  /// Set for rejections that have their own result code.
   ResultCode m_Code = ResultCode::Success;
   bool m_Done = false;
-  /// All of its lines are written, also if it goes as planned.
+  /// All events of this request are logged, even if it proceeds as planned.
   bool m_Traced = false;
 };
 
--- a/Services/figlift-gateway/RequestLearning.cpp
+++ b/Services/figlift-gateway/RequestLearning.cpp
@@ -1,6 +1,6 @@
-//===- RequestLearning.cpp - What one request teaches ---------------------===//
+//===- RequestLearning.cpp - Measurements taken from one request ----------===//
 //
-// How fast engines are, what they keep, and what callers ask of them.
+// Updates the engine cost model, the view of engine caches, and the demand.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,43 +13,47 @@
 
 namespace {
 
-/// Measurements that belong to something else for the most part say little of
-/// what they are meant for, and a wrong plan of the rest misleads.
-constexpr double LeastPurity = 0.3;
-/// Of a read between the tokens of streams, as a measure of reading alone.
+/// A measurement that consists mostly of other work says little about the
+/// measured quantity, and an error in the plan of the other work distorts it.
+constexpr double MinimumPurity = 0.3;
+/// Weight of a prefill beside decoding streams as a measurement of prefill
+/// alone.
 constexpr double PurityBesideStreams = 0.1;
 
 } // namespace
 
-void RequestFlow::noteDemand(const dispatch::EngineCosts &Costs,
-                             std::span<const dispatch::Target *const> Open,
-                             BootTime Now) {
-  const dispatch::Prompt &What = *m_Fields.Prompt;
-  // What any engine keeps can be fetched: reading it again is a matter of
-  // where requests go, not of how many engines read.
-  uint32_t Kept = 0;
-  for (const dispatch::Target *Each : Open)
-    Kept = std::max(Kept, m_Shared.Loads.cachedTokens(Each->Id, What));
+void RequestFlow::recordDemand(const dispatch::EngineCosts &Costs,
+                               std::span<const dispatch::Target *const> Open,
+                               BootTime Now) {
+  const dispatch::Prompt &Prompt = *m_Fields.Prompt;
+  // Tokens cached at any engine can be fetched. Computing them again is caused
+  // by the routing of requests, and is no demand for more prefill engines.
+  uint32_t CachedTokens = 0;
+  for (const dispatch::Target *Target : Open)
+    CachedTokens =
+        std::max(CachedTokens, m_Shared.Loads.cachedTokens(Target->Id, Prompt));
   dispatch::DemandMeter &Meter = m_Shared.Demands[m_Service];
-  const double Filling =
+  const double FillingShare =
       m_Shared.Settings.Fleet.Starts ? Meter.fillingShare(Now) : 0;
-  Kept += static_cast<uint32_t>(Filling * What.sharedBeyond(Kept));
-  Meter.requested(Costs.reading(What, Kept),
-                  Costs.transfer(What.Tokens, false) +
+  CachedTokens +=
+      static_cast<uint32_t>(FillingShare * Prompt.sharedBeyond(CachedTokens));
+  Meter.requested(Costs.reading(Prompt, CachedTokens),
+                  Costs.transfer(Prompt.Tokens, false) +
                       generationTime() / Costs.traits().Slots,
                   Now);
 }
 
-/// An engine is not judged by plans that rest on nothing yet: all of them would
-/// look many times as slow, or as fast, as they are, for seconds.
-bool RequestFlow::enginesKnown(BootTime Now) const {
-  const dispatch::Service *Which = m_Configuration->service(m_Service);
-  return !Which || !Which->Engine || m_Shared.costsOf(*Which, Now).known();
+/// Plans without any measurement are not used to rate an engine: for seconds
+/// all engines would appear many times slower or faster than they are.
+bool RequestFlow::engineCostsKnown(BootTime Now) const {
+  const dispatch::Service *Service = m_Configuration->service(m_Service);
+  return !Service || !Service->Engine ||
+         m_Shared.costsOf(*Service, Now).known();
 }
 
-/// From now on the engine has the prompt in its queue.
-void RequestFlow::expectComputed(const std::string &TargetId,
-                                 Milliseconds Expected) {
+/// Records that the engine has the prompt in its queue.
+void RequestFlow::expectCached(const std::string &TargetId,
+                               Milliseconds Expected) {
   if (!m_Fields.Prompt || m_Handle)
     return;
   const BootTime Now = BootClock::now();
@@ -57,96 +61,101 @@
       std::chrono::ceil<milliseconds>(Expected * OverdueFactor + OverdueBase);
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
-  // The last part is this request's own: no other will ask for it.
-  for (size_t At = 0; At + 1 < Parts.size(); ++At) {
-    if (Cache.holds(Parts[At].Id))
+  // The last part belongs to this request only; no other request will use it.
+  for (size_t i = 0; i + 1 < Parts.size(); ++i) {
+    if (Cache.holds(Parts[i].Id))
       continue;
-    Cache.expect(Parts[At], Now + Within);
-    m_Shared.NewlyCached.push_back({TargetId, Parts[At], Within});
+    Cache.expect(Parts[i], Now + Within);
+    m_Shared.NewlyCached.push_back({TargetId, Parts[i], Within});
   }
 }
 
-/// What was expected of a send that has failed does not come.
-void RequestFlow::abandonExpected(const std::string &TargetId) {
+/// Removes the expected cache entries of an attempt that failed.
+void RequestFlow::abandonExpectedCache(const std::string &TargetId) {
   if (!m_Fields.Prompt || !m_Shared.Targets.find(TargetId))
     return;
-  for (const dispatch::PromptPart &Each : m_Fields.Prompt->Parts)
-    m_Shared.Loads.cache(TargetId).abandon(Each.Id);
+  for (const dispatch::PromptPart &Part : m_Fields.Prompt->Parts)
+    m_Shared.Loads.cache(TargetId).abandon(Part.Id);
 }
 
-void RequestFlow::noteComputed(const std::string &TargetId) {
-  // The last part is this request's own: no other will ask for it.
+void RequestFlow::recordCached(const std::string &TargetId) {
+  // The last part belongs to this request only; no other request will use it.
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
-  for (size_t At = 0; At < Parts.size(); ++At) {
-    const bool IsNew = !Cache.holds(Parts[At].Id);
-    Cache.insert(Parts[At]);
-    if (IsNew && At + 1 < Parts.size())
-      m_Shared.NewlyCached.push_back({TargetId, Parts[At], milliseconds(0)});
+  for (size_t i = 0; i < Parts.size(); ++i) {
+    const bool IsNew = !Cache.holds(Parts[i].Id);
+    Cache.insert(Parts[i]);
+    if (IsNew && i + 1 < Parts.size())
+      m_Shared.NewlyCached.push_back({TargetId, Parts[i], milliseconds(0)});
   }
 }
 
-/// What stood in front of the read is known in part; of the time measured, the
-/// read gets the share that it had in the plan, and counts by that share.
-void RequestFlow::learnRead() {
-  const dispatch::Service *Which = m_Configuration->service(m_Service);
-  if (!Which || !Which->Engine || !m_CacheKnown ||
-      m_ReadTook <= m_ReadPlan.OnLink)
+/// The wait before the prefill is known only approximately. The measured time
+/// is divided in the proportion of the plan, and the measurement is weighted
+/// by that share.
+void RequestFlow::learnPrefill() {
+  const dispatch::Service *Service = m_Configuration->service(m_Service);
+  if (!Service || !Service->Engine || !m_CacheKnown ||
+      m_PrefillTime <= m_PrefillPlan.OnLink)
     return;
-  const Milliseconds Own = m_PlannedRead - m_ReadPlan.Wait - m_ReadPlan.OnLink;
-  const double Share = Own / (Own + m_ReadPlan.Wait);
-  if (Share < LeastPurity)
+  const Milliseconds PlannedTime =
+      m_PlannedPrefill - m_PrefillPlan.Wait - m_PrefillPlan.OnLink;
+  const double Share = PlannedTime / (PlannedTime + m_PrefillPlan.Wait);
+  if (Share < MinimumPurity)
     return;
   m_Shared.EngineModels[m_Service].observeRead(
-      m_ReadPlan.Size, (m_ReadTook - m_ReadPlan.OnLink) * Share, Share * Share);
+      m_PrefillPlan.Size, (m_PrefillTime - m_PrefillPlan.OnLink) * Share,
+      Share * Share);
 }
 
-/// The same of a run, at its first event.
-void RequestFlow::learnRun() {
+/// Learns from the first event of an execution.
+void RequestFlow::learnExecutionStart() {
   const BootTime Now = BootClock::now();
-  const dispatch::Service *Which = m_Configuration->service(m_Service);
-  if (!Which || !Which->Engine || !m_Fields.Prompt || !m_RunSent ||
-      m_RunPlan.Wait > Milliseconds(0))
+  const dispatch::Service *Service = m_Configuration->service(m_Service);
+  if (!Service || !Service->Engine || !m_Fields.Prompt || !m_ExecutionSent ||
+      m_ExecutionPlan.Wait > Milliseconds(0))
     return;
   engine::EngineModel &Model = m_Shared.EngineModels[m_Service];
-  const Milliseconds Took(Now - *m_RunSent);
+  const Milliseconds FirstEventTime(Now - *m_ExecutionSent);
   if (m_Handle) {
-    Model.observeStart(m_RunPlan.OnLink, Took, 1);
+    Model.observeStart(m_ExecutionPlan.OnLink, FirstEventTime, 1);
     return;
   }
   if (m_CacheKnown)
-    learnReadBesideStreams(m_Shared.costsOf(*Which, Now), Took, Model);
+    learnPrefillBesideStreams(m_Shared.costsOf(*Service, Now), FirstEventTime,
+                              Model);
 }
 
-/// Of the whole way from the plan to the first event: what is waited for
-/// between the read and the run belongs to it, too.
-void RequestFlow::learnLateness() {
+/// Covers the time from the plan to the first event, including waits between
+/// prefill and decode.
+void RequestFlow::learnStartLag() {
   const BootTime Now = BootClock::now();
-  if (!engineService() || m_PlannedAt == BootTime{} || !enginesKnown(Now))
+  if (!engineService() || m_PlannedAt == BootTime{} || !engineCostsKnown(Now))
     return;
   m_Shared.StartLags[m_Service].observe(m_PlannedFirst, Now - m_PlannedAt,
                                         m_Route.LatencyTarget, Now);
 }
 
-/// A read at a decode engine teaches what reading beside streams costs, and, in
-/// case no prompt is read elsewhere, what reading costs at all: with a figure
-/// far too low every prompt seems small enough for decode engines, and nothing
-/// would ever correct it.
-void RequestFlow::learnReadBesideStreams(const dispatch::EngineCosts &Costs,
-                                         Milliseconds Took,
-                                         engine::EngineModel &Model) const {
-  const Milliseconds Compute =
-      Took - Costs.readFixed() - Costs.startFixed() - m_RunPlan.OnLink;
+/// A prefill at a decode engine measures the cost of prefill beside streams
+/// and, when there is no prefill elsewhere, the prefill cost itself. If the
+/// learned cost is far too low, every prompt seems small enough for decode
+/// engines, and no other measurement would correct it.
+void RequestFlow::learnPrefillBesideStreams(const dispatch::EngineCosts &Costs,
+                                            Milliseconds FirstEventTime,
+                                            engine::EngineModel &Model) const {
+  const Milliseconds Compute = FirstEventTime - Costs.readFixed() -
+                               Costs.startFixed() - m_ExecutionPlan.OnLink;
   if (Compute <= Milliseconds(0))
     return;
-  const Milliseconds Alone = Costs.reading(m_RunPlan.Size);
-  Model.observeRead(m_RunPlan.Size,
+  const Milliseconds Isolated = Costs.reading(m_ExecutionPlan.Size);
+  Model.observeRead(m_ExecutionPlan.Size,
                     Costs.readFixed() + Compute / Costs.decodeReadFactor(),
                     PurityBesideStreams);
-  const double Share = Alone / Took;
-  // The rest is known too loosely to tell a small read from it.
-  if (Share >= LeastPurity)
-    Model.observeDecodeRead(Alone, Compute, Share * Share);
+  const double Share = Isolated / FirstEventTime;
+  // The remaining time is not known precisely enough to measure a smaller
+  // prefill.
+  if (Share >= MinimumPurity)
+    Model.observeDecodeRead(Isolated, Compute, Share * Share);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/RequestLines.cpp
+++ b/Services/figlift-gateway/RequestLines.cpp
@@ -1,6 +1,6 @@
-//===- RequestLines.cpp - Lines of one request on its way -----------------===//
+//===- RequestLines.cpp - Log events of one request -----------------------===//
 //
-// What was decided and by which inputs.
+// Records the decisions and their inputs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,7 @@
 
 using dispatch::Milliseconds;
 
-void RequestFlow::logTaken() {
+void RequestFlow::logAccepted() {
   log::logRequest(
       log::Level::Info, "request-taken", m_Fields.AttemptId, {},
       {{"route", m_Route.Name},
@@ -26,54 +26,57 @@
                           const std::string &FetchFrom, SendPurpose Purpose,
                           Milliseconds Expected) {
   const BootTime Now = BootClock::now();
-  // A prompt that is read and then run is sent twice; more is a repeat.
-  const bool Repeats = m_Sends > 2 || (m_Runs > 0 && m_Sends > 1);
-  if (!m_Traced && !(Repeats && m_Shared.Log.allows(LineKind::Notable, Now)))
+  // A request with a prefill and an execution is sent twice; any further
+  // attempt is a retry.
+  const bool IsRetry = m_Sends > 2 || (m_Executions > 0 && m_Sends > 1);
+  if (!m_Traced && !(IsRetry && m_Shared.Log.allows(LineKind::Notable, Now)))
     return;
   log::logRequest(
       log::Level::Info, "request-sent", m_Fields.AttemptId, {},
       {{"target", TargetId},
-       {"purpose", Purpose == SendPurpose::Run ? "run" : "read-prompt"},
+       {"purpose", Purpose == SendPurpose::Execute ? "run" : "read-prompt"},
        {"fetchFrom", FetchFrom},
        {"plannedMs", Expected},
        {"timeLeftMs", timeLeft(Now)},
        {"sends", m_Sends},
-       {"runs", m_Runs},
+       {"runs", m_Executions},
        {"eventsBefore", m_Relay.events()},
        {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
 }
 
-void RequestFlow::logSendEnded(const ServerSend &Which,
-                               const dispatch::SendEnd &How) {
+void RequestFlow::logSendEnded(const ServerSend &Send,
+                               const dispatch::SendEnd &End) {
   const BootTime Now = BootClock::now();
   if (!m_Shared.Log.allows(LineKind::Notable, Now))
     return;
   log::logRequest(
       log::Level::Info, "send-ended", m_Fields.AttemptId, {},
-      {{"how", dispatch::describe(How)},
-       {"purpose", Which.purpose() == SendPurpose::Run ? "run" : "read-prompt"},
-       {"target", Which.targetId()},
+      {{"how", dispatch::describe(End)},
+       {"purpose",
+        Send.purpose() == SendPurpose::Execute ? "run" : "read-prompt"},
+       {"target", Send.targetId()},
        {"fingerprint", fingerprintText()},
-       {"status", Which.head().Status},
-       {"tookMs", Milliseconds(Now - Which.started())},
+       {"status", Send.head().Status},
+       {"tookMs", Milliseconds(Now - Send.started())},
        {"sends", m_Sends},
-       {"runs", m_Runs},
+       {"runs", m_Executions},
        {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
 }
 
 void RequestFlow::logEnded(std::string_view Outcome, unsigned Status,
                            std::string_view Reason) {
   const BootTime Now = BootClock::now();
-  const Milliseconds First = firstAfter(Now);
-  const Milliseconds RunFirst = m_FirstEvent && m_RunSent
-                                    ? Milliseconds(*m_FirstEvent - *m_RunSent)
-                                    : Milliseconds(0);
-  const bool Late = First > Milliseconds(m_Route.LatencyTarget);
-  const bool Refused = Outcome == "refused";
-  const bool Plain = Outcome == "answered" && !Late && m_Sends <= 2;
-  const LineKind Kind = Refused              ? LineKind::Refused
-                        : Plain && !m_EndsIn ? LineKind::Plain
-                                             : LineKind::Notable;
+  const Milliseconds FirstEvent = firstAfter(Now);
+  const Milliseconds ExecutionFirstEvent =
+      m_FirstEvent && m_ExecutionSent
+          ? Milliseconds(*m_FirstEvent - *m_ExecutionSent)
+          : Milliseconds(0);
+  const bool IsLate = FirstEvent > Milliseconds(m_Route.LatencyTarget);
+  const bool IsRejected = Outcome == "refused";
+  const bool IsPlain = Outcome == "answered" && !IsLate && m_Sends <= 2;
+  const LineKind Kind = IsRejected                    ? LineKind::Rejected
+                        : IsPlain && !m_TimeUntilStop ? LineKind::Plain
+                                                      : LineKind::Notable;
   if (!m_Traced && (Kind == LineKind::Plain || !m_Shared.Log.allows(Kind, Now)))
     return;
   log::logRequest(
@@ -84,29 +87,29 @@
        {"code", static_cast<int>(m_Code)},
        {"route", m_Route.Name},
        {"service", m_Service},
-       {"reader", m_Reader},
-       {"runner", m_Runner},
+       {"reader", m_PrefillTarget},
+       {"runner", m_ExecutionTarget},
        {"fingerprint", fingerprintText()},
        {"promptTokens", m_Fields.Prompt ? m_Fields.Prompt->Tokens : 0},
        {"plannedFirstMs", m_PlannedFirst},
        {"plannedLagMs", m_PlannedLag},
-       {"firstMs", First},
-       {"plannedReadMs", m_PlannedRead},
-       {"readMs", m_ReadTook},
-       {"plannedRunMs", m_PlannedRun},
-       {"runFirstMs", RunFirst},
+       {"firstMs", FirstEvent},
+       {"plannedReadMs", m_PlannedPrefill},
+       {"readMs", m_PrefillTime},
+       {"plannedRunMs", m_PlannedExecution},
+       {"runFirstMs", ExecutionFirstEvent},
        {"tookMs", Milliseconds(Now - m_Started)},
        {"targetMs", m_Route.LatencyTarget},
        // A request without a route has no deadline.
        {"deadlineMs", m_Deadline == BootTime{}
                           ? Milliseconds(0)
                           : Milliseconds(m_Deadline - m_Started)},
-       {"endsInMs", m_EndsIn.value_or(Milliseconds(0))},
+       {"endsInMs", m_TimeUntilStop.value_or(Milliseconds(0))},
        {"maximumOutput", m_Fields.Prompt ? m_Fields.Prompt->MaximumOutput : 0},
        {"events", m_Relay.events()},
        {"sends", m_Sends},
-       {"runs", m_Runs},
-       {"serversSeenMs", Milliseconds(Now - m_Shared.ServersSeen)},
+       {"runs", m_Executions},
+       {"serversSeenMs", Milliseconds(Now - m_Shared.ServersKnownAt)},
        {"configuration", m_Configuration ? m_Configuration->Version : 0}});
 }
 
--- a/Services/figlift-gateway/RequestSuspicion.cpp
+++ b/Services/figlift-gateway/RequestSuspicion.cpp
@@ -1,6 +1,7 @@
-//===- RequestSuspicion.cpp - Whether servers end under a request ---------===//
+//===- RequestSuspicion.cpp - Requests that crash servers -----------------===//
 //
-// What one request tells CrashWatch, and whether it is held back.
+// Reports the outcome of a request to CrashWatch, and rejects suspected
+// requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,46 +15,46 @@
   return m_Fingerprint;
 }
 
-/// The server may have ended, and this request may be why.
-void RequestFlow::noteBrokenOff(const ServerSend &Which) {
-  if (Which.target() && fingerprint())
-    m_Shared.Crashes.brokeOff(*m_Fingerprint, *Which.target(), Which.started(),
-                              BootClock::now());
+/// The server may have crashed, and this request may be the cause.
+void RequestFlow::recordConnectionLost(const ServerSend &Send) {
+  if (Send.target() && fingerprint())
+    m_Shared.Crashes.connectionLost(*m_Fingerprint, *Send.target(),
+                                    Send.started(), BootClock::now());
 }
 
-/// A server ran the request to an end, well or badly, and goes on.
-void RequestFlow::noteCompleted() {
-  if (m_Shared.Crashes.wantsCompletions() && fingerprint())
+/// A server completed the request, successfully or not, and is still running.
+void RequestFlow::recordCompletion() {
+  if (m_Shared.Crashes.needsCompletions() && fingerprint())
     m_Shared.Crashes.completed(*m_Fingerprint, BootClock::now());
 }
 
-/// Calm days cost no fingerprints.
+/// Without any suspicion no fingerprint is computed.
 bool RequestFlow::isSuspected() {
   const dispatch::CrashSuspects &Suspects = m_Shared.Crashes.suspects();
   return !Suspects.empty() && fingerprint() &&
          Suspects.crashes(*m_Fingerprint) > 0;
 }
 
-/// Whether the request may not be sent, as servers ended under it; ends it
-/// then.
-bool RequestFlow::heldBack() {
+/// Rejects the request if servers crashed while executing it, and returns
+/// whether it did.
+bool RequestFlow::rejectIfSuspected() {
   if (!isSuspected())
     return false;
   const dispatch::CrashSuspects &Suspects = m_Shared.Crashes.suspects();
   const BootTime Now = BootClock::now();
-  const auto Held = m_Sends == 0 ? Suspects.holdsBack(*m_Fingerprint, Now)
-                                 : Suspects.refuses(*m_Fingerprint, Now);
-  if (!Held)
+  const auto Rejection = m_Sends == 0 ? Suspects.holdsBack(*m_Fingerprint, Now)
+                                      : Suspects.refuses(*m_Fingerprint, Now);
+  if (!Rejection)
     return false;
-  m_Shared.Crashes.countHeldBack();
+  m_Shared.Crashes.recordRejected();
   m_Code = ResultCode::CrashesTargets;
   releaseHandle();
-  if (m_AnswerBegun)
-    cutOff(Held->Reason);
+  if (m_ResponseStarted)
+    abortStream(Rejection->Reason);
   else
-    giveUp(m_Runs == 0 ? dispatch::NotRunStatus
-                       : dispatch::OutcomeUnknownStatus,
-           Held->Reason, Held->RetryAfter);
+    respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
+                                       : dispatch::OutcomeUnknownStatus,
+                     Rejection->Reason, Rejection->RetryAfter);
   return true;
 }
 
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -1,6 +1,6 @@
-//===- ServerSend.cpp - One send of a request to a server -----------------===//
+//===- ServerSend.cpp - One attempt to send a request to a server ---------===//
 //
-// Classifies what came back; see RepeatRules.h for what follows from it.
+// Classifies the result; see RepeatRules.h for the next step.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,9 +15,9 @@
 
 namespace {
 bool isSuccess(unsigned Status) { return Status / 100 == 2; }
-/// A target at whose address another server answers has ended; the list of
-/// servers says so within about this time.
-constexpr std::chrono::milliseconds OtherServerTime{5000};
+/// If another server answers at the address of a target, the target no longer
+/// exists. The server list shows that within about this time.
+constexpr std::chrono::milliseconds ServerReplacedBackoff{5000};
 } // namespace
 
 ServerSend::ServerSend(Context &Shared, SendOwner &Owner, std::string TargetId,
@@ -25,7 +25,7 @@
     : m_Shared(Shared), m_Owner(&Owner), m_TargetId(std::move(TargetId)),
       m_Purpose(Purpose), m_AttemptId(std::move(AttemptId)) {}
 
-bool ServerSend::start(std::string Bytes, dispatch::Work What) {
+bool ServerSend::start(std::string Bytes, dispatch::Work Work) {
   const auto Pool = m_Shared.Pools.find(m_TargetId);
   if (Pool == m_Shared.Pools.end())
     return false;
@@ -33,18 +33,18 @@
   m_Connection = Pool->second->take(m_Started);
   if (!m_Connection)
     return false;
-  What.Sent = m_Started;
-  m_Ticket = m_Shared.Loads.started(m_TargetId, What);
-  if (const dispatch::Target *Which = m_Shared.Targets.find(m_TargetId))
-    m_Target = *Which;
+  Work.Sent = m_Started;
+  m_Ticket = m_Shared.Loads.started(m_TargetId, Work);
+  if (const dispatch::Target *Target = m_Shared.Targets.find(m_TargetId))
+    m_Target = *Target;
   m_Shared.Limits.sent(m_TargetId, m_Started);
   m_Connection->exchange(std::move(Bytes), true, shared_from_this());
   return true;
 }
 
-bool ServerSend::targetStartedAgain() const {
-  const dispatch::Target *Which = m_Shared.Targets.find(m_TargetId);
-  return Which && (!m_Target || Which->Started != m_Target->Started);
+bool ServerSend::targetRestarted() const {
+  const dispatch::Target *Target = m_Shared.Targets.find(m_TargetId);
+  return Target && (!m_Target || Target->Started != m_Target->Started);
 }
 
 void ServerSend::cancel() {
@@ -59,14 +59,14 @@
     m_Connection->resumeReading();
 }
 
-void ServerSend::noteSpeed() {
+void ServerSend::recordLatency() {
   m_Shared.Loads.answered(m_TargetId, m_Ticket, BootClock::now());
 }
 
-bool ServerSend::isOwnAnswer() const {
-  // Without an echo only a server that turned the request away is believed.
+bool ServerSend::isMatchingResponse() const {
+  // Without an echoed id only a rejection is accepted.
   if (m_Fields.AttemptId.empty())
-    return !isSuccess(m_Head.Status) || m_Purpose == SendPurpose::ReadPrompt;
+    return !isSuccess(m_Head.Status) || m_Purpose == SendPurpose::Prefill;
   return m_Fields.AttemptId == m_AttemptId;
 }
 
@@ -75,18 +75,19 @@
     return;
   m_Head = Head;
   m_Fields = slopes::decodeServerFields(Head);
-  const bool Run = m_Purpose == SendPurpose::Run;
-  if (!isOwnAnswer() || (Run && isSuccess(Head.Status) && !m_Fields.Signed)) {
+  const bool IsExecution = m_Purpose == SendPurpose::Execute;
+  if (!isMatchingResponse() ||
+      (IsExecution && isSuccess(Head.Status) && !m_Fields.Signed)) {
     if (const auto Connection = std::exchange(m_Connection, nullptr))
       Connection->abort();
     return end(dispatch::BrokeOff{});
   }
-  noteLimit();
-  if (Run && isSuccess(Head.Status))
+  recordLimit();
+  if (IsExecution && isSuccess(Head.Status))
     m_Owner->sendAnswered(*this);
 }
 
-void ServerSend::noteLimit() {
+void ServerSend::recordLimit() {
   if (!m_Target || m_Fields.OtherServer)
     return;
   const BootTime Now = BootClock::now();
@@ -97,7 +98,7 @@
     return;
   }
   if (m_Shared.Limits.told(m_Target->start(), m_Fields.Limit, m_Started, Now) &&
-      m_Shared.Log.allows(LineKind::Belief, Now))
+      m_Shared.Log.allows(LineKind::State, Now))
     log::logEvent(log::Level::Info, "server-limit",
                   {{"target", m_TargetId},
                    {"named", m_Fields.Limit.has_value()},
@@ -110,61 +111,61 @@
   if (m_Streamed)
     return m_Owner->sendBody(*this, std::move(Bytes));
   m_Body += Bytes;
-  if (m_Body.size() <= MaximumWholeBody)
+  if (m_Body.size() <= MaximumBufferedBody)
     return;
   if (const auto Connection = std::exchange(m_Connection, nullptr))
     Connection->abort();
   end(dispatch::BrokeOff{});
 }
 
-void ServerSend::onEnd(ExchangeEnd How) {
+void ServerSend::onEnd(ExchangeEnd End) {
   m_Connection = nullptr;
   if (!m_Owner)
     return;
-  if (How == ExchangeEnd::NotSent)
+  if (End == ExchangeEnd::NotSent)
     return end(dispatch::NotSent{});
-  if (How != ExchangeEnd::Complete)
+  if (End != ExchangeEnd::Complete)
     return end(dispatch::BrokeOff{});
   if (m_Fields.NotRun)
     return end(dispatch::Rejected{});
   if (!isSuccess(m_Head.Status))
     return end(dispatch::ServerFailed{m_Head.Status});
   if (!m_Streamed)
-    noteSpeed();
+    recordLatency();
   m_Shared.Loads.ended(m_TargetId, m_Ticket);
   std::exchange(m_Owner, nullptr)->sendCompleted(*this);
 }
 
-void ServerSend::noteRejection(BootTime Now) {
+void ServerSend::recordRejection(BootTime Now) {
   if (m_Fields.OtherServer)
-    m_Shared.Loads.avoid(m_TargetId, Now + OtherServerTime);
+    m_Shared.Loads.avoid(m_TargetId, Now + ServerReplacedBackoff);
   else
     m_Shared.Loads.turnedAway(m_TargetId, Now);
 }
 
-void ServerSend::judge(const SendEnd &How) {
-  // The target may have started again since: the end of its earlier start is
-  // no verdict on this one.
+void ServerSend::recordOutcome(const SendEnd &End) {
+  // The target may have restarted: a failure of its earlier start says nothing
+  // about the current one.
   if (!m_Shared.Loads.knows(m_TargetId, m_Ticket))
     return;
   const BootTime Now = BootClock::now();
-  const bool Blameless =
-      std::holds_alternative<dispatch::Rejected>(How) ||
-      (std::holds_alternative<dispatch::ServerFailed>(How) && m_Fields.Signed);
-  if (std::holds_alternative<dispatch::Rejected>(How))
-    noteRejection(Now);
-  if (Blameless && !std::holds_alternative<dispatch::Rejected>(How))
+  const bool IsValidResponse =
+      std::holds_alternative<dispatch::Rejected>(End) ||
+      (std::holds_alternative<dispatch::ServerFailed>(End) && m_Fields.Signed);
+  if (std::holds_alternative<dispatch::Rejected>(End))
+    recordRejection(Now);
+  if (IsValidResponse && !std::holds_alternative<dispatch::Rejected>(End))
     m_Shared.Loads.errored(m_TargetId, Now);
-  if (Blameless)
+  if (IsValidResponse)
     m_Shared.Loads.ended(m_TargetId, m_Ticket);
   else
     m_Shared.Loads.failed(m_TargetId, m_Ticket, Now);
 }
 
-void ServerSend::end(SendEnd How) {
-  judge(How);
+void ServerSend::end(SendEnd End) {
+  recordOutcome(End);
   if (auto *const Owner = std::exchange(m_Owner, nullptr))
-    Owner->sendEnded(*this, How);
+    Owner->sendEnded(*this, End);
 }
 
 } // namespace figlift::gateway
