--- a/Services/figlift-gateway/ServerSend.h
+++ b/Services/figlift-gateway/ServerSend.h
@@ -1,9 +1,9 @@
-//===- ServerSend.h - One send of a request to a server ---------*- C++ -*-===//
+//===- ServerSend.h - One attempt to send a request to a server -*- C++ -*-===//
 //
-// Sends one request, or the part of it that reads its prompt, to one server,
-// and checks that what comes back is that server's answer to it: the echoed id
-// and, for a success, the signature. An answer to an earlier request on the
-// same connection is known by its id and ends the connection.
+// Sends a request, or its prefill, to one server and verifies that the response
+// belongs to it: by the echoed id and, for a success, by the signature. A
+// response to an earlier request on the same connection has another id and
+// closes the connection.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,10 +20,11 @@
 namespace figlift::gateway {
 
 enum class SendPurpose {
-  /// The prompt is computed and its KV cache kept; nothing runs.
-  ReadPrompt,
-  /// The request runs.
-  Run,
+  /// The server computes the prompt and keeps its KV cache; the request is not
+  /// executed.
+  Prefill,
+  /// The server executes the request.
+  Execute,
 };
 
 class ServerSend;
@@ -31,13 +32,14 @@
 class SendOwner {
 public:
   virtual ~SendOwner() = default;
-  /// The head of the server's own, successful answer to a run came.
-  virtual void sendAnswered(ServerSend &Which) = 0;
-  /// Body bytes after sendAnswered.
-  virtual void sendBody(ServerSend &Which, std::string Bytes) = 0;
-  /// A whole success; its body is in body() unless it went to sendBody.
-  virtual void sendCompleted(ServerSend &Which) = 0;
-  virtual void sendEnded(ServerSend &Which, dispatch::SendEnd How) = 0;
+  /// Called for the head of a verified successful response to an execution.
+  virtual void sendAnswered(ServerSend &Send) = 0;
+  /// Called with body bytes after sendAnswered.
+  virtual void sendBody(ServerSend &Send, std::string Bytes) = 0;
+  /// Called after a complete success. The body is in body() unless it was
+  /// passed to sendBody.
+  virtual void sendCompleted(ServerSend &Send) = 0;
+  virtual void sendEnded(ServerSend &Send, dispatch::SendEnd End) = 0;
   virtual bool wantsMore() const = 0;
 };
 
@@ -47,16 +49,16 @@
   ServerSend(Context &Shared, SendOwner &Owner, std::string TargetId,
              SendPurpose Purpose, std::string AttemptId);
 
-  /// Takes a connection and sends; false when this process has none left for
-  /// the server, and then nothing was sent.
-  bool start(std::string Bytes, dispatch::Work What);
-  /// Closes the connection, which also ends the server's work.
+  /// Takes a connection and sends the request. Returns false without sending
+  /// if the pool of the server is exhausted.
+  bool start(std::string Bytes, dispatch::Work Work);
+  /// Closes the connection, which also cancels the work at the server.
   void cancel();
   void resumeReading();
-  /// Passes body bytes to the owner as they come.
+  /// Passes body bytes to the owner as they arrive.
   void streamBody() { m_Streamed = true; }
-  /// The first part of the answer came: judges the server's speed.
-  void noteSpeed();
+  /// Records the latency of the first part of the response.
+  void recordLatency();
 
   const std::string &targetId() const { return m_TargetId; }
   SendPurpose purpose() const { return m_Purpose; }
@@ -64,30 +66,30 @@
   const slopes::ServerFields &fields() const { return m_Fields; }
   std::string &body() { return m_Body; }
   BootTime started() const { return m_Started; }
-  /// Null if the target was not listed any more.
+  /// Empty if the target was no longer listed.
   const std::optional<dispatch::Target> &target() const { return m_Target; }
-  /// Whether the target has started again since it was sent to: what it had
-  /// computed is gone.
-  bool targetStartedAgain() const;
+  /// Whether the target has restarted since the request was sent, which loses
+  /// its computed state.
+  bool targetRestarted() const;
 
   void onHead(const proxy::ResponseHead &Head) override;
   void onBody(std::string Bytes) override;
-  void onEnd(upstream::ExchangeEnd How) override;
+  void onEnd(upstream::ExchangeEnd End) override;
   bool wantsMore() const override { return !m_Owner || m_Owner->wantsMore(); }
 
 private:
-  bool isOwnAnswer() const;
-  void noteRejection(BootTime Now);
-  void noteLimit();
-  void judge(const dispatch::SendEnd &How);
-  void end(dispatch::SendEnd How);
+  bool isMatchingResponse() const;
+  void recordRejection(BootTime Now);
+  void recordLimit();
+  void recordOutcome(const dispatch::SendEnd &End);
+  void end(dispatch::SendEnd End);
 
-  /// Longest body that is gathered whole; longer ones are no answer that the
-  /// services here give, and would take the memory of all requests.
-  static constexpr size_t MaximumWholeBody = 8 << 20;
+  /// Limit for buffered bodies. The services do not send longer ones, which
+  /// would use up the memory for all requests.
+  static constexpr size_t MaximumBufferedBody = 8 << 20;
 
   Context &m_Shared;
-  /// Null once the send has ended.
+  /// Null after the attempt has ended.
   SendOwner *m_Owner;
   std::string m_TargetId;
   SendPurpose m_Purpose;
@@ -95,7 +97,7 @@
   std::shared_ptr<upstream::ServerConnection> m_Connection;
   uint64_t m_Ticket = 0;
   BootTime m_Started{};
-  /// As it was listed when this was sent.
+  /// The target as listed when the request was sent.
   std::optional<dispatch::Target> m_Target;
   proxy::ResponseHead m_Head;
   slopes::ServerFields m_Fields;
--- a/Services/figlift-gateway/SettingsFile.cpp
+++ b/Services/figlift-gateway/SettingsFile.cpp
@@ -1,7 +1,7 @@
-//===- SettingsFile.cpp - Notices that the settings have changed ----------===//
+//===- SettingsFile.cpp - Detects changes of the settings file ------------===//
 //
-// Compares texts: a file of a kilobyte is read in microseconds, and times of
-// change can be equal for two changes in one second.
+// Compares contents: reading a file of a kilobyte takes microseconds, and two
+// changes within one second may have the same modification time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,20 +20,20 @@
 
 std::string SettingsFile::read() {
   std::ifstream File(m_Path, std::ios::binary);
-  m_Last = {std::istreambuf_iterator<char>(File), {}};
-  return m_Last;
+  m_LastText = {std::istreambuf_iterator<char>(File), {}};
+  return m_LastText;
 }
 
 std::optional<std::string> SettingsFile::readIfChanged() {
   if (m_Path.empty())
     return std::nullopt;
-  const std::string Before = m_Last;
-  const std::string Now = read();
-  if (Now.empty())
-    m_Last = Before;
-  if (Now.empty() || Now == Before)
+  const std::string Previous = m_LastText;
+  const std::string Current = read();
+  if (Current.empty())
+    m_LastText = Previous;
+  if (Current.empty() || Current == Previous)
     return std::nullopt;
-  return Now;
+  return Current;
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/SettingsFile.h
+++ b/Services/figlift-gateway/SettingsFile.h
@@ -1,6 +1,7 @@
-//===- SettingsFile.h - Notices that the settings have changed --*- C++ -*-===//
+//===- SettingsFile.h - Detects changes of the settings file ----*- C++ -*-===//
 //
-// The platform may replace a process's settings file with or without a signal.
+// The platform may replace the settings file of a process with or without
+// sending a signal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,17 +14,17 @@
 
 class SettingsFile {
 public:
-  /// An empty \p Path stands for settings that are in no file.
+  /// An empty \p Path means that the settings do not come from a file.
   explicit SettingsFile(std::string Path);
 
   std::string read();
-  /// The text, if it is another than was read last. A file that cannot be read
-  /// is one that is just being replaced: it counts as unchanged.
+  /// Returns the text if it differs from the one read last. A file that cannot
+  /// be read is being replaced at this moment and counts as unchanged.
   std::optional<std::string> readIfChanged();
 
 private:
   std::string m_Path;
-  std::string m_Last;
+  std::string m_LastText;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -1,6 +1,6 @@
-//===- StageDirector.cpp - Gives engines their stages ---------------------===//
+//===- StageDirector.cpp - Assigns stages to engines ----------------------===//
 //
-// Demand of the fleet, the plan, the lease, the order, in this order.
+// In this order: demand of the fleet, plan, lease, order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,26 +20,26 @@
 namespace {
 
 /// A holder stops giving orders this much longer than the platform's bound
-/// before a successor may begin, for orders that are on their way.
-constexpr milliseconds OrderTravel{500};
-/// An engine takes about this much longer than announced to be listed in its
-/// new stage.
+/// before a successor may begin, to cover orders in transit.
+constexpr milliseconds OrderTransit{500};
+/// An engine is listed in its new stage about this much later than announced.
 constexpr milliseconds ListingDelay{700};
 
-/// An engine that is not listed in its new stage this long after it should be
-/// back has not changed.
+/// If an engine is not listed in its new stage this long after the expected
+/// time, the change has failed.
 constexpr milliseconds ListingSlack{2000};
 
-lease::LeaseOptions leaseOptions(const Context &Shared, uint64_t Draw) {
+lease::LeaseOptions leaseOptions(const Context &Shared, uint64_t RandomSuffix) {
   const auto Bound =
       std::chrono::duration_cast<milliseconds>(Shared.Settings.Orders.Lease);
   lease::LeaseOptions Options;
-  // A process that was restarted must not take its predecessor's row for its
-  // own: an order of the predecessor may be on its way.
-  Options.Self = fmt::format("{}#{:x}", Shared.Settings.Process.Id, Draw);
-  // A successor takes the lease when the row has stood still for Duration; the
-  // holder gives its last order Margin before that.
-  Options.Margin = Bound + OrderTravel;
+  // A restarted process must not mistake its predecessor's row for its own: an
+  // order of the predecessor may be in transit.
+  Options.Self =
+      fmt::format("{}#{:x}", Shared.Settings.Process.Id, RandomSuffix);
+  // A successor acquires the lease when the row has not changed for Duration;
+  // the holder gives its last order Margin before that.
+  Options.Margin = Bound + OrderTransit;
   Options.Duration = Options.Margin * 2;
   return Options;
 }
@@ -49,11 +49,13 @@
 StageDirector::StageDirector(Context &Shared, platform::Table &Leases)
     : m_Shared(Shared), m_Leases(Leases) {}
 
-StageDirector::Shard &StageDirector::shardOf(const std::string &Service) {
-  Shard &Of = m_Shards.try_emplace(Service, m_Shared.Settings.Fleet.Starts)
-                  .first->second;
-  if (!Of.Lease) {
-    lease::LeaseKeeper::Observer Told{
+StageDirector::ServiceState &
+StageDirector::stateOf(const std::string &Service) {
+  ServiceState &State =
+      m_Services.try_emplace(Service, m_Shared.Settings.Fleet.Starts)
+          .first->second;
+  if (!State.Lease) {
+    lease::LeaseKeeper::Observer Observer{
         [Service](uint64_t Epoch) {
           log::logEvent(log::Level::Info, "lease-taken",
                         {{"service", Service}, {"epoch", Epoch}});
@@ -62,66 +64,67 @@
           log::logEvent(log::Level::Info, "lease-lost",
                         {{"service", Service}, {"epoch", Epoch}});
         }};
-    // The store's callbacks run on the loop already.
-    Of.Lease = std::make_shared<lease::LeaseKeeper>(
+    // The store calls back on the event loop already.
+    State.Lease = std::make_shared<lease::LeaseKeeper>(
         m_Leases, [](const std::function<void()> &Run) { Run(); },
         "stages/" + Service, leaseOptions(m_Shared, m_Shared.Random()),
-        std::move(Told));
+        std::move(Observer));
   }
-  return Of;
+  return State;
 }
 
 void StageDirector::tick(BootTime Now) {
   if (!m_Shared.Configuration || m_Shared.Stop.begun())
     return;
-  std::erase_if(m_Shared.Away,
-                [&](const auto &Each) { return Each.second <= Now; });
+  std::erase_if(m_Shared.Switching,
+                [&](const auto &Entry) { return Entry.second <= Now; });
   const auto Configuration = m_Shared.Configuration;
-  for (const dispatch::Service &Each : Configuration->Services)
-    if (Each.Engine)
-      tickService(Each, Now);
+  for (const dispatch::Service &Service : Configuration->Services)
+    if (Service.Engine)
+      updateService(Service, Now);
 }
 
-void StageDirector::storeCameBack(uint64_t Era) {
-  for (auto &[Service, Of] : m_Shards)
-    if (Of.Lease)
-      Of.Lease->storeCameBack(Era);
+void StageDirector::storeRestored(uint64_t Era) {
+  for (auto &[Service, State] : m_Services)
+    if (State.Lease)
+      State.Lease->storeCameBack(Era);
 }
 
-dispatch::EngineDemand StageDirector::demandOn(const std::string &Service,
-                                               BootTime Now) const {
+dispatch::EngineDemand StageDirector::fleetDemand(const std::string &Service,
+                                                  BootTime Now) const {
   dispatch::EngineDemand Sum;
-  if (const auto Own = m_Shared.Demands.find(Service);
-      Own != m_Shared.Demands.end())
-    Sum += Own->second.demand(Now);
+  if (const auto Meter = m_Shared.Demands.find(Service);
+      Meter != m_Shared.Demands.end())
+    Sum += Meter->second.demand(Now);
   for (const auto &[Peer, Demands] : m_Shared.PeerDemands)
-    for (const dispatch::ServiceDemand &Each : Demands)
-      if (Each.Service == Service)
-        Sum += Each.Demand;
+    for (const dispatch::ServiceDemand &Entry : Demands)
+      if (Entry.Service == Service)
+        Sum += Entry.Demand;
   return Sum;
 }
 
-void StageDirector::tickService(const dispatch::Service &Which, BootTime Now) {
-  Shard &Of = shardOf(Which.Name);
-  const auto Engines = m_Shared.openTargets(Which.Name);
-  Of.Demand.observe(demandOn(Which.Name, Now), Now);
-  const dispatch::EngineDemand Demand = Of.Demand.demand();
-  const auto Change = Of.Planner.plan(Engines, Demand, Of.Demand.doubt(Now),
-                                      m_Shared.Loads, Now);
-  // Without the store's list the view may be old.
-  if (!Change || !Of.Demand.settled(Now) || m_Shared.Targets.storeIsLost()) {
-    Of.WantedSince.reset();
+void StageDirector::updateService(const dispatch::Service &Service,
+                                  BootTime Now) {
+  ServiceState &State = stateOf(Service.Name);
+  const auto Engines = m_Shared.openTargets(Service.Name);
+  State.Demand.observe(fleetDemand(Service.Name, Now), Now);
+  const dispatch::EngineDemand Demand = State.Demand.demand();
+  const auto Change = State.Planner.plan(
+      Engines, Demand, State.Demand.doubt(Now), m_Shared.Loads, Now);
+  // Without a current server list the view may be outdated.
+  if (!Change || !State.Demand.settled(Now) || m_Shared.Targets.storeIsLost()) {
+    State.WantedSince.reset();
     return;
   }
-  if (!Of.WantedSince)
-    Of.WantedSince = Now;
-  // Gateways later in the order of names leave the first ones time to act: all
-  // of them want the same, and one is enough. Without this each would write
-  // to the lease's row.
-  if (Now - *Of.WantedSince < m_Shared.OrderTurnDelay)
+  if (!State.WantedSince)
+    State.WantedSince = Now;
+  // Gateways with larger ids give those with smaller ids time to act: all of
+  // them plan the same change, and one order is enough. Without this delay
+  // each of them would write to the row of the lease.
+  if (Now - *State.WantedSince < m_Shared.OrderTurnDelay)
     return;
-  Of.Lease->tick();
-  if (const auto Epoch = Of.Lease->epoch()) {
+  State.Lease->tick();
+  if (const auto Epoch = State.Lease->epoch()) {
     log::logEvent(
         log::Level::Info, "stage-planned",
         {{"target", Change->TargetId},
@@ -131,91 +134,97 @@
          {"runDemand", Demand.Run},
          {"engines", Engines.size()},
          {"epoch", *Epoch}});
-    begin(Which.Name, *Change, Now);
+    startChange(Service.Name, *Change, Now);
   }
 }
 
-void StageDirector::begin(const std::string &Service,
-                          const dispatch::StageChange &What, BootTime Now) {
+void StageDirector::startChange(const std::string &Service,
+                                const dispatch::StageChange &Change,
+                                BootTime Now) {
   const bool Called = callEngine(
-      m_Shared, What.TargetId, "GET", slopes::ReportTarget, "",
-      [this, Service, What](unsigned Status, const std::string &Body) {
-        reported(Service, What, Status, Body);
+      m_Shared, Change.TargetId, "GET", slopes::ReportTarget, "",
+      [this, Service, Change](unsigned Status, const std::string &Body) {
+        reportReceived(Service, Change, Status, Body);
       });
   if (Called)
-    shardOf(Service).Planner.ordered(What, Now);
+    stateOf(Service).Planner.ordered(Change, Now);
 }
 
-void StageDirector::reported(const std::string &Service,
-                             const dispatch::StageChange &What, unsigned Status,
-                             const std::string &Body) {
+void StageDirector::reportReceived(const std::string &Service,
+                                   const dispatch::StageChange &Change,
+                                   unsigned Status, const std::string &Body) {
   const BootTime Now = BootClock::now();
-  dispatch::StagePlanner &Planner = shardOf(Service).Planner;
+  dispatch::StagePlanner &Planner = stateOf(Service).Planner;
   const auto Report = slopes::decodeEngineReport(Body);
   if (Status != 200 || !Report) {
     log::logEvent(log::Level::Warning, "engine-report-missing",
-                  {{"target", What.TargetId}, {"status", Status}});
-    return Planner.refused(What.TargetId, Now);
+                  {{"target", Change.TargetId}, {"status", Status}});
+    return Planner.refused(Change.TargetId, Now);
   }
-  // It has started again: the number of its orders is not that of the engine
-  // for which the change was planned.
-  if (Report.value().Started != What.Start)
-    return Planner.refused(What.TargetId, Now);
-  if (Report.value().Does == What.Wanted)
-    return Planner.settled(What.TargetId);
+  // The engine has restarted, so its number of accepted orders belongs to
+  // another start than the planned one.
+  if (Report.value().Started != Change.Start)
+    return Planner.refused(Change.TargetId, Now);
+  if (Report.value().Does == Change.Wanted)
+    return Planner.settled(Change.TargetId);
   if (Report.value().Busy)
-    return Planner.refused(What.TargetId, Now);
-  order(Service, What, Report.value().AcceptedOrders);
+    return Planner.refused(Change.TargetId, Now);
+  sendOrder(Service, Change, Report.value().AcceptedOrders);
 }
 
-void StageDirector::order(const std::string &Service,
-                          const dispatch::StageChange &What,
-                          uint64_t AcceptedBefore) {
-  Shard &Of = shardOf(Service);
+void StageDirector::sendOrder(const std::string &Service,
+                              const dispatch::StageChange &Change,
+                              uint64_t AcceptedBefore) {
+  ServiceState &State = stateOf(Service);
   const BootTime Now = BootClock::now();
-  const dispatch::Service *Which = m_Shared.Configuration->service(Service);
-  // Asked right before the order leaves: the process may have stood still
-  // since it was planned, and another holds the lease by now.
-  const auto Epoch = Of.Lease->epoch();
-  if (!Epoch || !Which || !Which->Engine)
-    return Of.Planner.settled(What.TargetId);
+  const dispatch::Service *ConfiguredService =
+      m_Shared.Configuration->service(Service);
+  // Checked right before the order is sent: the process may have stalled since
+  // the plan, and another gateway may hold the lease now.
+  const auto Epoch = State.Lease->epoch();
+  if (!Epoch || !ConfiguredService || !ConfiguredService->Engine)
+    return State.Planner.settled(Change.TargetId);
   const std::string Body = slopes::encodeStageOrder(
-      {What.Wanted, m_Shared.Settings.Process.Id, *Epoch, AcceptedBefore});
+      {Change.Wanted, m_Shared.Settings.Process.Id, *Epoch, AcceptedBefore});
   const bool Called =
-      callEngine(m_Shared, What.TargetId, "POST", slopes::OrderTarget, Body,
-                 [this, Service, What](unsigned Status, const std::string &) {
-                   replied(Service, What, Status);
+      callEngine(m_Shared, Change.TargetId, "POST", slopes::OrderTarget, Body,
+                 [this, Service, Change](unsigned Status, const std::string &) {
+                   replyReceived(Service, Change, Status);
                  });
   if (!Called)
-    return Of.Planner.settled(What.TargetId);
-  // From the first moment on the engine takes no work that has not begun.
-  const BootTime BackAt = Now + Which->Engine->StageSwitch + ListingDelay;
-  m_Shared.Away[What.TargetId] = BackAt;
-  m_Shared.Loads.avoid(What.TargetId, BackAt);
+    return State.Planner.settled(Change.TargetId);
+  // As soon as it has the order, the engine rejects work that has not started.
+  const BootTime BackAt =
+      Now + ConfiguredService->Engine->StageSwitch + ListingDelay;
+  m_Shared.Switching[Change.TargetId] = BackAt;
+  m_Shared.Loads.avoid(Change.TargetId, BackAt);
 }
 
-void StageDirector::replied(const std::string &Service,
-                            const dispatch::StageChange &What,
-                            unsigned Status) {
+void StageDirector::replyReceived(const std::string &Service,
+                                  const dispatch::StageChange &Change,
+                                  unsigned Status) {
   const BootTime Now = BootClock::now();
-  dispatch::StagePlanner &Planner = shardOf(Service).Planner;
+  dispatch::StagePlanner &Planner = stateOf(Service).Planner;
   log::logEvent(log::Level::Info, "order-answered",
-                {{"target", What.TargetId}, {"status", Status}});
-  // Without an answer it may be carried out later: it stays pending.
+                {{"target", Change.TargetId}, {"status", Status}});
+  // Without a response the order may be carried out later, so it stays
+  // pending.
   if (Status == 0)
     return;
   const auto Reply = slopes::decodeOrderReply(Status);
   if (Reply == slopes::OrderReply::Accepted) {
-    const auto Away = m_Shared.Away.find(What.TargetId);
-    const BootTime BackAt = Away == m_Shared.Away.end() ? Now : Away->second;
-    // The list may be late: the order counts as carried out some time longer.
-    return Planner.accepted(What.TargetId, BackAt + ListingSlack);
+    const auto Switching = m_Shared.Switching.find(Change.TargetId);
+    const BootTime BackAt =
+        Switching == m_Shared.Switching.end() ? Now : Switching->second;
+    // The server list may lag, so the order counts as carried out for some
+    // time longer.
+    return Planner.accepted(Change.TargetId, BackAt + ListingSlack);
   }
-  m_Shared.Away.erase(What.TargetId);
+  m_Shared.Switching.erase(Change.TargetId);
   if (Reply == slopes::OrderReply::HoldsAlready)
-    Planner.settled(What.TargetId);
+    Planner.settled(Change.TargetId);
   else
-    Planner.refused(What.TargetId, Now);
+    Planner.refused(Change.TargetId, Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StageDirector.h
+++ b/Services/figlift-gateway/StageDirector.h
@@ -1,9 +1,10 @@
-//===- StageDirector.h - Gives engines their stages -------------*- C++ -*-===//
+//===- StageDirector.h - Assigns stages to engines --------------*- C++ -*-===//
 //
-// Carries out what the StagePlanner wants, under a lease in the store: while
-// one gateway holds it, no other gives orders, and a successor waits until
-// none of the holder's orders can still be on its way. The lease is taken only
-// when there is something to order, so an idle fleet costs the store nothing.
+// Carries out the changes that StagePlanner wants, under a lease in the store:
+// while one gateway holds the lease, no other gives orders, and a successor
+// waits until none of the holder's orders can still be in transit. The lease is
+// acquired only when there is an order to give, so an idle fleet causes no load
+// at the store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,38 +25,39 @@
 public:
   StageDirector(Context &Shared, platform::Table &Leases);
 
-  /// Called regularly, several times a second.
+  /// Called periodically, several times a second.
   void tick(BootTime Now);
-  /// The store came back from a copy, in \p Era.
-  void storeCameBack(uint64_t Era);
+  /// The store was restored from a copy and is in \p Era now.
+  void storeRestored(uint64_t Era);
 
 private:
-  /// One service of engines.
-  struct Shard {
-    explicit Shard(bool FleetStarts) : Planner(FleetStarts) {}
+  /// State of one engine service.
+  struct ServiceState {
+    explicit ServiceState(bool FleetStarts) : Planner(FleetStarts) {}
     dispatch::StagePlanner Planner;
     dispatch::BusyDemand Demand;
     std::shared_ptr<lease::LeaseKeeper> Lease;
-    /// Since when a change has been wanted; unset while there is none.
+    /// Since when a change has been planned; empty while there is none.
     std::optional<BootTime> WantedSince;
   };
 
-  Shard &shardOf(const std::string &Service);
-  void tickService(const dispatch::Service &Which, BootTime Now);
-  dispatch::EngineDemand demandOn(const std::string &Service,
-                                  BootTime Now) const;
-  void begin(const std::string &Service, const dispatch::StageChange &What,
-             BootTime Now);
-  void reported(const std::string &Service, const dispatch::StageChange &What,
-                unsigned Status, const std::string &Body);
-  void order(const std::string &Service, const dispatch::StageChange &What,
-             uint64_t AcceptedBefore);
-  void replied(const std::string &Service, const dispatch::StageChange &What,
-               unsigned Status);
+  ServiceState &stateOf(const std::string &Service);
+  void updateService(const dispatch::Service &Service, BootTime Now);
+  dispatch::EngineDemand fleetDemand(const std::string &Service,
+                                     BootTime Now) const;
+  void startChange(const std::string &Service,
+                   const dispatch::StageChange &Change, BootTime Now);
+  void reportReceived(const std::string &Service,
+                      const dispatch::StageChange &Change, unsigned Status,
+                      const std::string &Body);
+  void sendOrder(const std::string &Service,
+                 const dispatch::StageChange &Change, uint64_t AcceptedBefore);
+  void replyReceived(const std::string &Service,
+                     const dispatch::StageChange &Change, unsigned Status);
 
   Context &m_Shared;
   platform::Table &m_Leases;
-  std::map<std::string, Shard> m_Shards;
+  std::map<std::string, ServiceState> m_Services;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StoreFollower.cpp
+++ b/Services/figlift-gateway/StoreFollower.cpp
@@ -1,6 +1,6 @@
-//===- StoreFollower.cpp - Keeps up with one table of the store -----------===//
+//===- StoreFollower.cpp - Follows one table of the store -----------------===//
 //
-// A loop of whole reads and watches; one call at a time.
+// A loop of full reads and watches; one call at a time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,107 +12,111 @@
 
 StoreFollower::StoreFollower(boost::asio::io_context &Loop,
                              slopes::StoreClient &Store, std::string Table,
-                             Listener Told, FollowerOptions Options,
+                             Listener Listener, FollowerOptions Options,
                              std::function<double()> Draw)
     : m_Timer(Loop), m_Store(Store), m_Table(std::move(Table)),
-      m_Told(std::move(Told)), m_Options(Options), m_Draw(std::move(Draw)) {}
+      m_Listener(std::move(Listener)), m_Options(Options),
+      m_Draw(std::move(Draw)) {}
 
 void StoreFollower::next() {
   const BootTime Now = BootClock::now();
-  if (const BootTime Due = m_Told.Due(m_WasQuiet); Due > Now && !m_Hurries)
+  if (const BootTime Due = m_Listener.Due(m_WasUnchanged);
+      Due > Now && !m_ReadImmediately)
     return wait(Due - Now);
-  m_Hurries = false;
-  if (Now >= m_NextWhole || m_Version.Era != m_Store.era())
-    readWhole();
+  m_ReadImmediately = false;
+  if (Now >= m_NextFullRead || m_Version.Era != m_Store.era())
+    readTable();
   else
     watch();
 }
 
 void StoreFollower::wait(BootClock::duration For) {
-  m_Waits = true;
+  m_Waiting = true;
   m_Timer.expires_after(For);
   m_Timer.async_wait([this](const boost::system::error_code &Stopped) {
     if (Stopped)
       return;
-    m_Waits = false;
+    m_Waiting = false;
     next();
   });
 }
 
 void StoreFollower::readNow() {
-  // What is being read now, or after a pause, brings it as well.
-  if (!m_Waits)
+  // A read in progress, or one that follows a retry delay, returns the change
+  // as well.
+  if (!m_Waiting)
     return;
-  m_Hurries = true;
+  m_ReadImmediately = true;
   wait(BootClock::duration::zero());
 }
 
-void StoreFollower::readWholeNow() {
-  if (m_Waits)
-    m_NextWhole = {};
+void StoreFollower::readAllNow() {
+  if (m_Waiting)
+    m_NextFullRead = {};
   readNow();
 }
 
-void StoreFollower::distrust() {
-  m_NextWhole = {};
-  m_Hurries = true;
+void StoreFollower::resync() {
+  m_NextFullRead = {};
+  m_ReadImmediately = true;
   readNow();
 }
 
-void StoreFollower::readWhole() {
-  const BootTime AskedAt = BootClock::now();
-  const auto Answered = [this, AskedAt](Result<slopes::RowsRead> Read) {
+void StoreFollower::readTable() {
+  const BootTime SentAt = BootClock::now();
+  const auto OnResponse = [this, SentAt](Result<slopes::RowsRead> Read) {
     if (!Read)
-      return failed(Read.error());
-    answered();
+      return handleFailure(Read.error());
+    recordSuccess();
     m_Version = std::max(m_Version, Read.value().Version);
-    const double Spread = 0.75 + 0.5 * m_Draw();
-    m_NextWhole =
+    const double Jitter = 0.75 + 0.5 * m_Draw();
+    m_NextFullRead =
         BootClock::now() + std::chrono::duration_cast<BootClock::duration>(
-                               m_Options.WholeReadInterval * Spread);
-    m_WasQuiet = true;
-    m_Told.Whole(Read.value(), AskedAt);
+                               m_Options.FullReadInterval * Jitter);
+    m_WasUnchanged = true;
+    m_Listener.FullRead(Read.value(), SentAt);
     next();
   };
-  m_Store.readAll(m_Table, "", Answered, m_Failures);
+  m_Store.readAll(m_Table, "", OnResponse, m_Failures);
 }
 
 void StoreFollower::watch() {
-  const BootTime AskedAt = BootClock::now();
+  const BootTime SentAt = BootClock::now();
   m_Store.watch(
       m_Table, m_Version, m_Options.WatchTime,
-      [this, AskedAt](Result<slopes::RowsRead> Read) {
+      [this, SentAt](Result<slopes::RowsRead> Read) {
         if (!Read && Read.error().Code == ResultCode::StoreConflict) {
           log::logEvent(log::Level::Info, "store-history-lost",
                         {{"table", m_Table}});
-          return readWhole();
+          return readTable();
         }
         if (!Read)
-          return failed(Read.error());
-        answered();
+          return handleFailure(Read.error());
+        recordSuccess();
         m_Version = std::max(m_Version, Read.value().Version);
-        // Without a change the store has waited before it answered.
-        m_WasQuiet = Read.value().Rows.empty() &&
-                     BootClock::now() - AskedAt >= m_Options.WatchTime;
-        m_Told.Changes(Read.value(),
-                       m_WasQuiet ? AskedAt + m_Options.WatchTime : AskedAt);
+        // When there is no change, the store waits before it responds.
+        m_WasUnchanged = Read.value().Rows.empty() &&
+                         BootClock::now() - SentAt >= m_Options.WatchTime;
+        m_Listener.Changes(Read.value(), m_WasUnchanged
+                                             ? SentAt + m_Options.WatchTime
+                                             : SentAt);
         next();
       },
       m_Failures);
 }
 
-void StoreFollower::answered() {
+void StoreFollower::recordSuccess() {
   m_Failures = 0;
   if (!std::exchange(m_Connected, true))
     log::logEvent(log::Level::Info, "store-reached", {{"table", m_Table}});
 }
 
-void StoreFollower::failed(const Error &Reason) {
+void StoreFollower::handleFailure(const Error &Reason) {
   if (std::exchange(m_Connected, false))
     log::logEvent(log::Level::Warning, "store-lost",
                   {{"table", m_Table}, {"message", Reason.Message}});
-  m_Told.Lost();
-  m_NextWhole = {};
+  m_Listener.ConnectionLost();
+  m_NextFullRead = {};
   constexpr unsigned MaximumDoublings = 10;
   const auto Delay = std::min(
       m_Options.RetryDelay * (1U << std::min(m_Failures++, MaximumDoublings)),
--- a/Services/figlift-gateway/StoreFollower.h
+++ b/Services/figlift-gateway/StoreFollower.h
@@ -1,9 +1,8 @@
-//===- StoreFollower.h - Keeps up with one table of the store ---*- C++ -*-===//
+//===- StoreFollower.h - Follows one table of the store ---------*- C++ -*-===//
 //
-// Reads a table whole, then what has changed in it, whenever that is due. A
-// watch can fall silent without an error, and history can be dropped, so every
-// watch is short, and a whole read follows each failure and comes now and then
-// besides.
+// Reads a table completely, then its changes whenever they are due. A watch can
+// stall without an error, and history can be dropped. Each watch is therefore
+// short, and a full read follows each failure and also happens periodically.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,48 +22,48 @@
 namespace figlift::gateway {
 
 struct FollowerOptions {
-  /// How long a call waits for a change. One that takes longer than this and
-  /// the usual answer has fallen silent.
+  /// How long a call waits for a change. A call that takes longer than this
+  /// and the usual response time has stalled.
   std::chrono::milliseconds WatchTime{500};
-  /// A watch may miss a change without a sign; a whole read corrects it.
-  std::chrono::milliseconds WholeReadInterval{12000};
-  /// After a failure, with up to as much again by chance: all processes lose
-  /// the store together and must not return together.
+  /// A watch may miss a change without an error; a full read corrects it.
+  std::chrono::milliseconds FullReadInterval{12000};
+  /// Delay after a failure, plus a random part of up to the same length: all
+  /// processes lose the store at once and must not reconnect at once.
   std::chrono::milliseconds RetryDelay{150};
-  /// The delay doubles with each failure in a row up to this: refused calls are
-  /// paid for, too. The platform counts a process as in touch again three
-  /// seconds after the store's return.
+  /// The delay doubles with each consecutive failure up to this limit, as
+  /// rejected calls are charged, too. The platform expects a process to be
+  /// connected again three seconds after the store is back.
   std::chrono::milliseconds MaximumRetryDelay{400};
 };
 
 class StoreFollower {
 public:
   struct Listener {
-    std::function<void(const slopes::RowsRead &, BootTime KnownAt)> Whole;
-    /// Also called when there were none.
+    std::function<void(const slopes::RowsRead &, BootTime KnownAt)> FullRead;
+    /// Also called when there were no changes.
     std::function<void(const slopes::RowsRead &, BootTime KnownAt)> Changes;
-    std::function<void()> Lost;
-    /// When the table has to be read again, after a watch that saw no change,
-    /// or one that did; asked anew as time passes, since peers may tell what
-    /// the table holds.
-    std::function<BootTime(bool WasQuiet)> Due;
+    std::function<void()> ConnectionLost;
+    /// When the table has to be read again, depending on whether the last
+    /// watch saw no change. Evaluated again as time passes, since peers may
+    /// announce the contents of the table.
+    std::function<BootTime(bool WasUnchanged)> Due;
   };
 
   StoreFollower(boost::asio::io_context &Loop, slopes::StoreClient &Store,
-                std::string Table, Listener Told, FollowerOptions Options,
+                std::string Table, Listener Listener, FollowerOptions Options,
                 std::function<double()> Draw);
 
-  void start() { readWhole(); }
-  /// The process stood still, or the store may have changed unseen: the whole
-  /// table is read, at once.
-  void distrust();
-  /// It has changed, or may have: it is read although it is not due.
+  void start() { readTable(); }
+  /// The process stalled, or the store may have changed unnoticed: the table
+  /// is read completely and at once.
+  void resync();
+  /// The table may have changed: its changes are read before they are due.
   void readNow();
-  /// The same, and only what it has now is of interest.
-  void readWholeNow();
-  /// All up to \p Version is known from elsewhere.
+  /// Like readNow(), but reads the current contents instead of the changes.
+  void readAllNow();
+  /// All changes up to \p Version are known from another source.
   void advance(dispatch::StoreVersion Version) {
-    // A later era has to be read whole first.
+    // A later era requires a full read first.
     if (Version.Era == m_Version.Era)
       m_Version = std::max(m_Version, Version);
   }
@@ -73,28 +72,28 @@
 private:
   void next();
   void wait(BootClock::duration For);
-  void readWhole();
+  void readTable();
   void watch();
-  void failed(const Error &Reason);
-  void answered();
+  void handleFailure(const Error &Reason);
+  void recordSuccess();
 
   boost::asio::steady_timer m_Timer;
   slopes::StoreClient &m_Store;
   const std::string m_Table;
-  Listener m_Told;
+  Listener m_Listener;
   FollowerOptions m_Options;
   std::function<double()> m_Draw;
   dispatch::StoreVersion m_Version;
   bool m_Connected = false;
-  /// Failures since the last answer.
+  /// Consecutive failures.
   unsigned m_Failures = 0;
-  BootTime m_NextWhole{};
+  BootTime m_NextFullRead{};
   /// The next read does not wait until it is due.
-  bool m_Hurries = false;
-  /// The last watch saw no change, or none was made since the whole read.
-  bool m_WasQuiet = false;
+  bool m_ReadImmediately = false;
+  /// The last watch saw no change, or there was none since the full read.
+  bool m_WasUnchanged = false;
   /// Waiting until the next read is due, and not after a failure.
-  bool m_Waits = false;
+  bool m_Waiting = false;
 };
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/TextServer.cpp
+++ b/Services/figlift-gateway/TextServer.cpp
@@ -1,4 +1,4 @@
-//===- TextServer.cpp - Answers GET with a short text ---------------------===//
+//===- TextServer.cpp - HTTP server for short texts -----------------------===//
 //
 // See TextServer.h.
 //
@@ -12,41 +12,42 @@
 using asio::ip::tcp;
 
 Result<tcp::acceptor> openListener(asio::io_context &Loop,
-                                   const Endpoint &Where,
+                                   const Endpoint &Address,
                                    const std::string &Field) {
-  tcp::acceptor Opened(Loop);
+  tcp::acceptor Acceptor(Loop);
   boost::system::error_code Code;
-  const auto Address = asio::ip::make_address_v4(Where.Address, Code);
+  const auto Host = asio::ip::make_address_v4(Address.Address, Code);
   if (!Code)
-    Opened.open(tcp::v4(), Code);
+    Acceptor.open(tcp::v4(), Code);
   if (!Code)
-    Opened.set_option(tcp::acceptor::reuse_address(true), Code);
+    Acceptor.set_option(tcp::acceptor::reuse_address(true), Code);
   if (!Code)
-    Opened.bind({Address, Where.Port}, Code);
+    Acceptor.bind({Host, Address.Port}, Code);
   if (!Code)
-    Opened.listen(asio::socket_base::max_listen_connections, Code);
+    Acceptor.listen(asio::socket_base::max_listen_connections, Code);
   if (Code)
-    return failure(
-        ResultCode::SettingsInvalid,
-        "cannot listen at " + Where.toString() + ": " + Code.message(), Field);
-  return Opened;
+    return failure(ResultCode::SettingsInvalid,
+                   "cannot listen at " + Address.toString() + ": " +
+                       Code.message(),
+                   Field);
+  return Acceptor;
 }
 
-TextServer::TextServer(asio::io_context &Loop, Source Answers)
-    : m_Loop(Loop), m_Acceptor(Loop), m_Answers(std::move(Answers)) {}
+TextServer::TextServer(asio::io_context &Loop, Handler Handle)
+    : m_Loop(Loop), m_Acceptor(Loop), m_Handler(std::move(Handle)) {}
 
-Result<void> TextServer::start(const Endpoint &Where,
+Result<void> TextServer::start(const Endpoint &Address,
                                const std::string &Field) {
-  auto Opened = openListener(m_Loop, Where, Field);
-  if (!Opened)
-    return outcome::failure(Opened.error());
-  m_Acceptor = std::move(Opened.value());
+  auto Acceptor = openListener(m_Loop, Address, Field);
+  if (!Acceptor)
+    return outcome::failure(Acceptor.error());
+  m_Acceptor = std::move(Acceptor.value());
   accept();
   return success();
 }
 
 void TextServer::stop() {
-  boost::system::error_code Ignored; // It is given up either way.
+  boost::system::error_code Ignored; // The listener is closed in any case.
   m_Acceptor.close(Ignored);
 }
 
@@ -64,13 +65,13 @@
 }
 
 std::shared_ptr<proxy::RequestProcess>
-TextServer::handle(proxy::Request What,
+TextServer::handle(proxy::Request Request,
                    std::shared_ptr<proxy::CallerConnection> Caller) {
-  Answer Text = m_Answers(What.Head);
+  Answer Response = m_Handler(Request.Head);
   proxy::ResponseHead Head;
-  Head.Status = Text.Status;
+  Head.Status = Response.Status;
   Head.Headers.add("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
-  Caller->respond(Head, Text.Text);
+  Caller->respond(Head, Response.Text);
   return nullptr;
 }
 
--- a/Services/figlift-gateway/TextServer.h
+++ b/Services/figlift-gateway/TextServer.h
@@ -1,6 +1,7 @@
-//===- TextServer.h - Answers GET with a short text -------------*- C++ -*-===//
+//===- TextServer.h - HTTP server for short texts ---------------*- C++ -*-===//
 //
-// For readiness and metrics: one handler, whatever is asked.
+// Serves readiness and metrics: one handler for all requests, whatever their
+// path.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +19,9 @@
 
 namespace figlift::gateway {
 
-/// Opens a listening socket; fails with SettingsInvalid and \p Field.
+/// Opens a listening socket. Fails with SettingsInvalid and \p Field.
 Result<boost::asio::ip::tcp::acceptor>
-openListener(boost::asio::io_context &Loop, const Endpoint &Where,
+openListener(boost::asio::io_context &Loop, const Endpoint &Address,
              const std::string &Field);
 
 class TextServer : public proxy::RequestHandler {
@@ -29,15 +30,15 @@
     unsigned Status = 200;
     std::string Text;
   };
-  using Source = std::function<Answer(const proxy::RequestHead &)>;
+  using Handler = std::function<Answer(const proxy::RequestHead &)>;
 
-  TextServer(boost::asio::io_context &Loop, Source Answers);
+  TextServer(boost::asio::io_context &Loop, Handler Handle);
 
-  Result<void> start(const Endpoint &Where, const std::string &Field);
+  Result<void> start(const Endpoint &Address, const std::string &Field);
   void stop();
 
   std::shared_ptr<proxy::RequestProcess>
-  handle(proxy::Request What,
+  handle(proxy::Request Request,
          std::shared_ptr<proxy::CallerConnection> Caller) override;
   proxy::Rejection rejected(unsigned Status) override {
     return proxy::rejectionOf(Status);
@@ -49,7 +50,7 @@
 
   boost::asio::io_context &m_Loop;
   boost::asio::ip::tcp::acceptor m_Acceptor;
-  Source m_Answers;
+  Handler m_Handler;
 };
 
 } // namespace figlift::gateway
--- a/Tests/FigliftGateway/TestDecisionLog.cpp
+++ b/Tests/FigliftGateway/TestDecisionLog.cpp
@@ -31,11 +31,11 @@
   DecisionLog Log(2);
   int Written = 0;
   for (int At = 0; At < 1000; ++At)
-    Written += Log.allows(LineKind::Refused, Now) ? 1 : 0;
+    Written += Log.allows(LineKind::Rejected, Now) ? 1 : 0;
   LONGS_EQUAL(20, Written);
-  LONGS_EQUAL(980, Log.leftOut());
-  CHECK(Log.allows(LineKind::Belief, Now));
-  CHECK(Log.allows(LineKind::Refused, Now + std::chrono::seconds(1)));
+  LONGS_EQUAL(980, Log.suppressed());
+  CHECK(Log.allows(LineKind::State, Now));
+  CHECK(Log.allows(LineKind::Rejected, Now + std::chrono::seconds(1)));
 }
 
 // Symptom: requests stand still. Sequence: the reader of the log stops, the
