--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -78,7 +78,7 @@
   retry::FleetBudget Budget;
   dispatch::PromptPlanner Prompts;
   dispatch::ServicePlanner Services;
-  dispatch::RepeatOptions Repeats;
+  dispatch::RepeatOptions Retries;
   std::map<std::string, std::shared_ptr<upstream::ConnectionPool>> Pools;
   /// Learned cost model of the engines, by service.
   std::map<std::string, engine::EngineModel> EngineModels;
--- a/Services/figlift-gateway/Gateway.h
+++ b/Services/figlift-gateway/Gateway.h
@@ -60,7 +60,7 @@
   void configurationRead(const slopes::RowsRead &Read, BootTime KnownAt);
   void configurationKnown(BootTime KnownAt);
   void activateConfiguration(dispatch::Configuration Newer,
-                             const slopes::AnswerCost &Cost);
+                             const slopes::ResponseCost &Cost);
   std::optional<dispatch::Target> readServer(const slopes::StoreRow &Row);
   void serverListRead(const slopes::RowsRead &Read, BootTime KnownAt);
   void serverChangesRead(const slopes::RowsRead &Read, BootTime KnownAt);
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -119,7 +119,7 @@
 }
 
 void Gateway::activateConfiguration(dispatch::Configuration Candidate,
-                                    const slopes::AnswerCost &Cost) {
+                                    const slopes::ResponseCost &Cost) {
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
   // Responses may be reordered; versions only increase.
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -253,7 +253,7 @@
   slopes::SendFields Fields;
   Fields.TimeLeft = std::chrono::duration_cast<milliseconds>(timeLeft(Now));
   Fields.ExpectedTarget = TargetId;
-  Fields.ReadOnly = Purpose == SendPurpose::Prefill;
+  Fields.PrefillOnly = Purpose == SendPurpose::Prefill;
   if (Purpose == SendPurpose::Execute)
     Fields.Source = m_Handle;
   if (const dispatch::Target *Source = m_Shared.Targets.find(FetchFrom))
@@ -348,7 +348,7 @@
 }
 
 void RequestFlow::prefillCompleted(ServerSend &Send) {
-  const auto Read = slopes::decodePromptRead(Send.body());
+  const auto Read = slopes::decodePrefillResult(Send.body());
   const dispatch::Target *PrefillTarget =
       m_Shared.Targets.find(Send.targetId());
   if (!Read || !PrefillTarget || Send.targetRestarted())
@@ -398,7 +398,7 @@
     return false;
   }
   return Reuse.worthTrying(Now) &&
-         timeLeft(Now) >= m_Shared.Repeats.MinimumTimeLeft &&
+         timeLeft(Now) >= m_Shared.Retries.MinimumTimeLeft &&
          m_Shared.Budget.left(m_Service, Now) >= 1;
 }
 
@@ -407,7 +407,7 @@
 /// instead of one, and the retry budget is not consulted for an execution that
 /// was not sent.
 bool RequestFlow::decodeElsewhere(const ServerSend &Failed, BootTime Now) {
-  if (m_Sends >= m_Shared.Repeats.MaximumSends ||
+  if (m_Sends >= m_Shared.Retries.MaximumSends ||
       !mayStart(Milliseconds(0), Now))
     return false;
   m_Excluded.push_back(Failed.targetId());
@@ -449,9 +449,9 @@
   if (Send.purpose() == SendPurpose::Prefill && m_Executions == 0) {
     // A prefill does not execute the request.
     Progress.Repeatable = true;
-    Progress.MaximumRuns = m_Shared.Repeats.MaximumSends;
+    Progress.MaximumRuns = m_Shared.Retries.MaximumSends;
   }
-  return dispatch::decideNext(m_Shared.Repeats, Progress, End, [&] {
+  return dispatch::decideNext(m_Shared.Retries, Progress, End, [&] {
     // An attempt that reached no server has not used any time of the service.
     // Once a part of the request has reached a server, the next attempt may
     // count as a retry.
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -88,7 +88,7 @@
 }
 
 void ServerSend::recordLimit() {
-  if (!m_Target || m_Fields.OtherServer)
+  if (!m_Target || m_Fields.Misdirected)
     return;
   const BootTime Now = BootClock::now();
   if (m_Fields.LimitInvalid) {
@@ -126,7 +126,7 @@
     return end(dispatch::NotSent{});
   if (End != ExchangeEnd::Complete)
     return end(dispatch::BrokeOff{});
-  if (m_Fields.NotRun)
+  if (m_Fields.NotExecuted)
     return end(dispatch::Rejected{});
   if (!isSuccess(m_Head.Status))
     return end(dispatch::ServerFailed{m_Head.Status});
@@ -137,7 +137,7 @@
 }
 
 void ServerSend::recordRejection(BootTime Now) {
-  if (m_Fields.OtherServer)
+  if (m_Fields.Misdirected)
     m_Shared.Loads.avoid(m_TargetId, Now + ServerReplacedBackoff);
   else
     m_Shared.Loads.turnedAway(m_TargetId, Now);
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -165,7 +165,7 @@
   // another start than the planned one.
   if (Report.value().Started != Change.Start)
     return Planner.refused(Change.TargetId, Now);
-  if (Report.value().Does == Change.Wanted)
+  if (Report.value().CurrentStage == Change.Wanted)
     return Planner.settled(Change.TargetId);
   if (Report.value().Busy)
     return Planner.refused(Change.TargetId, Now);
@@ -221,7 +221,7 @@
     return Planner.accepted(Change.TargetId, BackAt + ListingSlack);
   }
   m_Shared.Switching.erase(Change.TargetId);
-  if (Reply == slopes::OrderReply::HoldsAlready)
+  if (Reply == slopes::OrderReply::AlreadyInStage)
     Planner.settled(Change.TargetId);
   else
     Planner.refused(Change.TargetId, Now);
--- a/Tests/Fuzz/Decoders.cpp
+++ b/Tests/Fuzz/Decoders.cpp
@@ -119,7 +119,7 @@
   for (const std::string &Fault :
        {judge(Server), judge(slopes::decodeConfiguration(Bytes)),
         judge(slopes::decodeEngineReport(Bytes)),
-        judge(slopes::decodePromptRead(Bytes))})
+        judge(slopes::decodePrefillResult(Bytes))})
     if (!Fault.empty())
       return Fault;
   return {};
--- a/Tests/Platform/TestEngineCalls.cpp
+++ b/Tests/Platform/TestEngineCalls.cpp
@@ -1,6 +1,6 @@
-//===- TestEngineCalls.cpp - Calls to engines besides requests ------------===//
+//===- TestEngineCalls.cpp - Tests of control calls to engines ------------===//
 //
-// The platform's examples, and malformed answers.
+// Examples of the platform, and malformed responses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,25 +15,25 @@
 
 TEST_GROUP(EngineCalls){};
 
-TEST(EngineCalls, ReadsTheAnswerToAReadPrompt) {
-  const auto Read = decodePromptRead(
+TEST(EngineCalls, ReadsTheResponseToAPrefill) {
+  const auto Decoded = decodePrefillResult(
       R"({"kvHandle":"3fa09c41b7d5","tokens":1460,"version":1})");
-  STRCMP_EQUAL("3fa09c41b7d5", Read.value().Handle.c_str());
-  LONGS_EQUAL(1460, Read.value().Tokens);
+  STRCMP_EQUAL("3fa09c41b7d5", Decoded.value().Handle.c_str());
+  LONGS_EQUAL(1460, Decoded.value().Tokens);
 }
 
 TEST(EngineCalls, NamesAMissingHandle) {
   STRCMP_EQUAL("kvHandle",
-               decodePromptRead(R"({"tokens":1})").error().Field.c_str());
-  CHECK(!decodePromptRead("<html>").has_value());
+               decodePrefillResult(R"({"tokens":1})").error().Field.c_str());
+  CHECK(!decodePrefillResult("<html>").has_value());
 }
 
 TEST(EngineCalls, ReadsAReport) {
-  const auto Read = decodeEngineReport(
+  const auto Decoded = decodeEngineReport(
       R"({"stage":"decode","models":[],"busy":true,"sequence":2,"queued":1})");
-  CHECK(Read.value().Does == dispatch::Stage::Decode);
-  CHECK(Read.value().Busy);
-  LONGS_EQUAL(2, Read.value().AcceptedOrders);
+  CHECK(Decoded.value().CurrentStage == dispatch::Stage::Decode);
+  CHECK(Decoded.value().Busy);
+  LONGS_EQUAL(2, Decoded.value().AcceptedOrders);
   STRCMP_EQUAL("stage", decodeEngineReport("{}").error().Field.c_str());
 }
 
@@ -46,14 +46,14 @@
   LONGS_EQUAL(2, Body["expected"].get<int>());
 }
 
-TEST(EngineCalls, TellsRepliesToOrdersApart) {
+TEST(EngineCalls, DistinguishesRepliesToOrders) {
   CHECK(decodeOrderReply(202) == OrderReply::Accepted);
-  CHECK(decodeOrderReply(200) == OrderReply::HoldsAlready);
+  CHECK(decodeOrderReply(200) == OrderReply::AlreadyInStage);
   for (const unsigned Status : {400U, 409U, 412U, 421U, 503U})
-    CHECK(decodeOrderReply(Status) == OrderReply::Refused);
+    CHECK(decodeOrderReply(Status) == OrderReply::Rejected);
 }
 
-TEST(EngineCalls, NamesTheServerThatACallIsFor) {
+TEST(EngineCalls, NamesTheTargetOfACall) {
   dispatch::Target Server;
   Server.Id = "i-1";
   Server.Address = {"10.0.0.1", 80};
--- a/Tests/Platform/TestHeaders.cpp
+++ b/Tests/Platform/TestHeaders.cpp
@@ -1,7 +1,7 @@
-//===- TestHeaders.cpp - Header fields of the platform --------------------===//
+//===- TestHeaders.cpp - Tests of header fields ---------------------------===//
 //
-// The platform's examples, malformed ones, and fields that only the system may
-// set.
+// Examples of the platform, malformed fields, and fields that only the system
+// may set.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,11 +16,11 @@
 TEST_GROUP(Headers) {
   proxy::HeaderList Fields;
 
-  void refuses(const char *Name, const char *Value) {
+  void rejects(const char *Name, const char *Value) {
     Fields.add(Name, Value);
-    const auto Read = decodeCallerFields(Fields);
-    CHECK(!Read.has_value());
-    STRCMP_EQUAL(Name, Read.error().Field.c_str());
+    const auto Decoded = decodeCallerFields(Fields);
+    CHECK(!Decoded.has_value());
+    STRCMP_EQUAL(Name, Decoded.error().Field.c_str());
   }
 };
 
@@ -29,31 +29,31 @@
   Fields.add("X-Deadline-Ms", "2000");
   Fields.add("X-Token-Count", "1460,80");
   Fields.add("X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250");
-  const auto Read = decodeCallerFields(Fields);
-  CHECK(Read.has_value());
-  CHECK(Read.value().Deadline == milliseconds(2000));
-  LONGS_EQUAL(1460, Read.value().Prompt->Tokens);
-  LONGS_EQUAL(80, Read.value().Prompt->MaximumOutput);
-  LONGS_EQUAL(3, Read.value().Prompt->Parts.size());
-  CHECK(Read.value().Prompt->subject() == 0x91bd3f06);
+  const auto Decoded = decodeCallerFields(Fields);
+  CHECK(Decoded.has_value());
+  CHECK(Decoded.value().Deadline == milliseconds(2000));
+  LONGS_EQUAL(1460, Decoded.value().Prompt->Tokens);
+  LONGS_EQUAL(80, Decoded.value().Prompt->MaximumOutput);
+  LONGS_EQUAL(3, Decoded.value().Prompt->Parts.size());
+  CHECK(Decoded.value().Prompt->subject() == 0x91bd3f06);
 }
 
-TEST(Headers, ReadsARequestWithoutAny) {
-  const auto Read = decodeCallerFields(Fields);
-  CHECK(Read.has_value());
-  CHECK(!Read.value().Prompt && !Read.value().Deadline);
+TEST(Headers, ReadsARequestWithoutFields) {
+  const auto Decoded = decodeCallerFields(Fields);
+  CHECK(Decoded.has_value());
+  CHECK(!Decoded.value().Prompt && !Decoded.value().Deadline);
 }
 
-TEST(Headers, NamesAMalformedTokenCount) { refuses("X-Token-Count", "1460"); }
-TEST(Headers, NamesAMalformedDeadline) { refuses("X-Deadline-Ms", "soon"); }
-TEST(Headers, NamesANegativeDeadline) { refuses("X-Deadline-Ms", "-5"); }
+TEST(Headers, NamesAMalformedTokenCount) { rejects("X-Token-Count", "1460"); }
+TEST(Headers, NamesAMalformedDeadline) { rejects("X-Deadline-Ms", "soon"); }
+TEST(Headers, NamesANegativeDeadline) { rejects("X-Deadline-Ms", "-5"); }
 TEST(Headers, NamesMalformedParts) {
   Fields.add("X-Token-Count", "10,1");
-  refuses("X-Prompt-Prefix", "zz:800");
+  rejects("X-Prompt-Prefix", "zz:800");
 }
 
-// Symptom: a run goes on from the KV cache of another request, or memory of an
-// engine is held at a caller's word. Cause: such fields were forwarded.
+// If such fields were forwarded, a caller could make an execution use the KV
+// cache of another request, or occupy memory of an engine.
 TEST(Headers, ForwardsNoFieldThatOnlyTheSystemMaySet) {
   for (const char *Name :
        {"X-Kv-Source", "X-Kv-Hold", "X-Pin-Ms", "X-Kv-Backup", "X-Stage",
@@ -61,8 +61,8 @@
     Fields.add(Name, "1");
   Fields.add("X-Model", "m");
   Fields.add("X-Other", "kept");
-  const auto Kept = forwardedFields(Fields);
-  LONGS_EQUAL(2, std::distance(Kept.begin(), Kept.end()));
+  const auto Forwarded = forwardedFields(Fields);
+  LONGS_EQUAL(2, std::distance(Forwarded.begin(), Forwarded.end()));
 }
 
 TEST(Headers, ReplacesTheCallersDeadline) {
@@ -78,18 +78,18 @@
   CHECK(!Fields.has("X-Stage"));
 }
 
-TEST(Headers, ReadsWhatAServerSays) {
+TEST(Headers, ReadsServerFields) {
   proxy::ResponseHead Head;
   Head.Status = 503;
   Head.Headers.add("X-Not-Executed", "1");
-  CHECK(decodeServerFields(Head).NotRun);
+  CHECK(decodeServerFields(Head).NotExecuted);
   CHECK(!decodeServerFields(Head).Signed);
   Head = {};
   Head.Status = 421;
-  CHECK(decodeServerFields(Head).NotRun);
-  CHECK(decodeServerFields(Head).OtherServer);
+  CHECK(decodeServerFields(Head).NotExecuted);
+  CHECK(decodeServerFields(Head).Misdirected);
   Head.Status = 500;
-  CHECK(!decodeServerFields(Head).NotRun);
+  CHECK(!decodeServerFields(Head).NotExecuted);
 }
 
 TEST(Headers, ReadsTheLimitOfAServer) {
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -1,6 +1,6 @@
-//===- TestRows.cpp - The operator's and the servers' rows ----------------===//
+//===- TestRows.cpp - Tests of operator and server rows -------------------===//
 //
-// The platform's examples, and malformed rows.
+// Examples of the platform, and malformed rows.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,116 +32,116 @@
 } // namespace
 
 TEST_GROUP(Rows){
-    void refusesConfiguration(const std::string &Json, const char *Field){
-        const auto Read = decodeConfiguration(Json);
-CHECK(!Read.has_value());
-STRCMP_EQUAL(Field, Read.error().Field.c_str());
+    void rejectsConfiguration(const std::string &Json, const char *Field){
+        const auto Decoded = decodeConfiguration(Json);
+CHECK(!Decoded.has_value());
+STRCMP_EQUAL(Field, Decoded.error().Field.c_str());
 }
-void refusesServer(const std::string &Json, const char *Field) {
-  const auto Read = decodeServer("i-1", Json);
-  CHECK(!Read.has_value());
-  STRCMP_EQUAL(Field, Read.error().Field.c_str());
+void rejectsServer(const std::string &Json, const char *Field) {
+  const auto Decoded = decodeServer("i-1", Json);
+  CHECK(!Decoded.has_value());
+  STRCMP_EQUAL(Field, Decoded.error().Field.c_str());
 }
 }
 ;
 
 TEST(Rows, ReadsAConfiguration) {
-  const auto Read = decodeConfiguration(Example);
-  CHECK(Read.has_value());
-  const dispatch::Configuration &What = Read.value();
-  LONGS_EQUAL(7, What.Version);
-  const dispatch::Route &Stream = What.Routes.at(0);
+  const auto Decoded = decodeConfiguration(Example);
+  CHECK(Decoded.has_value());
+  const dispatch::Configuration &Configuration = Decoded.value();
+  LONGS_EQUAL(7, Configuration.Version);
+  const dispatch::Route &Stream = Configuration.Routes.at(0);
   CHECK(Stream.Kind == dispatch::RouteKind::Streaming);
   CHECK(Stream.repeatable() && Stream.CarriesPrompts);
   CHECK(Stream.Timeout == milliseconds(2000));
   CHECK(Stream.EventGapTarget == milliseconds(150));
   LONGS_EQUAL(2, Stream.Services.size());
-  CHECK(!What.Routes.at(1).repeatable());
-  CHECK(What.Routes.at(1).LatencyTarget == milliseconds(1000));
-  const auto &Engine = *What.service("a")->Engine;
+  CHECK(!Configuration.Routes.at(1).repeatable());
+  CHECK(Configuration.Routes.at(1).LatencyTarget == milliseconds(1000));
+  const auto &Engine = *Configuration.service("a")->Engine;
   LONGS_EQUAL(8, Engine.Slots);
   CHECK(Engine.StageSwitch == milliseconds(3000));
-  CHECK(!What.service("b")->Engine);
-  LONGS_EQUAL(4194304, What.Bounds.BodyBytes);
+  CHECK(!Configuration.service("b")->Engine);
+  LONGS_EQUAL(4194304, Configuration.Bounds.BodyBytes);
 }
 
 TEST(Rows, NamesFieldsOfAMalformedConfiguration) {
-  refusesConfiguration("{", "");
-  refusesConfiguration("{}", "version");
-  refusesConfiguration(R"({"version":"x"})", "version");
-  refusesConfiguration(R"({"version":1,"routes":[{"host":"h","prefix":"/",
+  rejectsConfiguration("{", "");
+  rejectsConfiguration("{}", "version");
+  rejectsConfiguration(R"({"version":"x"})", "version");
+  rejectsConfiguration(R"({"version":1,"routes":[{"host":"h","prefix":"/",
     "kind":"odd","timeoutMs":1,"service":"a"}]})",
                        "routes[0].kind");
-  refusesConfiguration(R"({"version":1,"routes":[{"host":"h","prefix":"/",
+  rejectsConfiguration(R"({"version":1,"routes":[{"host":"h","prefix":"/",
     "kind":"safe","timeoutMs":1}]})",
                        "routes[0].service");
-  refusesConfiguration(R"({"version":1,"services":[{"name":"a",
+  rejectsConfiguration(R"({"version":1,"services":[{"name":"a",
     "engine":{"slots":0}}]})",
                        "services[0].engine.slots");
 }
 
 TEST(Rows, ReadsAServer) {
-  const auto Read = decodeServer(
+  const auto Decoded = decodeServer(
       "i-1", R"({"service":"a","address":"10.128.0.9:8080","zone":"z",
       "version":"v1","slots":8,"state":"draining","coldRemainingMs":0,
       "stage":"prefill","models":[],"sequence":4})");
-  CHECK(Read.has_value());
-  CHECK(Read.value().Draining);
-  CHECK(Read.value().Does == dispatch::Stage::Prefill);
-  LONGS_EQUAL(8080, Read.value().Address.Port);
+  CHECK(Decoded.has_value());
+  CHECK(Decoded.value().Draining);
+  CHECK(Decoded.value().Does == dispatch::Stage::Prefill);
+  LONGS_EQUAL(8080, Decoded.value().Address.Port);
 }
 
-TEST(Rows, TakesAServerWithoutAStageForAPlainOne) {
-  const auto Read =
+TEST(Rows, ReadsAServerWithoutAStage) {
+  const auto Decoded =
       decodeServer("i-1", R"({"service":"b","address":"10.0.0.1:1","zone":"z",
       "version":"v1","slots":6,"state":"ready","coldRemainingMs":0,
       "sequence":4})");
-  CHECK(Read.value().Does == dispatch::Stage::None);
-  CHECK(!Read.value().Draining);
+  CHECK(Decoded.value().Does == dispatch::Stage::None);
+  CHECK(!Decoded.value().Draining);
 }
 
-// Symptom: requests are sent to addresses at which nobody answers.
-// Sequence: something else than a server writes into the list of servers.
-// Cause: an entry was read for what it has, not refused for what it lacks.
-TEST(Rows, RefusesEntriesOfOtherWriters) {
-  const nlohmann::json Whole = {
+// Another program writes an entry to the server list. If the entry is accepted
+// although fields are missing, requests are sent to an address without a
+// server.
+TEST(Rows, RejectsEntriesOfOtherWriters) {
+  const nlohmann::json Complete = {
       {"service", "a"},       {"address", "10.0.0.1:1"},
       {"zone", "z"},          {"version", "v1"},
       {"slots", 8},           {"state", "ready"},
       {"coldRemainingMs", 0}, {"stage", "decode"},
       {"sequence", 4},        {"born", 1790000000000}};
-  CHECK(decodeServer("i-1", Whole.dump()).has_value());
-  for (const auto &[Name, Value] : Whole.items()) {
-    nlohmann::json Changed = Whole;
+  CHECK(decodeServer("i-1", Complete.dump()).has_value());
+  for (const auto &[Name, Value] : Complete.items()) {
+    nlohmann::json Changed = Complete;
     Changed[Name] = nlohmann::json::array();
-    refusesServer(Changed.dump(), Name.c_str());
+    rejectsServer(Changed.dump(), Name.c_str());
     if (Name == "stage" || Name == "born")
       continue;
     Changed.erase(Name);
-    refusesServer(Changed.dump(), Name.c_str());
+    rejectsServer(Changed.dump(), Name.c_str());
   }
-  const auto RefusesValue = [&](const char *Name, nlohmann::json Value) {
-    nlohmann::json Changed = Whole;
+  const auto RejectsValue = [&](const char *Name, nlohmann::json Value) {
+    nlohmann::json Changed = Complete;
     Changed[Name] = std::move(Value);
-    refusesServer(Changed.dump(), Name);
+    rejectsServer(Changed.dump(), Name);
   };
-  RefusesValue("address", "here");
-  RefusesValue("slots", -1);
-  RefusesValue("stage", "odd");
-  RefusesValue("state", "retired");
-  RefusesValue("born", 1790000000000.5);
-  RefusesValue("born", "1790000000000");
-  refusesServer("\xff\xfe", "");
-  refusesServer("", "");
-  refusesServer("[]", "");
+  RejectsValue("address", "here");
+  RejectsValue("slots", -1);
+  RejectsValue("stage", "odd");
+  RejectsValue("state", "retired");
+  RejectsValue("born", 1790000000000.5);
+  RejectsValue("born", "1790000000000");
+  rejectsServer("\xff\xfe", "");
+  rejectsServer("", "");
+  rejectsServer("[]", "");
 }
 
 TEST(Rows, ReadsWhenAServerStarted) {
-  const auto Read =
+  const auto Decoded =
       decodeServer("i-1", R"({"service":"b","address":"10.0.0.1:1","zone":"z",
       "version":"v1","slots":6,"state":"ready","coldRemainingMs":0,
       "sequence":4,"born":1790000000123})");
-  LONGS_EQUAL(4, Read.value().Heartbeat);
-  CHECK(Read.value().Started ==
+  LONGS_EQUAL(4, Decoded.value().Heartbeat);
+  CHECK(Decoded.value().Started ==
         dispatch::StartTime(milliseconds(1790000000123)));
 }
--- a/Tests/Platform/TestStoreClient.cpp
+++ b/Tests/Platform/TestStoreClient.cpp
@@ -1,6 +1,6 @@
-//===- TestStoreClient.cpp - Calls to a store behind a small link ---------===//
+//===- TestStoreClient.cpp - Tests of calls over a slow link --------------===//
 //
-// Real sockets before the stand-in of the store, on one loop.
+// Real sockets with a simulated store, on one event loop.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,80 +22,89 @@
   BackgroundWorker Worker{Loop};
   StoreClient Client{Loop, Worker, Store.address(), {milliseconds(200)}};
   const std::string Value = std::string(150'000, 'v');
-  std::optional<Result<RowsRead>> Answer;
+  std::optional<Result<RowsRead>> Response;
 
   void setup() override {
     Store.put("t", "k", Value);
-    // The answer takes four times as long as the store may be silent.
+    // The response takes four times as long as the allowed silence.
     Store.BytesPerSecond = 250'000;
   }
-  void take(Result<RowsRead> Read) { Answer = std::move(Read); }
-  bool isAnswered() {
+  void setResponse(Result<RowsRead> Result) { Response = std::move(Result); }
+  bool waitForResponse() {
     const auto End = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-    while (!Answer && std::chrono::steady_clock::now() < End)
+    while (!Response && std::chrono::steady_clock::now() < End)
       Loop.run_for(milliseconds(2));
-    return Answer.has_value();
+    return Response.has_value();
   }
-  bool isWhole() const {
-    return Answer->has_value() && Answer->value().Rows.size() == 1 &&
-           Answer->value().Rows.front().Value == Value;
+  bool isComplete() const {
+    return Response->has_value() && Response->value().Rows.size() == 1 &&
+           Response->value().Rows.front().Value == Value;
   }
 };
 
-// Failure: what outgrows the time allowed for a call is never read.
-TEST(StoreClient, ReadsAnAnswerThatOutgrowsItsLink) {
-  Client.readAll("t", "", [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
-  CHECK(isWhole());
+// Guards against a limit on the total time of a call: a response that takes
+// longer would never be read.
+TEST(StoreClient, ReadsAResponseThatTakesLongerThanTheTimeout) {
+  Client.readAll("t", "",
+                 [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
+  CHECK(isComplete());
 }
 
-// Failure: the same, of a change.
-TEST(StoreClient, WatchesAnAnswerThatOutgrowsItsLink) {
+// The same for a watch.
+TEST(StoreClient, WatchesAResponseThatTakesLongerThanTheTimeout) {
   Client.watch("t", {1, 0}, milliseconds(50),
-               [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
-  CHECK(isWhole());
+               [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
+  CHECK(isComplete());
 }
 
-// Failure: a store that falls silent in its answer is waited for without end.
-TEST(StoreClient, GivesAnAnswerUpThatFallsSilent) {
+// Guards against waiting forever for a store that stalls within its response.
+TEST(StoreClient, TimesOutWhenAResponseStalls) {
   Store.Pause = milliseconds(10'000);
-  const auto Begun = std::chrono::steady_clock::now();
-  Client.readAll("t", "", [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
-  CHECK(!Answer->has_value());
-  // Half of the answer, the silence, and some time for a busy machine.
-  CHECK(std::chrono::steady_clock::now() - Begun < milliseconds(1500));
+  const auto Start = std::chrono::steady_clock::now();
+  Client.readAll("t", "",
+                 [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
+  CHECK(!Response->has_value());
+  // Half of the response, the silence, and some time for a busy machine.
+  CHECK(std::chrono::steady_clock::now() - Start < milliseconds(1500));
 }
 
-// Failure: while a large answer is decoded, nothing else on the loop goes on.
-TEST(StoreClient, GoesOnWhileALargeAnswerIsDecoded) {
+// Guards against decoding on the event loop, where a large response blocks all
+// other calls.
+TEST(StoreClient, StaysResponsiveWhileALargeResponseIsDecoded) {
   Store.BytesPerSecond = 0;
   Store.put("small", "k", "v");
   std::promise<void> Release;
-  // The thread is busy, as it is with the decoding of something very large.
+  // Keeps the background thread busy, like the decoding of a very large
+  // response.
   Worker.run([Busy = Release.get_future().share()] { return Busy.get(), 0; },
              [](int) {});
-  bool LargeCame = false;
-  Client.readAll("t", "", [&](auto) { LargeCame = true; });
+  bool LargeIsRead = false;
+  Client.readAll("t", "", [&](auto) { LargeIsRead = true; });
   Loop.run_for(milliseconds(100));
-  Client.readAll("small", "", [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
-  CHECK(!LargeCame);
+  Client.readAll("small", "",
+                 [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
+  CHECK(!LargeIsRead);
   Release.set_value();
-  Answer.reset();
-  Client.readAll("small", "", [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
+  Response.reset();
+  Client.readAll("small", "",
+                 [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
   Loop.run_for(milliseconds(200));
-  CHECK(LargeCame);
+  CHECK(LargeIsRead);
 }
 
-// Failure: a store that takes a call and says nothing is waited for.
-TEST(StoreClient, GivesACallUpWithoutAnAnswer) {
+// Guards against waiting forever for a store that accepts a call and does not
+// respond.
+TEST(StoreClient, TimesOutWithoutAResponse) {
   Store.Silent = true;
-  const auto Begun = std::chrono::steady_clock::now();
-  Client.readAll("t", "", [this](auto Read) { take(std::move(Read)); });
-  CHECK(isAnswered());
-  CHECK(!Answer->has_value());
-  CHECK(std::chrono::steady_clock::now() - Begun < milliseconds(1000));
+  const auto Start = std::chrono::steady_clock::now();
+  Client.readAll("t", "",
+                 [this](auto Result) { setResponse(std::move(Result)); });
+  CHECK(waitForResponse());
+  CHECK(!Response->has_value());
+  CHECK(std::chrono::steady_clock::now() - Start < milliseconds(1000));
 }
