--- /dev/null
+++ b/Libraries/LibRetry/FleetRetryBudget.h
@@ -0,0 +1,70 @@
+//===- FleetRetryBudget.h - Retry budget shared by a fleet ------*- C++ -*-===//
+//
+// Bounds the retries that all processes of a fleet send together within a
+// sliding window. Without the bound, a service that fails under load receives
+// a multiple of that load. The processes do not coordinate each retry: each
+// has an equal share of the fixed part of the budget, and earns the
+// proportional part with the requests that it sends itself.
+//
+//===----------------------------------------------------------------------===//
+
+#pragma once
+
+#include "LibCore/Clock.h"
+
+#include <chrono>
+#include <cstddef>
+#include <deque>
+#include <map>
+#include <string>
+
+namespace figlift::retry {
+
+struct FleetRetryBudgetSettings {
+  /// Retries allowed for each request of the window.
+  double Ratio = 0.2;
+  /// Fixed part: retries allowed in addition, for the whole fleet.
+  double Base = 50;
+  std::chrono::milliseconds Window{10000};
+};
+
+class FleetRetryBudget {
+public:
+  /// \p FleetStarts is true if no earlier process of this fleet has spent
+  /// anything. A process that restarts in a running fleet does not know what
+  /// its predecessor spent, so it has no fixed part for one window.
+  FleetRetryBudget(FleetRetryBudgetSettings Settings, bool FleetStarts,
+                   BootTime Now);
+
+  /// Sets the number of processes that share the fixed part.
+  void setProcessCount(size_t Live, BootTime Now);
+  void recordRequest(const std::string &Service, BootTime Now);
+  /// Records a retry. Callers check remaining() before they send one. An
+  /// attempt that a server rejected is charged as well, so the budget may
+  /// become negative.
+  void recordRetry(const std::string &Service, BootTime Now);
+  double remaining(const std::string &Service, BootTime Now);
+
+private:
+  struct Account {
+    std::deque<BootTime> Requests;
+    std::deque<BootTime> Retries;
+  };
+
+  /// Part of the budget that is used. The rest is a margin for differences
+  /// between the windows of the processes: a request that one process still
+  /// counts may have expired in another.
+  static constexpr double UsableFraction = 0.8;
+
+  void expire(std::deque<BootTime> &Times, BootTime Now) const;
+
+  FleetRetryBudgetSettings m_Settings;
+  /// The share of the fixed part is 0 before this time.
+  BootTime m_BaseStart;
+  std::map<std::string, Account> m_Accounts;
+  /// Process counts within the window. The largest one divides the fixed part,
+  /// because a process that has just stopped may have spent its share.
+  std::deque<std::pair<BootTime, size_t>> m_Processes;
+};
+
+} // namespace figlift::retry
--- a/Libraries/LibRetry/RetryBudget.cpp
+++ b/Libraries/LibRetry/RetryBudget.cpp
@@ -1,4 +1,4 @@
-//===- RetryBudget.cpp - Bound on retries of one entry ----------*- C++ -*-===//
+//===- RetryBudget.cpp - Retry budget of one entry --------------*- C++ -*-===//
 //
 // Token bucket with compare-and-exchange.
 //
@@ -11,29 +11,31 @@
 namespace figlift::retry {
 
 RetryBudget::RetryBudget(RetryBudgetSettings Settings)
-    : m_Earned(static_cast<int64_t>(Settings.Ratio * Unit)),
+    : m_EarnedPerSuccess(static_cast<int64_t>(Settings.Ratio * Unit)),
       m_Maximum(static_cast<int64_t>(Settings.Maximum * Unit)),
-      m_Stock(m_Maximum) {}
+      m_Available(m_Maximum) {}
 
 void RetryBudget::earn() {
-  int64_t Stock = m_Stock.load(std::memory_order_relaxed);
-  while (Stock < m_Maximum && !m_Stock.compare_exchange_weak(
-                                  Stock, std::min(Stock + m_Earned, m_Maximum),
-                                  std::memory_order_relaxed)) {
+  int64_t Available = m_Available.load(std::memory_order_relaxed);
+  while (Available < m_Maximum &&
+         !m_Available.compare_exchange_weak(
+             Available, std::min(Available + m_EarnedPerSuccess, m_Maximum),
+             std::memory_order_relaxed)) {
   }
 }
 
 bool RetryBudget::spend() {
-  int64_t Stock = m_Stock.load(std::memory_order_relaxed);
-  while (Stock >= Unit)
-    if (m_Stock.compare_exchange_weak(Stock, Stock - Unit,
-                                      std::memory_order_relaxed))
+  int64_t Available = m_Available.load(std::memory_order_relaxed);
+  while (Available >= Unit)
+    if (m_Available.compare_exchange_weak(Available, Available - Unit,
+                                          std::memory_order_relaxed))
       return true;
   return false;
 }
 
-double RetryBudget::left() const {
-  return static_cast<double>(m_Stock.load(std::memory_order_relaxed)) / Unit;
+double RetryBudget::remaining() const {
+  return static_cast<double>(m_Available.load(std::memory_order_relaxed)) /
+         Unit;
 }
 
 } // namespace figlift::retry
--- a/Libraries/LibRetry/RetryBudget.h
+++ b/Libraries/LibRetry/RetryBudget.h
@@ -1,9 +1,9 @@
-//===- RetryBudget.h - Bound on retries of one entry ------------*- C++ -*-===//
+//===- RetryBudget.h - Retry budget of one entry ----------------*- C++ -*-===//
 //
-// Retries are paid for by successes. Without the bound, a back end that fails
-// under load gets a multiple of that load from retries and cannot recover;
-// one would see attempts per request rise while goodput falls. With it, the
-// attempts stay below 1 + ratio per request over any long run.
+// Token bucket that successful requests refill. Without it, a back end that
+// fails under load receives a multiple of that load from retries and cannot
+// recover: attempts per request rise while goodput falls. With it, attempts
+// stay below 1 + ratio per request over any long run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,8 +17,8 @@
 struct RetryBudgetSettings {
   /// Retries earned by each success.
   double Ratio = 0.2;
-  /// Retries that can be saved up; also the stock at the start, so that the
-  /// first failures after a start can be retried.
+  /// Capacity of the bucket. It is full at the start, so that the first
+  /// failures after a start can be retried.
   double Maximum = 10;
 };
 
@@ -26,19 +26,19 @@
 class RetryBudget {
 public:
   explicit RetryBudget(RetryBudgetSettings Settings = {});
-  /// A request ended well.
+  /// Credits the budget for a request that succeeded.
   void earn();
-  /// Takes one retry, if there is one.
+  /// Takes one retry from the budget. Returns false if none is left.
   bool spend();
-  double left() const;
+  double remaining() const;
 
 private:
   static constexpr int64_t Unit = 1000;
 
-  int64_t m_Earned;
+  int64_t m_EarnedPerSuccess;
   int64_t m_Maximum;
   /// Thousandths of retries, between 0 and m_Maximum.
-  std::atomic<int64_t> m_Stock;
+  std::atomic<int64_t> m_Available;
 };
 
 } // namespace figlift::retry
--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -95,7 +95,7 @@
                    : 0.0;
       });
   m_Metrics.readGauge("entry_retry_budget", "Retries that may be spent now.",
-                      [this] { return m_Budget.left(); });
+                      [this] { return m_Budget.remaining(); });
   metrics::registerControlBytes(m_Metrics, [this] { return controlBytes(); });
   m_Metrics.readCounter(
       "wire_bytes_total", "Bytes exchanged with agents and entries.", [this] {
--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -24,7 +24,7 @@
 #include "LibDispatch/StreamTimes.h"
 #include "LibDispatch/TargetTable.h"
 #include "LibMetrics/Registry.h"
-#include "LibRetry/FleetBudget.h"
+#include "LibRetry/FleetRetryBudget.h"
 #include "LibSettings/GatewaySettings.h"
 #include "LibUpstream/ConnectionPool.h"
 
@@ -73,7 +73,7 @@
   dispatch::TargetTable Targets;
   dispatch::LoadBook Loads;
   dispatch::ServerLimits Limits;
-  retry::FleetBudget Budget;
+  retry::FleetRetryBudget Budget;
   dispatch::PromptPlanner Prompts;
   dispatch::ServicePlanner Services;
   dispatch::RepeatOptions Repeats;
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -257,7 +257,7 @@
   m_TickBefore = std::exchange(m_LastTick, Now);
   m_Shared.ServersSeen = m_ServerJournal.knownAt();
   apply(m_Shared.Targets.tick(Now));
-  m_Shared.Budget.setProcesses(m_Peers.sharers(Now), Now);
+  m_Shared.Budget.setProcessCount(m_Peers.sharers(Now), Now);
   limitPools();
   m_Shared.OrderTurnDelay =
       OrderTurn * static_cast<int>(m_Peers.liveBefore(Now));
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -107,7 +107,7 @@
     Metrics.readGauge(
         "figlift_gateway_repeat_budget_left", "Repeats that may be sent now",
         [this, Name = Each.Name] {
-          return m_Shared.Budget.left(Name, BootClock::now());
+          return m_Shared.Budget.remaining(Name, BootClock::now());
         },
         Labels);
     if (!Each.Engine)
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -70,7 +70,7 @@
   m_EndsIn = m_Shared.Stop.timeLeft(m_Started);
   if (!mayBegin(Milliseconds(0), m_Started))
     return turnAway();
-  m_Shared.Budget.requestSent(m_Service, m_Started);
+  m_Shared.Budget.recordRequest(m_Service, m_Started);
   m_Traced = m_Shared.Log.allows(LineKind::Plain, m_Started);
   if (m_Traced)
     logTaken();
@@ -283,7 +283,7 @@
   bool &Sent =
       Purpose == SendPurpose::ReadPrompt ? m_ReadArrived : m_RunArrived;
   if (std::exchange(Sent, true))
-    m_Shared.Budget.charge(m_Service, Now);
+    m_Shared.Budget.recordRetry(m_Service, Now);
 }
 
 void RequestFlow::watchSend(Milliseconds Expected) {
@@ -389,7 +389,7 @@
   }
   return Reuse.worthTrying(Now) &&
          timeLeft(Now) >= m_Shared.Repeats.MinimumTimeLeft &&
-         m_Shared.Budget.left(m_Service, Now) >= 1;
+         m_Shared.Budget.remaining(m_Service, Now) >= 1;
 }
 
 /// Another engine runs what was read, as the request's first run. Planned anew,
@@ -446,7 +446,7 @@
     const bool NothingArrived =
         std::holds_alternative<dispatch::NotSent>(How) && !m_ReadArrived &&
         !m_RunArrived;
-    return NothingArrived || m_Shared.Budget.left(m_Service, Now) >= 1;
+    return NothingArrived || m_Shared.Budget.remaining(m_Service, Now) >= 1;
   });
 }
 
--- a/Services/figlift-gateway/RequestLines.cpp
+++ b/Services/figlift-gateway/RequestLines.cpp
@@ -40,7 +40,7 @@
        {"sends", m_Sends},
        {"runs", m_Runs},
        {"eventsBefore", m_Relay.events()},
-       {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
+       {"budgetLeft", m_Shared.Budget.remaining(m_Service, Now)}});
 }
 
 void RequestFlow::logSendEnded(const ServerSend &Which,
@@ -58,7 +58,7 @@
        {"tookMs", Milliseconds(Now - Which.started())},
        {"sends", m_Sends},
        {"runs", m_Runs},
-       {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
+       {"budgetLeft", m_Shared.Budget.remaining(m_Service, Now)}});
 }
 
 void RequestFlow::logEnded(std::string_view Outcome, unsigned Status,
