--- a/Libraries/LibRetry/RetryDecision.cpp
+++ b/Libraries/LibRetry/RetryDecision.cpp
@@ -1,6 +1,6 @@
-//===- RetryDecision.cpp - What follows the end of an attempt ---*- C++ -*-===//
+//===- RetryDecision.cpp - Decision after an attempt ------------*- C++ -*-===//
 //
-// The decision as a visitor over the ends of an attempt.
+// Implements the decision as a visitor over the alternatives of AttemptEnd.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,13 +19,13 @@
 };
 template <typename... Ts> Overloaded(Ts...) -> Overloaded<Ts...>;
 
-bool provesNothingRan(wire::StreamEnd End) {
+bool provesNotProcessed(wire::StreamEnd End) {
   return End == wire::StreamEnd::ProvablyNotProcessed ||
          End == wire::StreamEnd::NeverSent;
 }
 
-/// The caller's own fault, or final for another reason: no other target would
-/// answer differently.
+/// Whether the code is a caller error, or final for another reason: no other
+/// target would answer differently.
 bool isFinal(ResultCode Code) {
   const int Number = static_cast<int>(Code);
   return (Number >= 100 && Number < 200) ||
@@ -33,7 +33,7 @@
          Code == ResultCode::DeadlineExceeded || Code == ResultCode::Cancelled;
 }
 
-/// Refusals that planned changes cause.
+/// Whether the code is a refusal caused by a planned change.
 bool isPlanned(ResultCode Code) {
   return Code == ResultCode::Draining || Code == ResultCode::NotReady ||
          Code == ResultCode::HomeMoved ||
@@ -47,14 +47,14 @@
       : m_Settings(Settings), m_History(History), m_Budget(Budget), m_Now(Now) {
   }
 
-  Decision operator()(const StreamBroke &Broke) const {
-    if (Broke.End == wire::StreamEnd::Cancelled)
+  Decision operator()(const StreamInterrupted &Interrupted) const {
+    if (Interrupted.End == wire::StreamEnd::Cancelled)
       return giveUp(ResultCode::Cancelled, true);
-    if (mayHaveRun(m_History, Broke))
-      return afterUnknown(ResultCode::OutcomeUnknown);
+    if (mayHaveRun(m_History, Interrupted))
+      return afterUnknownOutcome(ResultCode::OutcomeUnknown);
     const ResultCode Code = m_History.Keyed ? ResultCode::HomeUnreachable
                                             : ResultCode::NoTargetAvailable;
-    return runAgain(Code, false, std::nullopt, false);
+    return retry(Code, false, std::nullopt, false);
   }
 
   Decision operator()(const AgentRefused &Refused) const {
@@ -62,8 +62,8 @@
       return afterRefusedResume();
     if (isFinal(Refused.Code))
       return giveUp(Refused.Code, false, Refused.RetryAfter);
-    return runAgain(Refused.Code, false, Refused.RetryAfter,
-                    !isPlanned(Refused.Code));
+    return retry(Refused.Code, false, Refused.RetryAfter,
+                 !isPlanned(Refused.Code));
   }
 
   Decision operator()(const TargetFailed &Failed) const {
@@ -71,21 +71,21 @@
       return giveUp(Failed.Code, true);
     if (!m_History.Repeatable)
       return giveUp(ResultCode::OutcomeUnknown, true);
-    return runAgain(Failed.Code, true, std::nullopt, true);
+    return retry(Failed.Code, true, std::nullopt, true);
   }
 
-  Decision operator()(const NothingSent &Nothing) const {
-    // Routing looked at every target there is: asking again at once would
-    // only repeat the answer. A home may be on its way, though.
-    // Nor can an answer that has begun be refused.
-    if ((m_History.Keyed && Nothing.Code == ResultCode::HomeMoved) ||
-        ((hasBegun() || waitsForLinks(false)) && !isFinal(Nothing.Code)))
-      return runAgain(Nothing.Code, false, Nothing.RetryAfter,
-                      Nothing.Code == ResultCode::RetryBudgetSpent);
-    return giveUp(Nothing.Code, false, Nothing.RetryAfter);
+  Decision operator()(const NothingSent &Unsent) const {
+    // Routing has considered every target, so an immediate retry would get the
+    // same result. Exceptions: a key whose home is moving, an answer that has
+    // started and can no longer be refused, and lost links that may come back.
+    if ((m_History.Keyed && Unsent.Code == ResultCode::HomeMoved) ||
+        ((answerStarted() || mayWaitForLinks(false)) && !isFinal(Unsent.Code)))
+      return retry(Unsent.Code, false, Unsent.RetryAfter,
+                   Unsent.Code == ResultCode::RetryBudgetSpent);
+    return giveUp(Unsent.Code, false, Unsent.RetryAfter);
   }
 
-  Decision operator()(const CallerGone &) const {
+  Decision operator()(const CallerDisconnected &) const {
     return giveUp(ResultCode::Cancelled, true);
   }
 
@@ -94,54 +94,56 @@
     return m_History.Deadline && m_Now >= *m_History.Deadline;
   }
 
-  /// The caller has a part of the answer, and the time for it is bounded.
-  bool hasBegun() const {
+  /// Part of the answer has been delivered, and the request has a deadline.
+  bool answerStarted() const {
     return m_History.TokensDelivered > 0 && m_History.Deadline.has_value();
   }
 
-  /// \p MayHaveRun is about the last attempt.
-  bool attemptsSpent(bool MayHaveRun) const {
-    if (!hasBegun())
+  /// \p MayHaveRun refers to the last attempt.
+  bool attemptsExhausted(bool MayHaveRun) const {
+    if (!answerStarted())
       return m_History.Attempts >= m_Settings.MaximumAttempts &&
-             !waitsForLinks(MayHaveRun);
+             !mayWaitForLinks(MayHaveRun);
     return m_History.Runs + (MayHaveRun ? 1 : 0) >= m_Settings.MaximumRuns &&
-           !mayBeRestarting();
+           !engineMayBeRestarting();
   }
 
-  /// What may have run can be repeated, and agents may be back in a moment: to
-  /// give up now would tell the caller less than a little patience does. What
-  /// has surely not run is refused at once instead, and comes again.
-  bool waitsForLinks(bool LastMayHaveRun) const {
-    return m_History.Repeatable && someMayHaveRun(LastMayHaveRun) &&
-           m_History.LinksLost &&
-           m_Now - *m_History.LinksLost < m_Settings.RestartTime;
+  /// Whether to wait for agents whose links are lost to reconnect. This applies
+  /// to repeatable work that may have run: giving up would leave the caller
+  /// with an unknown outcome. Work that has not run is refused at once instead,
+  /// so that the caller can send it again.
+  bool mayWaitForLinks(bool LastAttemptMayHaveRun) const {
+    return m_History.Repeatable && anyMayHaveRun(LastAttemptMayHaveRun) &&
+           m_History.LinksLostSince &&
+           m_Now - *m_History.LinksLostSince < m_Settings.RestartTime;
   }
 
-  /// The answer has stood still for no longer than an engine needs to restart.
-  bool mayBeRestarting() const {
+  /// The last token is not older than the time an engine needs to restart.
+  bool engineMayBeRestarting() const {
     return m_History.LastToken &&
            m_Now - *m_History.LastToken < m_Settings.RestartTime;
   }
 
-  /// True only when there is time for \p Delay and an attempt.
+  /// Whether \p Delay and an attempt fit in before the deadline.
   bool hasTime(milliseconds Delay) const {
     return !m_History.Deadline ||
            m_Now + Delay + m_Settings.MinimumTimeLeft < *m_History.Deadline;
   }
 
-  milliseconds backoff(unsigned Tries) const {
-    if (Tries <= 1)
+  milliseconds backoff(unsigned AttemptNumber) const {
+    if (AttemptNumber <= 1)
       return milliseconds(0);
-    return std::min(m_Settings.FirstDelay * (1 << std::min(Tries - 2, 16u)),
+    return std::min(m_Settings.FirstDelay *
+                        (1 << std::min(AttemptNumber - 2, 16u)),
                     m_Settings.MaximumDelay);
   }
 
-  /// The attempt may have run and its answer is missing.
-  Decision afterUnknown(ResultCode Code) const {
+  /// The attempt may have run, and its answer was not received.
+  Decision afterUnknownOutcome(ResultCode Code) const {
     const milliseconds Delay = backoff(m_History.Resumes + 1);
     if (m_History.AcceptedSeen &&
         m_History.Resumes < m_Settings.MaximumResumes && hasTime(Delay))
-      return ResumeSame{Delay};
+      return ResumeAttempt{Delay};
     return afterLostAnswer(Code);
   }
 
@@ -152,25 +154,26 @@
 
   Decision afterLostAnswer(ResultCode Code) const {
     if (m_History.Repeatable || m_History.Keyed)
-      return runAgain(Code, true, std::nullopt, true);
+      return retry(Code, true, std::nullopt, true);
     return giveUp(ResultCode::OutcomeUnknown, true);
   }
 
-  Decision runAgain(ResultCode Code, bool MayHaveRun,
-                    std::optional<milliseconds> RetryAfter, bool Costs) const {
-    if (attemptsSpent(MayHaveRun))
+  Decision retry(ResultCode Code, bool MayHaveRun,
+                 std::optional<milliseconds> RetryAfter,
+                 bool SpendsBudget) const {
+    if (attemptsExhausted(MayHaveRun))
       return giveUp(Code, MayHaveRun, RetryAfter);
     const milliseconds Delay = backoff(m_History.Attempts);
     if (!hasTime(Delay))
       return giveUpForTime(Code, MayHaveRun, RetryAfter);
-    if (Costs && !hasBegun() && !m_Budget.spend())
-      return waitsForLinks(MayHaveRun)
+    if (SpendsBudget && !answerStarted() && !m_Budget.spend())
+      return mayWaitForLinks(MayHaveRun)
                  ? Decision(WaitForBudget{m_Settings.MaximumDelay})
                  : giveUp(MayHaveRun ? Code : ResultCode::RetryBudgetSpent,
                           MayHaveRun,
                           RetryAfter.value_or(m_Settings.MaximumDelay));
     if (m_History.Keyed)
-      return AskHomeAgain{Delay};
+      return RetryAtHome{Delay};
     if (m_History.TokensDelivered > 0)
       return ContinueElsewhere{m_History.TokensDelivered, Delay};
     return RetryElsewhere{Delay};
@@ -180,25 +183,26 @@
                          std::optional<milliseconds> RetryAfter) const {
     if (!pastDeadline())
       return giveUp(Code, MayHaveRun, RetryAfter);
-    return giveUp(someMayHaveRun(MayHaveRun) ? ResultCode::DeadlineExceeded
-                                             : ResultCode::DeadlineUnreachable,
+    return giveUp(anyMayHaveRun(MayHaveRun) ? ResultCode::DeadlineExceeded
+                                            : ResultCode::DeadlineUnreachable,
                   MayHaveRun, RetryAfter);
   }
 
-  bool someMayHaveRun(bool Last) const {
-    return Last || m_History.EarlierMayHaveRun || m_History.TokensDelivered > 0;
+  bool anyMayHaveRun(bool LastAttemptMayHaveRun) const {
+    return LastAttemptMayHaveRun || m_History.EarlierMayHaveRun ||
+           m_History.TokensDelivered > 0;
   }
 
-  /// \p MayHaveRun is about the last attempt.
+  /// \p MayHaveRun refers to the last attempt.
   Decision giveUp(ResultCode Code, bool MayHaveRun,
                   std::optional<milliseconds> RetryAfter = {}) const {
-    if (!someMayHaveRun(MayHaveRun))
+    if (!anyMayHaveRun(MayHaveRun))
       return GiveUp{Code, Execution::NotRun, RetryAfter};
     return GiveUp{afterHandOff(Code), Execution::MayHaveRun, RetryAfter};
   }
 
-  /// Codes of refusals promise "not run", so once an attempt may have run
-  /// they would be a lie, however the last attempt ended.
+  /// Refusal codes promise "not run". They are replaced once an attempt may
+  /// have run, however the last attempt ended.
   ResultCode afterHandOff(ResultCode Code) const {
     const int Number = static_cast<int>(Code);
     if (Number >= 300 && Number < 400)
@@ -218,13 +222,13 @@
 bool mayHaveRun(const RequestHistory &History, const AttemptEnd &End) {
   if (History.Resumes > 0)
     return true;
-  return std::visit(Overloaded{[](const StreamBroke &Broke) {
-                                 return !provesNothingRan(Broke.End);
+  return std::visit(Overloaded{[](const StreamInterrupted &Interrupted) {
+                                 return !provesNotProcessed(Interrupted.End);
                                },
                                [](const AgentRefused &) { return false; },
                                [](const TargetFailed &) { return true; },
                                [](const NothingSent &) { return false; },
-                               [](const CallerGone &) { return true; }},
+                               [](const CallerDisconnected &) { return true; }},
                     End);
 }
 
--- a/Libraries/LibRetry/RetryDecision.h
+++ b/Libraries/LibRetry/RetryDecision.h
@@ -1,12 +1,12 @@
-//===- RetryDecision.h - What follows the end of an attempt -----*- C++ -*-===//
+//===- RetryDecision.h - Decision after an attempt --------------*- C++ -*-===//
 //
-// Pure decision of an entry after each attempt: whether the request may be
-// sent again, where, and which result code is true when it may not.
+// Pure function that an entry calls after each attempt: whether the request is
+// retried, where, and which result code the caller gets if it is not.
 //
-// Two rules stand above all others. Work that may not be repeated is sent
-// again only after proof that it was not handed to the target, or to its home,
-// which remembers the key. And a code that says "not run" goes to the caller
-// only when every attempt of the request was proven not to have run.
+// Two rules have precedence. Non-repeatable work is retried only after proof
+// that it was not handed to the target, or at its home, which stores the
+// idempotency key. A code that means "not run" is returned to the caller only
+// if every attempt of the request provably did not run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
 namespace figlift::retry {
 
 /// The stream ended without a Finished, Refusal, ServiceAnswer or Failure.
-struct StreamBroke {
+struct StreamInterrupted {
   wire::StreamEnd End = wire::StreamEnd::ConnectionLost;
 };
 
@@ -34,7 +34,7 @@
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
-/// A Failure frame: handed over, and did not end well.
+/// A Failure frame: the work was handed to the target and failed.
 struct TargetFailed {
   ResultCode Code = ResultCode::TargetFailed;
 };
@@ -45,36 +45,36 @@
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
-/// The caller went away.
-struct CallerGone {};
+/// The caller closed its connection.
+struct CallerDisconnected {};
 
-using AttemptEnd = std::variant<StreamBroke, AgentRefused, TargetFailed,
-                                NothingSent, CallerGone>;
+using AttemptEnd = std::variant<StreamInterrupted, AgentRefused, TargetFailed,
+                                NothingSent, CallerDisconnected>;
 
-/// What the entry remembers of a request over its attempts.
+/// State that the entry keeps for a request across its attempts.
 struct RequestHistory {
   /// The work may be run more than once.
   bool Repeatable = true;
-  /// The caller gave an idempotency key: all attempts go to the key's home.
+  /// The caller sent an idempotency key: all attempts go to the key's home.
   bool Keyed = false;
-  /// Attempts that were started, resumes left out.
+  /// Attempts started so far, without resumes.
   unsigned Attempts = 1;
   /// Earlier attempts that may have run.
   unsigned Runs = 0;
   /// Resumes of the current attempt.
   unsigned Resumes = 0;
-  /// The current attempt got an Accepted frame or any later one, so its agent
-  /// may hold the answer.
+  /// The current attempt received an Accepted frame or a later one, so its
+  /// agent may hold the answer.
   bool AcceptedSeen = false;
-  /// Some attempt, the current one left out, may have run; see mayHaveRun().
+  /// An attempt before the current one may have run; see mayHaveRun().
   bool EarlierMayHaveRun = false;
-  /// Tokens delivered to the caller, over all attempts.
+  /// Tokens delivered to the caller over all attempts.
   uint32_t TokensDelivered = 0;
-  /// When the last of them came.
+  /// When the last of these tokens arrived.
   std::optional<BootTime> LastToken;
-  /// Since when one attempt after another has lost its link, or found no
-  /// target: no agent has said anything since.
-  std::optional<BootTime> LinksLost;
+  /// Start of the current series of attempts that lost their link or found no
+  /// target. Absent if an agent has sent a frame since the last such attempt.
+  std::optional<BootTime> LinksLostSince;
   std::optional<BootTime> Deadline;
 };
 
@@ -83,7 +83,7 @@
   std::chrono::milliseconds Delay{0};
 };
 /// Resume the same attempt from its agent at TokensDelivered; runs nothing.
-struct ResumeSame {
+struct ResumeAttempt {
   std::chrono::milliseconds Delay{0};
 };
 /// A new attempt on another target that continues after the delivered tokens.
@@ -91,13 +91,13 @@
   uint32_t FirstToken = 0;
   std::chrono::milliseconds Delay{0};
 };
-/// Look up the key's home anew and send the same key there; a home that ran
-/// it answers with the first run's answer.
-struct AskHomeAgain {
+/// Look up the key's home again and send the same key there. A home that has
+/// already run the request replies with the answer of that run.
+struct RetryAtHome {
   std::chrono::milliseconds Delay{0};
 };
-/// Another attempt is due and the budget is spent: to be decided again, as
-/// NothingSent with RetryBudgetSpent.
+/// Another attempt is due but the budget is spent. After the delay the caller
+/// of decide() passes NothingSent with RetryBudgetSpent.
 struct WaitForBudget {
   std::chrono::milliseconds Delay{0};
 };
@@ -108,42 +108,44 @@
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
-using Decision = std::variant<RetryElsewhere, ResumeSame, ContinueElsewhere,
-                              AskHomeAgain, WaitForBudget, GiveUp>;
+using Decision = std::variant<RetryElsewhere, ResumeAttempt, ContinueElsewhere,
+                              RetryAtHome, WaitForBudget, GiveUp>;
 
 struct RetrySettings {
   unsigned MaximumAttempts = 4;
-  /// Attempts that may have run, for an answer that has begun and has stood
-  /// still for RestartTime. Few, as the prompt itself may be what crashes
-  /// engines.
+  /// Limit on attempts that may have run, for an answer that has started and
+  /// has not received a token for RestartTime. Kept low because the prompt
+  /// itself may be what crashes the engines.
   unsigned MaximumRuns = 8;
-  /// The attempts at an engine that restarts fail at once. Counted alone, a
-  /// crash beside a cut link used them up in 1.1 s on a busy machine, and seven
-  /// of 24 answers ended in the middle; an engine is back within seconds. With
-  /// MaximumDelay between them, ten more attempts fit in. The same for links
-  /// that are lost one after the other, where what runs may be repeated: agents
-  /// that stood still are back as soon.
+  /// Time in which a crashed engine restarts. Attempts at a restarting engine
+  /// fail immediately, so a limit on their number alone is not enough: with a
+  /// crash and a lost link at the same time it was reached after 1.1 s on a
+  /// loaded machine, and 7 of 24 answers were truncated. With MaximumDelay
+  /// between them, ten more attempts fit into this time. The same time applies
+  /// to repeatable work whose links are lost one after the other, because
+  /// agents that stalled recover as quickly.
   std::chrono::milliseconds RestartTime{5000};
-  /// With their delays they take 300 ms, in which a link that broke for a
-  /// moment is restored; a second run costs more than that.
+  /// With their delays these take 300 ms, long enough for a link to recover
+  /// from a short interruption. Running the request again costs more than that.
   unsigned MaximumResumes = 5;
   std::chrono::milliseconds FirstDelay{20};
   std::chrono::milliseconds MaximumDelay{500};
-  /// Less time left than this is not worth an attempt.
+  /// No attempt is started with less time than this before the deadline.
   std::chrono::milliseconds MinimumTimeLeft{10};
 };
 
-/// Whether the current attempt, which ended so, may have run at the target.
-/// The entry ors it into EarlierMayHaveRun before it starts the next attempt.
-/// A resume that is refused or never sent proves nothing about its run.
+/// Whether the current attempt, which ended with \p End, may have run at the
+/// target. The entry ORs the result into EarlierMayHaveRun before it starts the
+/// next attempt. A resume that is refused or never sent does not prove that the
+/// attempt did not run.
 bool mayHaveRun(const RequestHistory &History, const AttemptEnd &End);
 
-/// Decides and, where the decision is another run, spends from \p Budget.
-/// Refusals that come from planned changes, and attempts that reached nobody,
-/// cost no budget: a drain must not end requests because others failed. Nor
-/// does going on with an answer that the caller has a part of: it can't be
-/// refused any more, so it goes on until its deadline, and only attempts that
-/// may have run are counted, against MaximumRuns.
+/// Returns the next step, and spends from \p Budget if that is another run.
+/// Refusals caused by planned changes, and attempts that reached no agent, cost
+/// no budget: a drain must not fail requests because other requests have failed
+/// before. Continuing an answer that has been delivered in part costs none
+/// either: it can no longer be refused, so it is retried until its deadline,
+/// and only attempts that may have run are counted, against MaximumRuns.
 Decision decide(const RetrySettings &Settings, const RequestHistory &History,
                 const AttemptEnd &End, RetryBudget &Budget, BootTime Now);
 
--- a/Libraries/LibRetry/TargetHealth.cpp
+++ b/Libraries/LibRetry/TargetHealth.cpp
@@ -1,6 +1,6 @@
-//===- TargetHealth.cpp - Targets that fail again and again -----*- C++ -*-===//
+//===- TargetHealth.cpp - Ejection of failing targets -----------*- C++ -*-===//
 //
-// Exclusion and half-open probes.
+// Ejection times and half-open probes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,66 +12,67 @@
 
 namespace {
 
-int64_t ticks(BootTime Time) { return Time.time_since_epoch().count(); }
+int64_t nanoseconds(BootTime Time) { return Time.time_since_epoch().count(); }
 
 } // namespace
 
 TargetHealth::TargetHealth(HealthSettings Settings) : m_Settings(Settings) {}
 
-void TargetHealth::succeeded() {
+void TargetHealth::recordSuccess() {
   m_Probing.store(false, std::memory_order_relaxed);
   m_Failures.store(0, std::memory_order_relaxed);
-  m_ExcludedUntil.store(0, std::memory_order_relaxed);
+  m_EjectedUntil.store(0, std::memory_order_relaxed);
 }
 
-void TargetHealth::failed(BootTime Now) {
-  // All requests at a target fail at once when its link breaks for a moment.
-  // Were each of them counted, an engine that is back at once would get no
-  // work for the longest exclusion there is.
-  const int64_t Until = m_ExcludedUntil.load(std::memory_order_relaxed);
-  if (ticks(Now) < Until && !m_Probing.exchange(false))
+void TargetHealth::recordFailure(BootTime Now) {
+  // When a link is lost, all requests at the target fail together. If each of
+  // them counted, a short interruption would eject the target for
+  // MaximumEjectionTime.
+  const int64_t Until = m_EjectedUntil.load(std::memory_order_relaxed);
+  if (nanoseconds(Now) < Until && !m_Probing.exchange(false))
     return;
   const unsigned Failures =
       m_Failures.fetch_add(1, std::memory_order_relaxed) + 1;
-  if (Failures < m_Settings.FailuresToExclude)
+  if (Failures < m_Settings.FailuresToEject)
     return;
-  m_ExcludedUntil.store(ticks(Now + exclusion(Failures)),
-                        std::memory_order_relaxed);
+  m_EjectedUntil.store(nanoseconds(Now + ejectionTime(Failures)),
+                       std::memory_order_relaxed);
 }
 
-std::chrono::nanoseconds TargetHealth::exclusion(unsigned Failures) const {
-  // More than 20 doublings exceed every sensible maximum.
-  const unsigned Doublings = std::min(
-      Failures - std::min(Failures, m_Settings.FailuresToExclude), 20u);
-  return std::min<std::chrono::nanoseconds>(m_Settings.FirstExclusion *
+std::chrono::nanoseconds TargetHealth::ejectionTime(unsigned Failures) const {
+  // 20 doublings exceed any reasonable maximum.
+  const unsigned Doublings =
+      std::min(Failures - std::min(Failures, m_Settings.FailuresToEject), 20u);
+  return std::min<std::chrono::nanoseconds>(m_Settings.FirstEjectionTime *
                                                 (int64_t{1} << Doublings),
-                                            m_Settings.MaximumExclusion);
+                                            m_Settings.MaximumEjectionTime);
 }
 
 bool TargetHealth::allows(BootTime Now) {
-  int64_t Until = m_ExcludedUntil.load(std::memory_order_relaxed);
+  int64_t Until = m_EjectedUntil.load(std::memory_order_relaxed);
   if (Until == 0)
     return true;
-  if (ticks(Now) < Until)
+  if (nanoseconds(Now) < Until)
     return false;
   const unsigned Failures = m_Failures.load(std::memory_order_relaxed);
-  if (!m_ExcludedUntil.compare_exchange_strong(
-          Until, ticks(Now + exclusion(Failures)), std::memory_order_relaxed))
+  if (!m_EjectedUntil.compare_exchange_strong(
+          Until, nanoseconds(Now + ejectionTime(Failures)),
+          std::memory_order_relaxed))
     return false;
   m_Probing.store(true, std::memory_order_relaxed);
   return true;
 }
 
-bool TargetHealth::wantsProbe(BootTime Now) const {
-  const int64_t Until = m_ExcludedUntil.load(std::memory_order_relaxed);
-  return Until != 0 && ticks(Now) >= Until;
+bool TargetHealth::isProbeDue(BootTime Now) const {
+  const int64_t Until = m_EjectedUntil.load(std::memory_order_relaxed);
+  return Until != 0 && nanoseconds(Now) >= Until;
 }
 
-bool TargetHealth::excluded() const {
-  return m_ExcludedUntil.load(std::memory_order_relaxed) != 0;
+bool TargetHealth::isEjected() const {
+  return m_EjectedUntil.load(std::memory_order_relaxed) != 0;
 }
 
-std::shared_ptr<TargetHealth> HealthBook::health(const std::string &Target) {
+std::shared_ptr<TargetHealth> HealthTracker::health(const std::string &Target) {
   std::lock_guard Lock(m_Mutex);
   auto &Slot = m_Health[Target];
   if (!Slot)
@@ -80,7 +81,7 @@
 }
 
 template <typename Predicate>
-std::vector<std::string> HealthBook::targets(Predicate IsWanted) const {
+std::vector<std::string> HealthTracker::targets(Predicate IsWanted) const {
   std::lock_guard Lock(m_Mutex);
   std::vector<std::string> Targets;
   for (const auto &[Target, Health] : m_Health)
@@ -89,16 +90,16 @@
   return Targets;
 }
 
-std::vector<std::string> HealthBook::excluded() const {
-  return targets([](const TargetHealth &Each) { return Each.excluded(); });
+std::vector<std::string> HealthTracker::ejectedTargets() const {
+  return targets([](const TargetHealth &Health) { return Health.isEjected(); });
 }
 
-std::vector<std::string> HealthBook::wantingProbes(BootTime Now) const {
+std::vector<std::string> HealthTracker::targetsDueForProbe(BootTime Now) const {
   return targets(
-      [Now](const TargetHealth &Each) { return Each.wantsProbe(Now); });
+      [Now](const TargetHealth &Health) { return Health.isProbeDue(Now); });
 }
 
-void HealthBook::forget(const std::string &Target) {
+void HealthTracker::remove(const std::string &Target) {
   std::lock_guard Lock(m_Mutex);
   m_Health.erase(Target);
 }
--- a/Libraries/LibRetry/TargetHealth.h
+++ b/Libraries/LibRetry/TargetHealth.h
@@ -1,8 +1,9 @@
-//===- TargetHealth.h - Targets that fail again and again -------*- C++ -*-===//
+//===- TargetHealth.h - Ejection of failing targets -------------*- C++ -*-===//
 //
-// A target with consecutive failures is left out for a while, then probed
-// with single requests (half open) until one succeeds. Refusals are no
-// failures: a draining or full target is healthy.
+// Circuit breaker for each target: a target with consecutive failures is
+// ejected for some time, then probed with single requests (half open) until
+// one succeeds. Refusals do not count as failures: a draining or full target
+// is healthy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,16 +22,16 @@
 namespace figlift::retry {
 
 struct HealthSettings {
-  unsigned FailuresToExclude = 3;
-  /// Doubles with each failed probe...
-  std::chrono::milliseconds FirstExclusion{500};
-  /// ...up to this. A target that is back gets its first probe after at most
-  /// so long, and all work when that has ended: with 15 s an engine stood idle
-  /// for twenty after its link was mended. One request in five seconds is what
-  /// a target that stays away costs each entry.
-  std::chrono::milliseconds MaximumExclusion{5000};
-  /// A probe is wanted for so long before work that may not be repeated is
-  /// one: it comes to nothing if the probe fails.
+  unsigned FailuresToEject = 3;
+  /// Doubles with each failed probe, up to MaximumEjectionTime.
+  std::chrono::milliseconds FirstEjectionTime{500};
+  /// A target that has recovered is probed after at most this time, and gets
+  /// its full share of work once the probe succeeds. With 15 s an engine stayed
+  /// idle for 20 s after its link was restored. A target that stays down costs
+  /// each entry one request per 5 s.
+  std::chrono::milliseconds MaximumEjectionTime{5000};
+  /// Non-repeatable work is used as a probe only after one has been due for
+  /// this time, because it cannot be retried if the probe fails.
   std::chrono::milliseconds ProbeOverdue{5000};
 };
 
@@ -39,49 +40,52 @@
 public:
   explicit TargetHealth(HealthSettings Settings = {});
 
-  void succeeded();
-  /// While the target is excluded only the failure of its probe counts.
-  void failed(BootTime Now);
+  void recordSuccess();
+  /// While the target is ejected, only the failure of its probe counts.
+  void recordFailure(BootTime Now);
 
-  /// Whether an attempt may go there now. After an exclusion one caller gets
-  /// true, which makes its attempt the probe; the others get false until the
-  /// probe has succeeded or another exclusion has passed, so a probe that its
-  /// caller never sent blocks nothing for long.
+  /// Whether an attempt may be sent to the target now. After an ejection one
+  /// caller gets true, and its attempt is the probe. The others get false until
+  /// the probe has succeeded or another ejection time has passed, so a probe
+  /// that was allowed but not sent does not block the target for long.
   bool allows(BootTime Now);
-  /// Whether an exclusion has passed and a probe is wanted: allows() would make
-  /// an attempt one.
-  bool wantsProbe(BootTime Now) const;
-  /// The same for ProbeOverdue: no work came that may be repeated.
-  bool probeIsOverdue(BootTime Now) const {
-    return wantsProbe(Now - m_Settings.ProbeOverdue);
+  /// Whether the ejection time has passed, so that the next call of allows()
+  /// starts a probe.
+  bool isProbeDue(BootTime Now) const;
+  /// Whether a probe has been due for ProbeOverdue, because no repeatable work
+  /// was sent to the target.
+  bool isProbeOverdue(BootTime Now) const {
+    return isProbeDue(Now - m_Settings.ProbeOverdue);
   }
-  bool excluded() const;
+  bool isEjected() const;
 
 private:
-  std::chrono::nanoseconds exclusion(unsigned Failures) const;
+  std::chrono::nanoseconds ejectionTime(unsigned Failures) const;
 
   HealthSettings m_Settings;
   /// Since the last success.
   std::atomic<unsigned> m_Failures{0};
-  /// BootTime in nanoseconds; 0 while the target is in use.
-  std::atomic<int64_t> m_ExcludedUntil{0};
-  /// A probe was let through and has not failed yet.
+  /// BootTime in nanoseconds; 0 while the target is not ejected.
+  std::atomic<int64_t> m_EjectedUntil{0};
+  /// A probe was allowed and has not failed yet.
   std::atomic<bool> m_Probing{false};
 };
 
 /// Health of all targets that an entry uses.
-class HealthBook {
+class HealthTracker {
 public:
-  explicit HealthBook(HealthSettings Settings = {}) : m_Settings(Settings) {}
+  explicit HealthTracker(HealthSettings Settings = {}) : m_Settings(Settings) {}
 
-  /// Made on first use; keep it beside the attempt.
+  /// Returns the health of \p Target, created on first use. Attempts keep the
+  /// pointer, so that they need no further look-up.
   std::shared_ptr<TargetHealth> health(const std::string &Target);
-  /// Targets that get no attempt but a probe; to be appended to the exclusions
-  /// of route::chooseTarget.
-  std::vector<std::string> excluded() const;
-  /// Those of them that want one now. Whoever sends it asks allows() first.
-  std::vector<std::string> wantingProbes(BootTime Now) const;
-  void forget(const std::string &Target);
+  /// Ejected targets, which get no attempts except probes; to be passed to
+  /// route::chooseTarget() as exclusions.
+  std::vector<std::string> ejectedTargets() const;
+  /// Ejected targets that are due for a probe. The sender of the probe calls
+  /// allows() first.
+  std::vector<std::string> targetsDueForProbe(BootTime Now) const;
+  void remove(const std::string &Target);
 
 private:
   HealthSettings m_Settings;
--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -140,14 +140,14 @@
 
 void Call::onAccepted() {
   m_History.AcceptedSeen = true;
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_Accepted.store(true);
 }
 
 bool Call::onTokens(Attempt &From, const wire::Tokens &Frame) {
   takeOver(From);
   m_History.AcceptedSeen = true;
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_Accepted.store(true);
   const uint32_t Expected = m_History.TokensDelivered;
   if (Frame.first_index() + Frame.count() <= Expected) {
@@ -183,7 +183,8 @@
                   From.identity().AttemptId,
                   {{"expected", m_History.TokensDelivered}});
   From.cancel();
-  afterEnd(From.link(), retry::StreamBroke{wire::StreamEnd::ConnectionLost});
+  afterEnd(From.link(),
+           retry::StreamInterrupted{wire::StreamEnd::ConnectionLost});
   return false;
 }
 
@@ -194,7 +195,7 @@
     return;
   }
   takeOver(From);
-  From.link()->health().succeeded();
+  From.link()->health().recordSuccess();
   const CompletionEnd End{.FinishReason = Frame.finish_reason(),
                           .PromptTokens = shape().PromptTokens,
                           .TotalTokens = Frame.total_tokens(),
@@ -211,13 +212,13 @@
   auto *Writer = std::get_if<std::unique_ptr<PlainAnswer>>(&*m_Writer);
   if (!Writer)
     return afterEnd(From.link(), retry::TargetFailed{});
-  From.link()->health().succeeded();
+  From.link()->health().recordSuccess();
   (*Writer)->answer(Frame);
   finish(ResultCode::Success);
 }
 
 void Call::onRefusal(Attempt &From, const wire::Refusal &Frame) {
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_LastMessage = Frame.message();
   retry::AgentRefused End;
   End.Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
@@ -230,7 +231,7 @@
 }
 
 void Call::onFailure(Attempt &From, const wire::Failure &Frame) {
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_LastMessage = Frame.message();
   ResultCode Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
                         .value_or(ResultCode::TargetFailed);
@@ -239,7 +240,7 @@
       timeLeft().count() > 0)
     Code = ResultCode::TargetFailed;
   if (Code == ResultCode::TargetFailed)
-    From.link()->health().failed(BootClock::now());
+    From.link()->health().recordFailure(BootClock::now());
   afterEnd(From.link(), retry::TargetFailed{Code});
 }
 
@@ -247,14 +248,14 @@
   if (End == wire::StreamEnd::ConnectionLost ||
       End == wire::StreamEnd::NeverSent) {
     const BootTime Now = BootClock::now();
-    From.link()->health().failed(Now);
-    if (!m_History.LinksLost)
-      m_History.LinksLost = Now;
+    From.link()->health().recordFailure(Now);
+    if (!m_History.LinksLostSince)
+      m_History.LinksLostSince = Now;
   }
   // Without a last frame an end in good order says no more than a broken one.
   if (End == wire::StreamEnd::Finished)
     End = wire::StreamEnd::ResetByPeer;
-  afterEnd(From.link(), retry::StreamBroke{End});
+  afterEnd(From.link(), retry::StreamInterrupted{End});
 }
 
 void Call::fail(Error What) {
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -109,9 +109,9 @@
   void afterEnd(const std::shared_ptr<TargetLink> &Link,
                 const retry::AttemptEnd &End);
   void perform(const retry::RetryElsewhere &Next);
-  void perform(const retry::ResumeSame &Next);
+  void perform(const retry::ResumeAttempt &Next);
   void perform(const retry::ContinueElsewhere &Next);
-  void perform(const retry::AskHomeAgain &Next);
+  void perform(const retry::RetryAtHome &Next);
   void perform(const retry::WaitForBudget &Next);
   void perform(const retry::GiveUp &Next);
   void newAttemptAfter(std::chrono::milliseconds Delay);
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -147,7 +147,7 @@
       m_Context.Retrying, m_History, End, m_Context.Budget, BootClock::now());
   const bool MayHaveRun = retry::mayHaveRun(m_History, End);
   m_History.EarlierMayHaveRun |= MayHaveRun;
-  const bool IsOver = !std::holds_alternative<retry::ResumeSame>(Next);
+  const bool IsOver = !std::holds_alternative<retry::ResumeAttempt>(Next);
   if (IsOver && MayHaveRun)
     ++m_History.Runs;
   if (Link && IsOver)
@@ -196,11 +196,11 @@
   newAttemptAfter(Next.Delay);
 }
 
-void Call::perform(const retry::AskHomeAgain &Next) {
+void Call::perform(const retry::RetryAtHome &Next) {
   newAttemptAfter(Next.Delay);
 }
 
-void Call::perform(const retry::ResumeSame &Next) {
+void Call::perform(const retry::ResumeAttempt &Next) {
   ++m_History.Resumes;
   runAfter(Next.Delay,
            [Self = shared_from_this()] { Self->resume(Self->m_LastLink); });
--- a/Services/figlift-entry/CallChoice.cpp
+++ b/Services/figlift-entry/CallChoice.cpp
@@ -104,12 +104,12 @@
 }
 
 std::vector<std::string> Call::excludedTargets() {
-  std::vector<std::string> Excluded = m_Context.Health.excluded();
+  std::vector<std::string> Excluded = m_Context.Health.ejectedTargets();
   const BootTime Now = BootClock::now();
   if (!m_Request.Repeatable)
     std::erase_if(Excluded, [&](const std::string &Each) {
       const auto Health = m_Context.Health.health(Each);
-      return Health->probeIsOverdue(Now) && Health->allows(Now);
+      return Health->isProbeOverdue(Now) && Health->allows(Now);
     });
   Excluded.insert(Excluded.end(), m_Excluded.begin(), m_Excluded.end());
   return Excluded;
@@ -130,7 +130,7 @@
   if (!m_Request.Repeatable || m_History.Attempts > 1)
     return std::nullopt;
   for (const std::string &Target :
-       m_Context.Health.wantingProbes(BootClock::now())) {
+       m_Context.Health.targetsDueForProbe(BootClock::now())) {
     if (std::ranges::find(NotPreferred, Target) != NotPreferred.end())
       continue;
     route::RequestShape Shape = shape();
--- a/Services/figlift-entry/CallContext.h
+++ b/Services/figlift-entry/CallContext.h
@@ -77,7 +77,7 @@
   CallMetrics &Metrics;
   UuidGenerator &Ids;
   retry::RetryBudget &Budget;
-  retry::HealthBook &Health;
+  retry::HealthTracker &Health;
   WorkspaceBook &Workspaces;
   const route::Policy &Routing;
   const retry::RetrySettings &Retrying;
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -129,7 +129,7 @@
 void Fleet::act(const membership::Disconnect &Which) {
   m_Links.erase(Which.Target);
   m_Reports.erase(Which.Target);
-  m_Health.forget(Which.Target);
+  m_Health.remove(Which.Target);
 }
 
 void Fleet::act(const membership::TellLeaving &Which) {
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -87,7 +87,7 @@
 
   /// Any thread.
   std::shared_ptr<const FleetStatus> status() const { return m_Status.load(); }
-  retry::HealthBook &healthBook() { return m_Health; }
+  retry::HealthTracker &healthBook() { return m_Health; }
 
 private:
   void pollList();
@@ -123,7 +123,7 @@
   const Parts m_Parts;
   membership::Membership m_Membership;
   route::InFlightBook m_Book;
-  retry::HealthBook m_Health;
+  retry::HealthTracker m_Health;
   PeersObserver m_OnPeers;
   RevisionObserver m_OnRevision;
   std::map<std::string, Linked> m_Links;
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -117,7 +117,7 @@
   void report(const std::string &Id, const route::TargetLoad &Load) {
     m_Book.gauge(Id)->report(Load, BootClock::now());
   }
-  retry::HealthBook &health() { return m_Health; }
+  retry::HealthTracker &health() { return m_Health; }
   std::shared_ptr<FakeCaller> call(entry::CallerRequest Request);
 
   entry::CallerRequest completion(uint32_t MaximumTokens,
@@ -137,7 +137,7 @@
   timeline::Timeline m_Events{{}};
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
-  retry::HealthBook m_Health;
+  retry::HealthTracker m_Health;
   entry::WorkspaceBook m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
   retry::RetrySettings m_Retrying;
--- a/Tests/FigliftEntry/TestCall.cpp
+++ b/Tests/FigliftEntry/TestCall.cpp
@@ -47,9 +47,9 @@
 
   /// The target has failed so often that it is left out; the last time \p Ago.
   void excludeTarget(const std::string &Id, std::chrono::seconds Ago) {
-    for (unsigned Each = 0; Each < retry::HealthSettings().FailuresToExclude;
+    for (unsigned Each = 0; Each < retry::HealthSettings().FailuresToEject;
          ++Each)
-      Bench.health().health(Id)->failed(BootClock::now() - Ago);
+      Bench.health().health(Id)->recordFailure(BootClock::now() - Ago);
   }
   /// One slot is held, with a target that failed \p Ago and another one; how
   /// many holds the first of them gets.
--- a/Tests/LibRetry/TestBudgetAndHealth.cpp
+++ b/Tests/LibRetry/TestBudgetAndHealth.cpp
@@ -1,6 +1,7 @@
-//===- TestBudgetAndHealth.cpp - Bounds on retries --------------*- C++ -*-===//
+//===- TestBudgetAndHealth.cpp - Retry budget and ejection ------*- C++ -*-===//
 //
-// The retry budget in a small simulation, target health, and both on threads.
+// The retry budget in a small simulation and under threads, and the ejection
+// of targets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,24 +19,25 @@
 
 namespace {
 
-struct Outcome {
-  double AttemptsEach = 0;
-  double Succeeded = 0;
+struct SimulationResult {
+  double AttemptsPerRequest = 0;
+  double SuccessRate = 0;
 };
 
-/// Requests one after the other, each attempt failing with \p FailureRate.
-Outcome simulate(double FailureRate, RetryBudget &Budget) {
+/// Sends requests one after the other; each attempt fails with probability
+/// \p FailureRate.
+SimulationResult simulate(double FailureRate, RetryBudget &Budget) {
   constexpr int Requests = 20000;
   std::mt19937_64 Random(11);
   std::bernoulli_distribution Fails(FailureRate);
-  unsigned Attempts = 0, Good = 0;
+  unsigned Attempts = 0, Succeeded = 0;
   for (int I = 0; I < Requests; ++I) {
     RequestHistory Request;
     for (;; ++Request.Attempts) {
       ++Attempts;
       if (!Fails(Random)) {
         Budget.earn();
-        ++Good;
+        ++Succeeded;
         break;
       }
       if (std::holds_alternative<GiveUp>(
@@ -44,30 +46,30 @@
     }
   }
   return {static_cast<double>(Attempts) / Requests,
-          static_cast<double>(Good) / Requests};
+          static_cast<double>(Succeeded) / Requests};
 }
 
 } // namespace
 
 TEST_GROUP(RetryBudget){};
 
-// Symptom: a back end that fails in part gets a multiple of its load and
-// fails wholly.
-// Sequence: 30% (then all) of the attempts fail; each failure is retried.
-// Cause: retries without a bound that depends on successes.
+// Guards against retry storms: when 30 % (then all) of the attempts
+// recordFailures and each failure is retried, a back end that fails in part
+// receives a multiple of its load and fails completely, unless retries are
+// bounded by successes.
 TEST(RetryBudget, KeepsAttemptsPerRequestBounded) {
   RetryBudget Budget;
-  const Outcome Partly = simulate(0.3, Budget);
-  CHECK(Partly.AttemptsEach < 1.3);
-  CHECK(Partly.Succeeded > 0.78);
-  RetryBudget Second;
-  CHECK(simulate(1.0, Second).AttemptsEach < 1.01);
-  // With few failures the budget never stands in the way.
-  RetryBudget Third;
-  CHECK(simulate(0.05, Third).Succeeded > 0.999);
-
-  RetryBudget Boundless({1000.0, 1e9});
-  CHECK(simulate(0.3, Boundless).AttemptsEach > 1.3);
+  const SimulationResult PartialFailure = simulate(0.3, Budget);
+  CHECK(PartialFailure.AttemptsPerRequest < 1.3);
+  CHECK(PartialFailure.SuccessRate > 0.78);
+  RetryBudget TotalFailureBudget;
+  CHECK(simulate(1.0, TotalFailureBudget).AttemptsPerRequest < 1.01);
+  // With few failures the budget does not limit retries.
+  RetryBudget FewFailuresBudget;
+  CHECK(simulate(0.05, FewFailuresBudget).SuccessRate > 0.999);
+
+  RetryBudget Unlimited({1000.0, 1e9});
+  CHECK(simulate(0.3, Unlimited).AttemptsPerRequest > 1.3);
 }
 
 TEST(RetryBudget, IsExactUnderManyThreads) {
@@ -76,7 +78,7 @@
   }
   std::atomic<unsigned> Spent{0};
   std::vector<std::thread> Threads;
-  for (int T = 0; T < 4; ++T)
+  for (int ThreadIndex = 0; ThreadIndex < 4; ++ThreadIndex)
     Threads.emplace_back([&] {
       for (int I = 0; I < 4000; ++I) {
         Budget.earn();
@@ -84,8 +86,8 @@
           ++Spent;
       }
     });
-  for (std::thread &One : Threads)
-    One.join();
+  for (std::thread &Thread : Threads)
+    Thread.join();
   while (Budget.spend())
     ++Spent;
   LONGS_EQUAL(8000, Spent.load());
@@ -94,84 +96,83 @@
 TEST_GROUP(TargetHealth) {
   BootTime Now{std::chrono::seconds(100)};
   TargetHealth Health;
-  void fail(unsigned Times) {
-    for (unsigned I = 0; I < Times; ++I)
-      Health.failed(Now);
+  void recordFailures(unsigned Count) {
+    for (unsigned I = 0; I < Count; ++I)
+      Health.recordFailure(Now);
   }
 };
 
-TEST(TargetHealth, ExcludesAfterConsecutiveFailuresOnly) {
-  fail(2);
-  Health.succeeded();
-  fail(2);
+TEST(TargetHealth, EjectsOnlyAfterConsecutiveFailures) {
+  recordFailures(2);
+  Health.recordSuccess();
+  recordFailures(2);
   CHECK(Health.allows(Now));
-  fail(1);
+  recordFailures(1);
   CHECK(!Health.allows(Now));
 }
 
-// Symptom: a target that is down gets a burst of requests each time its
-// exclusion ends, and all of them fail.
-// Sequence: the exclusion passes; many threads ask at once.
-// Cause: no half-open state.
+// Guards against bursts at a target that is down: without a half-open state,
+// all threads that check the target when its ejection time has passed send it
+// requests, and all of these recordFailures.
 TEST(TargetHealth, ProbesWithOneRequestAndBacksOff) {
-  fail(3);
+  recordFailures(3);
   Now += milliseconds(500);
   CHECK(Health.allows(Now));
   CHECK(!Health.allows(Now));
-  Health.failed(Now);
+  Health.recordFailure(Now);
   CHECK(!Health.allows(Now + milliseconds(900)));
   CHECK(Health.allows(Now + milliseconds(1000)));
-  Health.succeeded();
+  Health.recordSuccess();
   CHECK(Health.allows(Now) && Health.allows(Now));
 }
 
-TEST(TargetHealth, ProbeThatWasNeverSentBlocksNothing) {
-  fail(3);
+TEST(TargetHealth, UnsentProbeDoesNotBlockTheTarget) {
+  recordFailures(3);
   Now += milliseconds(500);
   CHECK(Health.allows(Now));
   CHECK(Health.allows(Now + milliseconds(500)));
 }
 
-// Symptom: an engine whose link broke for a moment gets no work for 15 s.
-// Sequence: the link breaks under many streams, and each of them fails.
-// Cause: one event counted as many failed probes.
-TEST(TargetHealth, FailuresAtOnceCountAsOneExclusion) {
-  fail(1000);
+// Guards against an ejection of 15 s after a short interruption: when a link
+// with many streams is lost, each stream fails, and each failure was counted as
+// a failed probe.
+TEST(TargetHealth, SimultaneousFailuresCountAsOneEjection) {
+  recordFailures(1000);
   CHECK(!Health.allows(Now + milliseconds(499)));
   CHECK(Health.allows(Now + milliseconds(500)));
 }
 
-TEST(TargetHealth, ExclusionIsBoundedAfterManyFailedProbes) {
-  fail(3);
+TEST(TargetHealth, EjectionTimeIsBoundedAfterManyFailedProbes) {
+  recordFailures(3);
   for (int Probe = 0; Probe < 1000; ++Probe) {
     Now += milliseconds(5000);
     CHECK(Health.allows(Now));
-    fail(1);
+    recordFailures(1);
   }
   CHECK(!Health.allows(Now + milliseconds(4999)));
   CHECK(Health.allows(Now + milliseconds(5000)));
 }
 
-TEST(TargetHealth, BookListsExcludedTargets) {
-  HealthBook Book;
+TEST(TargetHealth, TrackerListsEjectedTargets) {
+  HealthTracker Tracker;
   for (int I = 0; I < 3; ++I)
-    Book.health("bad")->failed(Now);
-  Book.health("good")->succeeded();
-  LONGS_EQUAL(1, Book.excluded().size());
-  LONGS_EQUAL(0, Book.wantingProbes(Now).size());
+    Tracker.health("bad")->recordFailure(Now);
+  Tracker.health("good")->recordSuccess();
+  LONGS_EQUAL(1, Tracker.ejectedTargets().size());
+  LONGS_EQUAL(0, Tracker.targetsDueForProbe(Now).size());
   Now += milliseconds(500);
-  // Asking takes nothing from whoever sends the probe, which is one.
-  for (int Times = 0; Times < 2; ++Times) {
-    LONGS_EQUAL(1, Book.excluded().size());
-    LONGS_EQUAL(1, Book.wantingProbes(Now).size());
+  // A query does not claim the probe; only allows() does.
+  for (int I = 0; I < 2; ++I) {
+    LONGS_EQUAL(1, Tracker.ejectedTargets().size());
+    LONGS_EQUAL(1, Tracker.targetsDueForProbe(Now).size());
   }
-  CHECK(Book.health("bad")->allows(Now));
-  LONGS_EQUAL(1, Book.excluded().size());
-  LONGS_EQUAL(0, Book.wantingProbes(Now).size());
-  Book.health("bad")->succeeded();
-  LONGS_EQUAL(0, Book.excluded().size());
+  CHECK(Tracker.health("bad")->allows(Now));
+  LONGS_EQUAL(1, Tracker.ejectedTargets().size());
+  LONGS_EQUAL(0, Tracker.targetsDueForProbe(Now).size());
+  Tracker.health("bad")->recordSuccess();
+  LONGS_EQUAL(0, Tracker.ejectedTargets().size());
   for (int I = 0; I < 3; ++I)
-    Book.health("bad")->failed(Now);
-  Book.forget("bad");
-  LONGS_EQUAL(0, Book.excluded().size());
+    Tracker.health("bad")->recordFailure(Now);
+  Tracker.remove("bad");
+  LONGS_EQUAL(0, Tracker.ejectedTargets().size());
 }
