--- a/Libraries/LibRoute/PrefixHash.cpp
+++ b/Libraries/LibRoute/PrefixHash.cpp
@@ -1,7 +1,6 @@
-//===- PrefixHash.cpp - Hashes of the leading blocks of a prompt -*- C++
-//-*-===//
+//===- PrefixHash.cpp - Hashes of the leading blocks of a prompt ----------===//
 //
-// Chained XXH64 and the bounded set of hashes.
+// Chained XXH64, and the bounded set of hashes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,8 +26,8 @@
 }
 
 PrefixSummary::PrefixSummary(std::span<const uint64_t> Hashes, size_t Maximum) {
-  const auto Kept = Hashes.first(std::min(Hashes.size(), Maximum));
-  m_Hashes.assign(Kept.begin(), Kept.end());
+  const auto MostRecent = Hashes.first(std::min(Hashes.size(), Maximum));
+  m_Hashes.assign(MostRecent.begin(), MostRecent.end());
   std::ranges::sort(m_Hashes);
   m_Hashes.erase(std::unique(m_Hashes.begin(), m_Hashes.end()), m_Hashes.end());
 }
@@ -39,8 +38,8 @@
 
 size_t
 PrefixSummary::matchingBlocks(std::span<const uint64_t> PromptHashes) const {
-  // Hashes are chained, so the longest held block vouches for all before it;
-  // a cache event lost in between must not hide the rest.
+  // Hashes are chained, so a cached block implies all blocks before it, even if
+  // a lost cache event left a gap between them.
   for (size_t I = PromptHashes.size(); I > 0; --I)
     if (contains(PromptHashes[I - 1]))
       return I;
--- a/Libraries/LibRoute/Subset.cpp
+++ b/Libraries/LibRoute/Subset.cpp
@@ -1,6 +1,6 @@
 //===- Subset.cpp - Rendezvous hashing --------------------------*- C++ -*-===//
 //
-// Rendezvous weights and the choice of an entry's connections.
+// Rendezvous weights, and the selection of an entry's targets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,18 +23,20 @@
 
 struct Ranked {
   const SubsetMember *Member;
-  bool Held;
+  bool RequiredForCoverage;
   bool SameZone;
   uint64_t Weight;
 };
 
-/// Whether \p Entry is among the \p Holders best entries for \p Target.
-bool mustHold(std::string_view Entry, std::string_view Target,
-              std::span<const std::string> Entries, size_t Holders) {
+/// Whether \p Entry is among the \p Holders entries with the highest weights
+/// for \p Target.
+bool isRequiredForCoverage(std::string_view Entry, std::string_view Target,
+                           std::span<const std::string> Entries,
+                           size_t Holders) {
   const uint64_t Key = rendezvousKey(Target);
-  const uint64_t Own = rendezvousWeight(Key, Entry);
+  const uint64_t EntryWeight = rendezvousWeight(Key, Entry);
   const auto Better = std::ranges::count_if(Entries, [&](const auto &Other) {
-    return rendezvousWeight(Key, Other) > Own;
+    return rendezvousWeight(Key, Other) > EntryWeight;
   });
   return static_cast<size_t>(Better) < Holders;
 }
@@ -46,10 +48,10 @@
   std::vector<Ranked> All;
   All.reserve(Targets.size());
   for (const SubsetMember &Target : Targets)
-    All.push_back(
-        {&Target,
-         !Entries.empty() && mustHold(Entry, Target.Id, Entries, Holders),
-         Target.Zone == Zone, rendezvousWeight(Key, Target.Id)});
+    All.push_back({&Target,
+                   !Entries.empty() && isRequiredForCoverage(Entry, Target.Id,
+                                                             Entries, Holders),
+                   Target.Zone == Zone, rendezvousWeight(Key, Target.Id)});
   std::ranges::sort(All, std::ranges::greater{}, &Ranked::Weight);
   return All;
 }
@@ -62,19 +64,22 @@
           std::span<const std::string> Entries, size_t MinimumHolders) {
   const auto All = rank(Entry, Zone, Targets, Entries, MinimumHolders);
   std::vector<std::string> Chosen;
-  const auto Take = [&](size_t Limit, auto Wanted) {
-    for (const Ranked &One : All)
-      if (Chosen.size() < Limit && Wanted(One) &&
-          std::ranges::find(Chosen, One.Member->Id) == Chosen.end())
-        Chosen.push_back(One.Member->Id);
+  const auto AddUpTo = [&](size_t Limit, auto Matches) {
+    for (const Ranked &Candidate : All)
+      if (Chosen.size() < Limit && Matches(Candidate) &&
+          std::ranges::find(Chosen, Candidate.Member->Id) == Chosen.end())
+        Chosen.push_back(Candidate.Member->Id);
   };
-  // Those held for the sake of covering may exceed Size: an entry that dropped
-  // one would leave a target that nobody sends work to.
-  Take(All.size(), [](const Ranked &One) { return One.Held; });
+  // The targets needed for coverage may exceed Size: without one of them, a
+  // target might not be in the subset of any entry.
+  AddUpTo(All.size(), [](const Ranked &Candidate) {
+    return Candidate.RequiredForCoverage;
+  });
   const size_t ForOtherZones = std::min(Size, Size / 4 + 1);
-  Take(Size - ForOtherZones, [](const Ranked &One) { return One.SameZone; });
-  Take(Size, [](const Ranked &One) { return !One.SameZone; });
-  Take(Size, [](const Ranked &) { return true; });
+  AddUpTo(Size - ForOtherZones,
+          [](const Ranked &Candidate) { return Candidate.SameZone; });
+  AddUpTo(Size, [](const Ranked &Candidate) { return !Candidate.SameZone; });
+  AddUpTo(Size, [](const Ranked &) { return true; });
   return Chosen;
 }
 
--- a/Libraries/LibRoute/Subset.h
+++ b/Libraries/LibRoute/Subset.h
@@ -1,7 +1,8 @@
 //===- Subset.h - Rendezvous hashing ----------------------------*- C++ -*-===//
 //
-// Which targets an entry connects to, and which targets a prefix belongs to.
-// Rendezvous hashing moves only the share of a target that came or left.
+// Selects the targets that an entry connects to, and the candidate targets of a
+// prefix. When a target is added or removed, rendezvous hashing moves only the
+// share of that target.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +16,8 @@
 
 namespace figlift::route {
 
-/// Weight of \p Target for \p Key; the highest wins.
+/// Returns the weight of \p Target for \p Key; the target with the highest
+/// weight is chosen.
 uint64_t rendezvousWeight(uint64_t Key, std::string_view Target);
 uint64_t rendezvousKey(std::string_view Text);
 
@@ -24,15 +26,16 @@
   std::string Zone;
 };
 
-/// The at most \p Size targets that \p Entry keeps streams to: those of its
-/// own zone first, by rendezvous weight, and at least a quarter of the places
-/// for other zones, so that a zone's end leaves the entry with targets.
+/// Returns up to \p Size targets that \p Entry keeps streams to: targets of its
+/// own zone first, by rendezvous weight, and at least a quarter from other
+/// zones, so that the entry still has targets if its zone fails.
 ///
-/// Covering: every target is in the subset of some entry as long as the
-/// entries together have more places than there are targets only with high
-/// probability; \p Entries (all entries, own one included, any order) makes it
-/// certain, by giving each target to its own best \p MinimumHolders entries
-/// first.
+/// Coverage: by rendezvous weight alone, each target is in the subset of some
+/// entry only with high probability, even if the subsets together are larger
+/// than the fleet. \p Entries (all entries including \p Entry, in any order)
+/// guarantees it: each target is first assigned to the \p MinimumHolders
+/// entries with the highest weights for it, even if a subset then exceeds
+/// \p Size.
 std::vector<std::string>
 subsetFor(std::string_view Entry, std::string_view Zone,
           std::span<const SubsetMember> Targets, size_t Size,
--- a/Libraries/LibRoute/TargetLoad.cpp
+++ b/Libraries/LibRoute/TargetLoad.cpp
@@ -1,6 +1,6 @@
 //===- TargetLoad.cpp - Load of one target ----------------------*- C++ -*-===//
 //
-// Names of roles and sums over the service classes.
+// Names of roles, and sums over the service classes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,8 +10,8 @@
 
 namespace figlift::route {
 
-std::string_view roleName(Role Which) {
-  switch (Which) {
+std::string_view roleName(Role TargetRole) {
+  switch (TargetRole) {
   case Role::Prefill:
     return "prefill";
   case Role::Decode:
@@ -25,9 +25,9 @@
 }
 
 Role roleFromName(std::string_view Name) {
-  for (Role Which : {Role::Prefill, Role::Decode, Role::Service})
-    if (roleName(Which) == Name)
-      return Which;
+  for (Role TargetRole : {Role::Prefill, Role::Decode, Role::Service})
+    if (roleName(TargetRole) == Name)
+      return TargetRole;
   return Role::Mixed;
 }
 
