--- a/Libraries/LibRoute/ChooseTarget.cpp
+++ b/Libraries/LibRoute/ChooseTarget.cpp
@@ -1,4 +1,4 @@
-//===- ChooseTarget.cpp - The target of one attempt -------------*- C++ -*-===//
+//===- ChooseTarget.cpp - Selection of the target of an attempt -*- C++ -*-===//
 //
 // Candidates, their costs and early refusal for each policy.
 //
@@ -22,16 +22,16 @@
 constexpr milliseconds MinimumRetryAfter{50};
 constexpr milliseconds MaximumRetryAfter{30000};
 
-/// splitmix64: turns neighbouring seeds into independent numbers.
-uint64_t scramble(uint64_t Value) {
+/// Maps consecutive seeds to independent numbers.
+uint64_t splitMix64(uint64_t Value) {
   Value += 0x9e3779b97f4a7c15;
   Value = (Value ^ (Value >> 30)) * 0xbf58476d1ce4e5b9;
   Value = (Value ^ (Value >> 27)) * 0x94d049bb133111eb;
   return Value ^ (Value >> 31);
 }
 
-Result<Choice> refuse(ResultCode Code, std::string Message,
-                      microseconds RetryAfter) {
+Result<Choice> makeRefusal(ResultCode Code, std::string Message,
+                           microseconds RetryAfter) {
   const auto Bounded = std::clamp(std::chrono::ceil<milliseconds>(RetryAfter),
                                   MinimumRetryAfter, MaximumRetryAfter);
   return Error{Code, std::move(Message), {}, Bounded};
@@ -48,7 +48,7 @@
   return Targets;
 }
 
-/// Of values above 0; 0 without any.
+/// Mean of the positive values; 0 if there are none.
 class Mean {
 public:
   void add(double Value) {
@@ -64,29 +64,29 @@
   unsigned m_Count = 0;
 };
 
-/// Chooses for one policy; \p Targets is never empty.
+/// Chooses a target for each policy. Targets must not be empty.
 struct Chooser {
   const RoutingTable &Table;
   const RequestShape &Request;
   const Eligible &Targets;
   uint64_t Seed;
   /// May be null.
-  std::vector<Considered> *Account;
-  /// Absent until a target is met that has not measured its own.
+  std::vector<CandidateScore> *Scores;
+  /// Computed when the first target without measurements is scored.
   mutable std::optional<PeerSpeeds> Peers = {};
 
   Result<Choice> operator()(const RandomPolicy &) const {
-    return describe(*Targets[scramble(Seed) % Targets.size()]);
+    return withEstimate(*Targets[splitMix64(Seed) % Targets.size()]);
   }
 
   Result<Choice> operator()(const RoundRobinPolicy &Settings) const {
-    const uint64_t Turn =
+    const uint64_t Index =
         Settings.Next->fetch_add(1, std::memory_order_relaxed);
-    return describe(*Targets[Turn % Targets.size()]);
+    return withEstimate(*Targets[Index % Targets.size()]);
   }
 
   Result<Choice> operator()(const LeastLoadedPolicy &) const {
-    return describe(
+    return withEstimate(
         **std::ranges::min_element(Targets, {}, [](const TargetView *Target) {
           const TargetLoad Load = Target->Gauge->reported();
           return std::pair(Load.prefillTotal() + Load.DecodeTokensWaiting,
@@ -95,35 +95,35 @@
   }
 
   Result<Choice> operator()(const FigliftPolicy &Settings) const {
-    const Scored Best = best(Settings, candidates(Settings));
+    const ScoredChoice Best = best(Settings, candidates(Settings));
     if (!Settings.EarlyRefusal || acceptable(Best))
       return Best.Chosen;
-    // The candidates are a sample; work is refused only when no target at all
-    // can take it.
-    const Scored Overall = best(Settings, Targets);
+    // The candidates are a sample; work is refused only if none of all targets
+    // can accept it.
+    const ScoredChoice Overall = best(Settings, Targets);
     if (acceptable(Overall))
       return Overall.Chosen;
-    return refusal(Overall);
+    return refusalFor(Overall);
   }
 
 private:
-  struct Scored {
+  struct ScoredChoice {
     Choice Chosen;
     microseconds Cost = microseconds::max();
     bool QueueFull = false;
     bool TooLate = false;
-    microseconds UntilQueueDrains{0};
+    microseconds UntilQueueHasRoom{0};
   };
 
-  Result<Choice> describe(const TargetView &Target) const {
+  Result<Choice> withEstimate(const TargetView &Target) const {
     const WaitEstimate Estimate = estimateWait(
         FigliftPolicy{}, Target, Target.Gauge->reported(), Request);
     return Choice{&Target, Estimate.Wait, Estimate.Total,
-                  Estimate.PrefixTokensSaved, Estimate.PrefixTokensBelieved};
+                  Estimate.PrefixTokensSaved, Estimate.ExpectedCachedTokens};
   }
 
-  static bool acceptable(const Scored &One) {
-    return !One.QueueFull && !One.TooLate;
+  static bool acceptable(const ScoredChoice &Candidate) {
+    return !Candidate.QueueFull && !Candidate.TooLate;
   }
 
   uint64_t affinityKey() const {
@@ -133,10 +133,10 @@
   }
 
   Eligible candidates(const FigliftPolicy &Settings) const {
-    const size_t Wanted =
+    const size_t MaximumCandidates =
         Settings.RandomCandidates +
         (Settings.PrefixAwareness ? Settings.RendezvousCandidates + 1 : 0);
-    if (Targets.size() <= Wanted)
+    if (Targets.size() <= MaximumCandidates)
       return Targets;
     Eligible Chosen;
     if (Settings.PrefixAwareness) {
@@ -180,10 +180,10 @@
       Holders.push_back(Target);
     }
     if (!Holders.empty())
-      add(Chosen, Holders[scramble(Seed ^ Longest) % Holders.size()]);
+      add(Chosen, Holders[splitMix64(Seed ^ Longest) % Holders.size()]);
   }
 
-  /// Half of the random candidates, rounded up, come from the entry's zone.
+  /// Picks half of the random candidates, rounded up, from the entry's zone.
   void addRandom(Eligible &Chosen, size_t Count) const {
     Eligible OwnZone;
     std::ranges::copy_if(Targets, std::back_inserter(OwnZone),
@@ -192,14 +192,15 @@
                          });
     uint64_t Random = Seed;
     for (size_t I = 0; I < Count; ++I) {
-      Random = scramble(Random);
+      Random = splitMix64(Random);
       const bool Near = !OwnZone.empty() && I < (Count + 1) / 2;
       const Eligible &Pool = Near ? OwnZone : Targets;
       add(Chosen, Pool[Random % Pool.size()]);
     }
   }
 
-  Scored score(const FigliftPolicy &Settings, const TargetView &Target) const {
+  ScoredChoice score(const FigliftPolicy &Settings,
+                     const TargetView &Target) const {
     const TargetLoad Load = Settings.InFlightCorrection
                                 ? Target.Gauge->corrected()
                                 : Target.Gauge->reported();
@@ -208,39 +209,40 @@
     const WaitEstimate Estimate =
         estimateWait(Settings, Target, Load, Request,
                      Measured ? PeerSpeeds() : peerSpeeds());
-    Scored Result;
+    ScoredChoice Result;
     Result.Chosen = {&Target, Estimate.Wait, Estimate.Total,
-                     Estimate.PrefixTokensSaved, Estimate.PrefixTokensBelieved};
-    Result.Cost = Estimate.Total + crowding(Settings, Load, Estimate);
+                     Estimate.PrefixTokensSaved, Estimate.ExpectedCachedTokens};
+    Result.Cost = Estimate.Total + fullBatchPenalty(Settings, Load, Estimate);
     if (Target.Zone != Table.ownZone())
       Result.Cost += Settings.OtherZonePenalty;
-    judge(Settings, Load, Estimate, Result);
+    checkLimits(Settings, Load, Estimate, Result);
     return Result;
   }
 
-  static microseconds crowding(const FigliftPolicy &Settings,
-                               const TargetLoad &Load,
-                               const WaitEstimate &Estimate) {
-    const double Places = Load.MaximumSequences > 0
-                              ? Load.MaximumSequences
-                              : Settings.AssumedMaximumSequences;
-    const double Taken =
-        std::min(1.0, (Load.RunningSequences + Load.WaitingRequests) / Places);
+  static microseconds fullBatchPenalty(const FigliftPolicy &Settings,
+                                       const TargetLoad &Load,
+                                       const WaitEstimate &Estimate) {
+    const double Slots = Load.MaximumSequences > 0
+                             ? Load.MaximumSequences
+                             : Settings.AssumedMaximumSequences;
+    const double Occupancy =
+        std::min(1.0, (Load.RunningSequences + Load.WaitingRequests) / Slots);
     const microseconds Decode = Estimate.Total - Estimate.Wait;
     return std::chrono::duration_cast<microseconds>(
-        Decode * (Settings.CrowdedDecodeFactor * Taken));
+        Decode * (Settings.FullBatchDecodeFactor * Occupancy));
   }
 
-  /// A target that has measured nothing is as fast as its peers until it says
-  /// otherwise. Taken for much slower it gets no work, and so never measures.
+  /// Speeds assumed for a target that has no measurements yet. If it were
+  /// assumed to be much slower than its peers, it would get no work and never
+  /// measure its speed.
   const PeerSpeeds &peerSpeeds() const {
     if (Peers)
       return *Peers;
     Peers.emplace();
     Mean Prefill;
     Mean Decode;
-    for (const TargetView &Each : Table.targets(Request.BackEnd)) {
-      const TargetLoad Load = Each.Gauge->reported();
+    for (const TargetView &Peer : Table.targets(Request.BackEnd)) {
+      const TargetLoad Load = Peer.Gauge->reported();
       Prefill.add(Load.PrefillTokensPerSecond);
       if (Load.MaximumSequences > 0)
         Decode.add(Load.DecodeTokensPerSecond / Load.MaximumSequences);
@@ -250,11 +252,11 @@
     return *Peers;
   }
 
-  void judge(const FigliftPolicy &Settings, const TargetLoad &Load,
-             const WaitEstimate &Estimate, Scored &Result) const {
+  void checkLimits(const FigliftPolicy &Settings, const TargetLoad &Load,
+                   const WaitEstimate &Estimate, ScoredChoice &Result) const {
     const auto Class = static_cast<size_t>(Request.Class);
     const uint64_t Bound = Table.bounds(Request.BackEnd)[Class];
-    // An empty queue takes any prompt, however long.
+    // An empty queue accepts a prompt of any length.
     const uint64_t Waiting = Settings.ClassPriorities
                                  ? Load.PrefillTokensWaiting[Class]
                                  : Load.prefillTotal();
@@ -262,14 +264,15 @@
         Waiting > 0 &&
         Waiting + Request.PromptTokens - Estimate.PrefixTokensSaved > Bound;
     if (Result.QueueFull)
-      Result.UntilQueueDrains = untilDrained(Settings, Load, Waiting, Bound);
+      Result.UntilQueueHasRoom =
+          timeUntilQueueHasRoom(Settings, Load, Waiting, Bound);
     Result.TooLate = Estimate.Measured && Request.TimeLeft &&
                      Estimate.Total > *Request.TimeLeft;
   }
 
-  microseconds untilDrained(const FigliftPolicy &Settings,
-                            const TargetLoad &Load, uint64_t Waiting,
-                            uint64_t Bound) const {
+  microseconds timeUntilQueueHasRoom(const FigliftPolicy &Settings,
+                                     const TargetLoad &Load, uint64_t Waiting,
+                                     uint64_t Bound) const {
     const double Rate = Load.PrefillTokensPerSecond > 0
                             ? Load.PrefillTokensPerSecond
                             : Settings.AssumedPrefillTokensPerSecond;
@@ -279,82 +282,86 @@
     return microseconds(static_cast<int64_t>(Excess / Rate * 1e6));
   }
 
-  /// Targets that can take the work go before those that cannot.
-  Scored best(const FigliftPolicy &Settings, const Eligible &Among) const {
-    std::vector<Scored> All;
-    All.reserve(Among.size());
-    uint32_t MostBelieved = 0;
-    for (const TargetView *Target : Among) {
+  /// Returns the target with the least cost, acceptable targets first.
+  ScoredChoice best(const FigliftPolicy &Settings,
+                    const Eligible &Candidates) const {
+    std::vector<ScoredChoice> All;
+    All.reserve(Candidates.size());
+    uint32_t MostExpectedTokens = 0;
+    for (const TargetView *Target : Candidates) {
       All.push_back(score(Settings, *Target));
-      MostBelieved =
-          std::max(MostBelieved, All.back().Chosen.PrefixTokensBelieved);
+      MostExpectedTokens =
+          std::max(MostExpectedTokens, All.back().Chosen.ExpectedCachedTokens);
     }
-    for (Scored &One : All)
-      One.Cost += displacement(Settings, One.Chosen, MostBelieved);
-    if (Account)
-      account(All);
-    return *std::ranges::min_element(All, {}, [](const Scored &One) {
-      return std::pair(!acceptable(One), One.Cost);
-    });
+    for (ScoredChoice &Candidate : All)
+      Candidate.Cost +=
+          evictionPenalty(Settings, Candidate.Chosen, MostExpectedTokens);
+    if (Scores)
+      reportScores(All);
+    return *std::ranges::min_element(
+        All, {}, [](const ScoredChoice &Candidate) {
+          return std::pair(!acceptable(Candidate), Candidate.Cost);
+        });
   }
 
-  void account(const std::vector<Scored> &All) const {
-    Account->clear();
-    for (const Scored &One : All) {
-      const TargetLoad Load = One.Chosen.Target->Gauge->corrected();
-      Account->push_back({One.Chosen.Target->Id, One.Chosen.ExpectedWait,
-                          One.Chosen.ExpectedTotal, One.Cost, acceptable(One),
-                          Load.RunningSequences + Load.WaitingRequests,
-                          Load.PrefillTokensPerSecond,
-                          Load.DecodeTokensPerSecond});
+  void reportScores(const std::vector<ScoredChoice> &All) const {
+    Scores->clear();
+    for (const ScoredChoice &Candidate : All) {
+      const TargetLoad Load = Candidate.Chosen.Target->Gauge->corrected();
+      Scores->push_back(
+          {Candidate.Chosen.Target->Id, Candidate.Chosen.ExpectedWait,
+           Candidate.Chosen.ExpectedTotal, Candidate.Cost,
+           acceptable(Candidate), Load.RunningSequences + Load.WaitingRequests,
+           Load.PrefillTokensPerSecond, Load.DecodeTokensPerSecond});
     }
   }
 
-  static microseconds displacement(const FigliftPolicy &Settings,
-                                   const Choice &Chosen,
-                                   uint32_t MostBelieved) {
+  static microseconds evictionPenalty(const FigliftPolicy &Settings,
+                                      const Choice &Chosen,
+                                      uint32_t MostExpectedTokens) {
     const double Rate = Chosen.Target->Gauge->reported().PrefillTokensPerSecond;
-    const double Missing = MostBelieved - Chosen.PrefixTokensBelieved;
+    const double Missing = MostExpectedTokens - Chosen.ExpectedCachedTokens;
     return microseconds(static_cast<int64_t>(
-        Settings.DisplacementFactor * Missing * 1e6 /
+        Settings.EvictionCostFactor * Missing * 1e6 /
         (Rate > 0 ? Rate : Settings.AssumedPrefillTokensPerSecond)));
   }
 
-  Result<Choice> refusal(const Scored &Best) const {
+  Result<Choice> refusalFor(const ScoredChoice &Best) const {
     if (Best.QueueFull)
-      return refuse(ResultCode::Overloaded,
-                    "every target's queue of this class is full",
-                    Best.UntilQueueDrains);
-    return refuse(ResultCode::DeadlineUnreachable,
-                  "no target is expected to finish before the deadline",
-                  Best.Chosen.ExpectedTotal - *Request.TimeLeft);
+      return makeRefusal(ResultCode::Overloaded,
+                         "every target's queue of this class is full",
+                         Best.UntilQueueHasRoom);
+    return makeRefusal(ResultCode::DeadlineUnreachable,
+                       "no target is expected to finish before the deadline",
+                       Best.Chosen.ExpectedTotal - *Request.TimeLeft);
   }
 };
 
 } // namespace
 
-InFlightTicket Choice::enter(const RequestShape &Request) const {
+InFlightTicket Choice::startTracking(const RequestShape &Request) const {
   const uint32_t Prefill =
       std::max<uint32_t>(Request.PromptTokens - ExpectedPrefixTokensSaved, 1);
   Target->Gauge->recentPrefixes().add(Request.PrefixHashes);
   return {Target->Gauge, {Request.Class, Prefill, Request.MaximumTokens}};
 }
 
-Result<Choice> chooseTarget(const Policy &Which, const RoutingTable &Table,
+Result<Choice> chooseTarget(const Policy &Routing, const RoutingTable &Table,
                             const RequestShape &Request,
                             std::span<const std::string> Excluded,
                             uint64_t RandomSeed,
-                            std::vector<Considered> *Account) {
+                            std::vector<CandidateScore> *Scores) {
   if (Table.targets(Request.BackEnd).empty())
-    return refuse(ResultCode::NoTargetAvailable,
-                  "no target of the back end is known", RetryWithoutTarget);
+    return makeRefusal(ResultCode::NoTargetAvailable,
+                       "no target of the back end is known",
+                       RetryWithoutTarget);
   const Eligible Targets = eligibleTargets(Table, Request, Excluded);
   if (Targets.empty())
-    return refuse(ResultCode::NoTargetAvailable,
-                  "no target of the back end takes this work now",
-                  RetryWithoutTarget);
-  return std::visit(Chooser{Table, Request, Targets, RandomSeed, Account},
-                    Which);
+    return makeRefusal(ResultCode::NoTargetAvailable,
+                       "no target of the back end takes this work now",
+                       RetryWithoutTarget);
+  return std::visit(Chooser{Table, Request, Targets, RandomSeed, Scores},
+                    Routing);
 }
 
 } // namespace figlift::route
--- a/Libraries/LibRoute/ChooseTarget.h
+++ b/Libraries/LibRoute/ChooseTarget.h
@@ -1,7 +1,7 @@
-//===- ChooseTarget.h - The target of one attempt ---------------*- C++ -*-===//
+//===- ChooseTarget.h - Selection of the target of an attempt ---*- C++ -*-===//
 //
-// Pure: everything it looks at is passed in. Called on many threads at once,
-// inside a read-side critical section of the routing table.
+// Pure function: all of its inputs are passed in. It is called by many threads
+// concurrently, inside a read-side critical section of the routing table.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
 
 namespace figlift::route {
 
-/// What routing needs to know of a request.
+/// Properties of a request that routing depends on.
 struct RequestShape {
   std::string BackEnd;
   /// "name", "name@version", or empty for plain services.
@@ -31,73 +31,78 @@
   uint32_t MaximumTokens = 0;
   /// Hashes of the prompt's whole leading blocks, see prefixHashes().
   std::vector<uint64_t> PrefixHashes;
-  /// No other target is looked at; empty: any.
+  /// If not empty, the only target that is considered.
   std::string OnlyTarget;
-  /// Time left until the caller needs the whole answer.
+  /// Time left until the caller needs the complete answer.
   std::optional<std::chrono::milliseconds> TimeLeft;
 };
 
 struct Choice {
-  /// Lives as long as the table; keep the gauge, not the view, with an attempt.
+  /// Valid as long as the table. An attempt that may outlive the table holds
+  /// the gauge instead of the view.
   const TargetView *Target = nullptr;
   /// Until the first token (the whole answer, for a plain service).
   std::chrono::microseconds ExpectedWait{0};
   /// Until the last token.
   std::chrono::microseconds ExpectedTotal{0};
   uint32_t ExpectedPrefixTokensSaved = 0;
-  /// Prompt tokens that the target is believed to hold, for
-  /// TargetGauge::learnHit(); the savings above are discounted by its trust.
-  uint32_t PrefixTokensBelieved = 0;
+  /// Prompt tokens that the target's cache is expected to hold, for
+  /// TargetGauge::recordCacheHits(). The savings above are this number
+  /// multiplied by the target's prefix hit ratio.
+  uint32_t ExpectedCachedTokens = 0;
 
-  /// Enters the attempt into the target's gauge; to be called before it is
-  /// sent. Settle the ticket at the attempt's first frame.
-  InFlightTicket enter(const RequestShape &Request) const;
+  /// Adds the attempt to the target's gauge; to be called before it is sent.
+  /// The ticket is settled at the attempt's first frame.
+  InFlightTicket startTracking(const RequestShape &Request) const;
 };
 
-/// What a choice looked at, to explain it.
-struct Considered {
+/// Estimates for one candidate, for logs that explain a choice.
+struct CandidateScore {
   std::string Target;
   std::chrono::microseconds Wait{0};
   std::chrono::microseconds Total{0};
-  /// Wait and total with what they are weighed by; the least is chosen.
+  /// Total with all penalties; the candidate with the least cost is chosen.
   std::chrono::microseconds Cost{0};
-  /// Its queue takes the work, and it is expected to end in time.
+  /// Its queue has room for the work, and the work is expected to finish before
+  /// the deadline.
   bool Acceptable = true;
-  /// Sequences that run there or wait, own work in flight included.
+  /// Running and waiting sequences, with this entry's work in flight.
   uint32_t Sequences = 0;
-  /// As measured there; 0: nothing is.
+  /// As measured by the target; 0 if it has no measurement.
   double PrefillTokensPerSecond = 0;
   double DecodeTokensPerSecond = 0;
 };
 
 /// Chooses among the accepting targets that are not in \p Excluded. Fails with
 /// NoTargetAvailable, Overloaded or DeadlineUnreachable, each with
-/// RetryAfter. Nothing was sent then, so "not run" is true.
-/// \p RandomSeed differs from attempt to attempt. \p Account gets what was
-/// weighed, if the policy weighs.
-Result<Choice> chooseTarget(const Policy &Which, const RoutingTable &Table,
+/// RetryAfter. Nothing has been sent in these cases, so the request did not
+/// run. \p RandomSeed must differ between attempts. \p Scores, if not null,
+/// receives the candidates of a policy that compares costs.
+Result<Choice> chooseTarget(const Policy &Routing, const RoutingTable &Table,
                             const RequestShape &Request,
                             std::span<const std::string> Excluded,
                             uint64_t RandomSeed,
-                            std::vector<Considered> *Account = nullptr);
+                            std::vector<CandidateScore> *Scores = nullptr);
 
-/// The estimate behind a choice; \p Load decides whether own work in flight is
-/// in it.
+/// Expected times of a request on one target.
 struct WaitEstimate {
   std::chrono::microseconds Wait{0};
   std::chrono::microseconds Total{0};
   uint32_t PrefixTokensSaved = 0;
-  uint32_t PrefixTokensBelieved = 0;
-  /// Both rates were measured by the target.
+  uint32_t ExpectedCachedTokens = 0;
+  /// The rates that the request depends on were measured by the target.
   bool Measured = false;
 };
-/// Means over a back end's targets that have measured theirs; 0: none has.
+/// Mean speeds of the back end's targets that have measured theirs; 0 if none
+/// has.
 struct PeerSpeeds {
   double PrefillTokensPerSecond = 0;
   /// Divided by MaximumSequences.
   double DecodeTokensPerSequence = 0;
 };
-/// \p Peers stand in for what the target has not measured.
+/// Estimates the times of \p Request on \p Target under \p Load, which may
+/// include this entry's work in flight. \p Peers replaces speeds that the
+/// target has not measured.
 WaitEstimate estimateWait(const FigliftPolicy &Settings,
                           const TargetView &Target, const TargetLoad &Load,
                           const RequestShape &Request,
--- a/Libraries/LibRoute/EstimateWait.cpp
+++ b/Libraries/LibRoute/EstimateWait.cpp
@@ -1,7 +1,7 @@
 //===- EstimateWait.cpp - Expected times on one target ----------*- C++ -*-===//
 //
-// The queue model of routing: prompts are processed one after the other at
-// the measured prefill rate; sequences then share the batch.
+// Queue model of routing: prompts are processed one after the other at the
+// measured prefill rate, and sequences then share the decode batch.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,11 +21,11 @@
   double Sequences;
 };
 
-/// The first of the three that is known; the last one always is.
-double firstKnown(double Own, double OfPeers, double Assumed) {
-  if (Own > 0)
-    return Own;
-  return OfPeers > 0 ? OfPeers : Assumed;
+/// Returns the first positive value; \p Assumed is always positive.
+double firstKnown(double Measured, double PeerMean, double Assumed) {
+  if (Measured > 0)
+    return Measured;
+  return PeerMean > 0 ? PeerMean : Assumed;
 }
 
 Rates ratesOf(const FigliftPolicy &Settings, const TargetLoad &Load,
@@ -41,8 +41,9 @@
           Sequences};
 }
 
-uint32_t tokensBelieved(const FigliftPolicy &Settings, const TargetView &Target,
-                        const RequestShape &Request) {
+uint32_t expectedCachedTokens(const FigliftPolicy &Settings,
+                              const TargetView &Target,
+                              const RequestShape &Request) {
   if (!Settings.PrefixAwareness)
     return 0;
   const size_t Blocks = Target.cachedBlocks(Request.PrefixHashes);
@@ -50,25 +51,25 @@
   return static_cast<uint32_t>(std::min<size_t>(Tokens, Request.PromptTokens));
 }
 
-/// Time until one of the target's sequence slots is free for this request.
+/// Time until a sequence slot of the target is free for this request.
 Seconds slotWait(const Rates &Rate, const TargetLoad &Load) {
   const double Sequences = Load.RunningSequences + Load.WaitingRequests;
-  const double Excess = Sequences + 1 - Rate.Sequences;
-  if (Excess <= 0 || Sequences <= 0)
+  const double ExcessSequences = Sequences + 1 - Rate.Sequences;
+  if (ExcessSequences <= 0 || Sequences <= 0)
     return Seconds(0);
-  const double TokensEach = Load.DecodeTokensWaiting / Sequences;
-  return Seconds(Excess * TokensEach / Rate.Decode);
+  const double TokensPerSequence = Load.DecodeTokensWaiting / Sequences;
+  return Seconds(ExcessSequences * TokensPerSequence / Rate.Decode);
 }
 
-bool leansAway(const FigliftPolicy &Settings, Role Which, Seconds Prefill,
-               Seconds Decode) {
-  const double Whole = (Prefill + Decode).count();
-  if (Whole <= 0)
+bool mismatchesRole(const FigliftPolicy &Settings, Role TargetRole,
+                    Seconds Prefill, Seconds Decode) {
+  const double Total = (Prefill + Decode).count();
+  if (Total <= 0)
     return false;
-  if (Which == Role::Decode)
-    return Prefill.count() >= Settings.LeaningFraction * Whole;
-  if (Which == Role::Prefill)
-    return Decode.count() >= Settings.LeaningFraction * Whole;
+  if (TargetRole == Role::Decode)
+    return Prefill.count() >= Settings.RoleMatchFraction * Total;
+  if (TargetRole == Role::Prefill)
+    return Decode.count() >= Settings.RoleMatchFraction * Total;
   return false;
 }
 
@@ -83,29 +84,34 @@
                           const RequestShape &Request,
                           const PeerSpeeds &Peers) {
   const Rates Rate = ratesOf(Settings, Load, Peers);
-  const uint32_t Believed = tokensBelieved(Settings, Target, Request);
+  const uint32_t ExpectedTokens =
+      expectedCachedTokens(Settings, Target, Request);
   const auto Saved =
-      static_cast<uint32_t>(Believed * Target.Gauge->prefixTrust());
-  const uint64_t Ahead = Settings.ClassPriorities
-                             ? Load.prefillAhead(Request.Class)
-                             : Load.prefillTotal();
+      static_cast<uint32_t>(ExpectedTokens * Target.Gauge->prefixHitRatio());
+  const uint64_t PrefillAhead = Settings.ClassPriorities
+                                    ? Load.prefillAhead(Request.Class)
+                                    : Load.prefillTotal();
   // A plain service call counts as one prompt token.
-  const double OwnPrefill = std::max<uint32_t>(Request.PromptTokens - Saved, 1);
+  const double RequestPrefill =
+      std::max<uint32_t>(Request.PromptTokens - Saved, 1);
   const double TokenTime = Rate.Sequences / Rate.Decode;
 
-  Seconds Prefill(OwnPrefill / Rate.Prefill);
+  Seconds Prefill(RequestPrefill / Rate.Prefill);
   Seconds Decode(Request.MaximumTokens * TokenTime);
-  // The share of the target that the work takes decides its leaning; decode
-  // shares the batch with other sequences.
-  if (leansAway(Settings, Target.CurrentRole, Prefill,
-                Decode / Rate.Sequences)) {
+  // Compare the shares of the target's time that the two phases take; a
+  // decoding sequence takes one slot of the batch.
+  if (mismatchesRole(Settings, Target.CurrentRole, Prefill,
+                     Decode / Rate.Sequences)) {
     Prefill *= Settings.RoleMismatchFactor;
     Decode *= Settings.RoleMismatchFactor;
   }
-  Seconds Wait = Seconds(Ahead / Rate.Prefill) + slotWait(Rate, Load) + Prefill;
+  Seconds Wait =
+      Seconds(PrefillAhead / Rate.Prefill) + slotWait(Rate, Load) + Prefill;
   if (Load.DecodeTokensWaiting > 0)
-    Wait += Seconds(TokenTime * (Ahead + OwnPrefill) / PrefillChunkTokens);
-  return {microseconds(Wait), microseconds(Wait + Decode), Saved, Believed,
+    Wait += Seconds(TokenTime * (PrefillAhead + RequestPrefill) /
+                    PrefillChunkTokens);
+  return {microseconds(Wait), microseconds(Wait + Decode), Saved,
+          ExpectedTokens,
           Load.PrefillTokensPerSecond > 0 &&
               (Load.DecodeTokensPerSecond > 0 || Request.MaximumTokens == 0)};
 }
--- a/Libraries/LibRoute/InFlightBook.cpp
+++ b/Libraries/LibRoute/InFlightTracker.cpp
@@ -1,14 +1,14 @@
-//===- InFlightBook.cpp - Gauges of all targets of an entry -----*- C++ -*-===//
+//===- InFlightTracker.cpp - Gauges of all targets of an entry --*- C++ -*-===//
 //
-// Registry of gauges and the tickets of single attempts.
+// Registry of gauges, and tickets of attempts.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LibRoute/InFlightBook.h"
+#include "LibRoute/InFlightTracker.h"
 
 namespace figlift::route {
 
-std::shared_ptr<TargetGauge> InFlightBook::gauge(const std::string &Target) {
+std::shared_ptr<TargetGauge> InFlightTracker::gauge(const std::string &Target) {
   std::lock_guard Lock(m_Mutex);
   auto &Slot = m_Gauges[Target];
   if (!Slot)
@@ -16,14 +16,14 @@
   return Slot;
 }
 
-void InFlightBook::forgetUnused() {
+void InFlightTracker::removeUnused() {
   std::lock_guard Lock(m_Mutex);
   std::erase_if(m_Gauges, [](const auto &Entry) {
     return Entry.second.use_count() == 1;
   });
 }
 
-size_t InFlightBook::size() const {
+size_t InFlightTracker::size() const {
   std::lock_guard Lock(m_Mutex);
   return m_Gauges.size();
 }
@@ -32,7 +32,7 @@
                                SentWork Work)
     : m_Gauge(std::move(Gauge)), m_Work(Work) {
   if (m_Gauge)
-    m_Gauge->sent(m_Work);
+    m_Gauge->recordSent(m_Work);
 }
 
 InFlightTicket &InFlightTicket::operator=(InFlightTicket &&Other) noexcept {
@@ -47,7 +47,7 @@
 void InFlightTicket::settle() {
   if (!m_Gauge)
     return;
-  m_Gauge->settled(m_Work);
+  m_Gauge->recordSettled(m_Work);
   m_Gauge.reset();
 }
 
--- a/Libraries/LibRoute/InFlightBook.h
+++ b/Libraries/LibRoute/InFlightTracker.h
@@ -1,8 +1,9 @@
-//===- InFlightBook.h - Gauges of all targets of an entry -------*- C++ -*-===//
+//===- InFlightTracker.h - Gauges of all targets of an entry ----*- C++ -*-===//
 //
-// Hands out one TargetGauge for each target and keeps it over rebuilds of the
-// routing table. The lock is taken when a table is built or a ticket made from
-// an id, never while a request is routed: a TargetView holds its gauge.
+// Owns one TargetGauge for each target and keeps it across rebuilds of the
+// routing table. The lock is taken when a table is built or a gauge is looked
+// up by target id, never while a request is routed: each TargetView holds its
+// gauge.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,12 +18,12 @@
 
 namespace figlift::route {
 
-class InFlightBook {
+class InFlightTracker {
 public:
-  /// The gauge of \p Target, made on first use.
+  /// Returns the gauge of \p Target, created on first use.
   std::shared_ptr<TargetGauge> gauge(const std::string &Target);
-  /// Drops the gauges that nobody else holds.
-  void forgetUnused();
+  /// Removes gauges without other owners.
+  void removeUnused();
   size_t size() const;
 
 private:
@@ -30,8 +31,8 @@
   std::map<std::string, std::shared_ptr<TargetGauge>> m_Gauges;
 };
 
-/// One attempt in the book of its target; settles itself once, at the latest
-/// when it is destroyed.
+/// Counts one attempt in the gauge of its target until it is settled, at the
+/// latest when the ticket is destroyed.
 class InFlightTicket {
 public:
   InFlightTicket() = default;
@@ -40,7 +41,8 @@
   InFlightTicket &operator=(InFlightTicket &&Other) noexcept;
   ~InFlightTicket() { settle(); }
 
-  /// The target accounts for the attempt from now on, or it has ended.
+  /// Removes the attempt from the gauge, because the target's reports include
+  /// it from now on, or because it has ended. Further calls have no effect.
   void settle();
 
 private:
--- a/Libraries/LibRoute/Policy.h
+++ b/Libraries/LibRoute/Policy.h
@@ -1,7 +1,7 @@
-//===- Policy.h - Ways to choose a target -----------------------*- C++ -*-===//
+//===- Policy.h - Routing policies ------------------------------*- C++ -*-===//
 //
-// The arms that are measured against each other. Deployments use
-// FigliftPolicy with every mechanism on.
+// Deployments use FigliftPolicy with every mechanism enabled. The other
+// policies are baselines for comparison.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,43 +23,45 @@
       std::make_shared<std::atomic<uint64_t>>(0);
 };
 
-/// Least reported work, own work in flight left out.
+/// Least reported work; ignores this entry's work in flight.
 struct LeastLoadedPolicy {};
 
 struct FigliftPolicy {
-  /// Expected prefill saved by cached prefixes counts, and requests with the
-  /// same beginning share candidates.
+  /// Cached prefixes reduce the expected prefill, and requests with the same
+  /// prefix share candidates.
   bool PrefixAwareness = true;
-  /// Own work sent since a target's report counts as load.
+  /// Work that this entry has sent since a target's report counts as load.
   bool InFlightCorrection = true;
-  /// Work that cannot make its deadline, or finds every queue full, is refused
+  /// Work that cannot meet its deadline, or finds every queue full, is refused
   /// before it is sent.
   bool EarlyRefusal = true;
-  /// Waiting work of less urgent classes is left out of the expected wait.
+  /// Waiting work of less urgent classes does not count towards the expected
+  /// wait.
   bool ClassPriorities = true;
 
-  /// Candidates by rendezvous of the prefix, and by chance.
+  /// Number of candidates chosen by rendezvous hashing of the prefix, and at
+  /// random.
   unsigned RendezvousCandidates = 2;
   unsigned RandomCandidates = 2;
-  /// A prefix that is cached elsewhere and computed anew pushes as much out of
-  /// the cache that takes it, to be computed anew later: its cost counts this
-  /// much more.
-  double DisplacementFactor = 1.0;
-  /// Sequences in a batch slow each other: decode in a full one is taken for
-  /// this much longer than alone when targets are compared. Measured speeds of
-  /// equal targets differ by tens of percent; without this the one that was
-  /// measured faster gets all work until its batch is full.
-  double CrowdedDecodeFactor = 1.0;
-  /// Added to the expected wait of targets in another zone.
+  /// Extra cost of computing a prefix that is cached on another target, as a
+  /// multiple of its prefill time: it evicts as much from the cache of the
+  /// chosen target, which has to be computed again later.
+  double EvictionCostFactor = 1.0;
+  /// Extra cost of decode in a full batch, as a multiple of its decode time,
+  /// because the sequences of a batch slow each other down. Measured speeds of
+  /// equal targets differ by tens of percent; without this factor the target
+  /// with the higher measurement gets all work until its batch is full.
+  double FullBatchDecodeFactor = 1.0;
+  /// Added to the cost of targets in another zone.
   std::chrono::microseconds OtherZonePenalty{2000};
-  /// Expected prefill and decode time count this much more on a target whose
-  /// role leans the other way.
+  /// Factor on the expected prefill and decode time on a target whose role does
+  /// not match the work.
   double RoleMismatchFactor = 1.5;
-  /// Work leans to prefill (decode) when that part takes at least this
-  /// fraction of its time.
-  double LeaningFraction = 0.65;
-  /// Rates of targets that have measured nothing yet. Estimates made from
-  /// them never refuse work.
+  /// Work belongs to the prefill (decode) role if that phase takes at least
+  /// this fraction of its time.
+  double RoleMatchFraction = 0.65;
+  /// Rates of targets without measurements, if their peers have none either.
+  /// Work is never refused on the basis of these rates.
   double AssumedPrefillTokensPerSecond = 8000;
   double AssumedDecodeTokensPerSecond = 1000;
   unsigned AssumedMaximumSequences = 16;
--- a/Libraries/LibRoute/RoutingTable.cpp
+++ b/Libraries/LibRoute/RoutingTable.cpp
@@ -1,6 +1,6 @@
 //===- RoutingTable.cpp - Immutable view of the targets ---------*- C++ -*-===//
 //
-// Look-ups in the routing table.
+// Lookups in the routing table.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,14 +30,15 @@
   return Reported;
 }
 
-RoutingTable::RoutingTable(std::vector<TargetView> Targets, InFlightBook &Book,
+RoutingTable::RoutingTable(std::vector<TargetView> Targets,
+                           InFlightTracker &Tracker,
                            std::map<std::string, ClassBounds> Bounds,
                            std::string OwnZone)
     : m_Targets(std::move(Targets)), m_Bounds(Bounds.begin(), Bounds.end()),
       m_OwnZone(std::move(OwnZone)) {
   for (TargetView &Target : m_Targets)
     if (!Target.Gauge)
-      Target.Gauge = Book.gauge(Target.Id);
+      Target.Gauge = Tracker.gauge(Target.Id);
   std::ranges::sort(m_Targets, {}, [](const TargetView &Target) {
     return std::tie(Target.BackEnd, Target.Id);
   });
--- a/Libraries/LibRoute/RoutingTable.h
+++ b/Libraries/LibRoute/RoutingTable.h
@@ -1,14 +1,14 @@
 //===- RoutingTable.h - Immutable view of the targets -----------*- C++ -*-===//
 //
-// Built by an entry from its membership and the targets' Sync reports, and
-// swapped whole (read-copy-update). What changes with every reply is not in
-// it: that lives in the gauges.
+// An entry builds the table from its membership and the targets' Sync reports,
+// and replaces it as a whole (read-copy-update). Values that change with every
+// reply are in the gauges instead.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
-#include "LibRoute/InFlightBook.h"
+#include "LibRoute/InFlightTracker.h"
 #include "LibRoute/PrefixHash.h"
 
 #include <map>
@@ -25,33 +25,33 @@
   std::string BackEnd;
   std::string Zone;
   Role CurrentRole = Role::Mixed;
-  /// Its agent takes work, and this entry has a usable channel to it.
+  /// Its agent accepts work, and this entry has a usable channel to it.
   bool Accepting = false;
-  /// Ready models, "name@version". Empty: any model.
+  /// Ready models as "name@version"; if empty, the target serves any model.
   std::vector<std::string> Models;
   PrefixSummary Prefixes;
-  /// Configuration revision that the agent last had in force.
+  /// Configuration revision that the agent last reported as in force.
   uint64_t Revision = 0;
   /// Never null in a RoutingTable.
   std::shared_ptr<TargetGauge> Gauge;
 
   /// \p Model is "name", "name@version" or empty.
   bool serves(std::string_view Model) const;
-  /// Leading blocks of a prompt that its summary holds, or that this entry
-  /// sent it lately.
+  /// Returns the number of leading blocks of a prompt that the target has
+  /// reported as cached, or that this entry has recently sent to it.
   size_t cachedBlocks(std::span<const uint64_t> PromptHashes) const;
 };
 
-/// Bound of the waiting prompt tokens of one target, by service class.
+/// Limits on the waiting prompt tokens of one target, by service class.
 using ClassBounds = std::array<uint64_t, ServiceClassCount>;
 inline constexpr ClassBounds DefaultClassBounds{65536, 65536, 65536};
 
 class RoutingTable {
 public:
   RoutingTable() = default;
-  /// Targets without a gauge get one from \p Book. Classes missing in
-  /// \p Bounds have the defaults.
-  RoutingTable(std::vector<TargetView> Targets, InFlightBook &Book,
+  /// Targets without a gauge get one from \p Tracker. Back ends missing in
+  /// \p Bounds have the default limits.
+  RoutingTable(std::vector<TargetView> Targets, InFlightTracker &Tracker,
                std::map<std::string, ClassBounds> Bounds = {},
                std::string OwnZone = {});
 
--- a/Libraries/LibRoute/TargetGauge.cpp
+++ b/Libraries/LibRoute/TargetGauge.cpp
@@ -1,6 +1,6 @@
 //===- TargetGauge.cpp - Live load of one target ----------------*- C++ -*-===//
 //
-// Atomics behind TargetGauge.
+// Atomic counters of TargetGauge.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr double TrustWeight = 0.1;
-/// Some trust is left, so that a target whose cache has recovered is found.
-constexpr double MinimumTrust = 0.1;
+constexpr double HitRatioWeight = 0.1;
+/// Above 0, so that a target whose cache has recovered is still tried.
+constexpr double MinimumHitRatio = 0.1;
 
 } // namespace
 
@@ -49,14 +49,14 @@
   return BootTime(BootTime::duration(m_ReportedAt.load(Relaxed)));
 }
 
-void TargetGauge::sent(const SentWork &Work) {
+void TargetGauge::recordSent(const SentWork &Work) {
   m_SentPrefill[static_cast<size_t>(Work.Class)].fetch_add(Work.PrefillTokens,
                                                            Relaxed);
   m_SentDecode.fetch_add(Work.DecodeTokens, Relaxed);
   m_SentRequests.fetch_add(1, Relaxed);
 }
 
-void TargetGauge::settled(const SentWork &Work) {
+void TargetGauge::recordSettled(const SentWork &Work) {
   m_SentPrefill[static_cast<size_t>(Work.Class)].fetch_sub(Work.PrefillTokens,
                                                            Relaxed);
   m_SentDecode.fetch_sub(Work.DecodeTokens, Relaxed);
@@ -72,14 +72,17 @@
   return Load;
 }
 
-void TargetGauge::learnHit(uint32_t Believed, uint32_t Cached) {
-  if (Believed == 0)
+void TargetGauge::recordCacheHits(uint32_t ExpectedTokens, uint32_t Cached) {
+  if (ExpectedTokens == 0)
     return;
-  // Two threads at once may lose one observation of a moving average.
-  const double True = std::min(1.0, static_cast<double>(Cached) / Believed);
-  const double Trust = m_PrefixTrust.load(Relaxed);
-  m_PrefixTrust.store(
-      std::max(MinimumTrust, Trust + TrustWeight * (True - Trust)), Relaxed);
+  // Concurrent updates may lose a sample, which a moving average tolerates.
+  const double HitRatio =
+      std::min(1.0, static_cast<double>(Cached) / ExpectedTokens);
+  const double Average = m_PrefixHitRatio.load(Relaxed);
+  m_PrefixHitRatio.store(
+      std::max(MinimumHitRatio,
+               Average + HitRatioWeight * (HitRatio - Average)),
+      Relaxed);
 }
 
 uint64_t TargetGauge::unaccountedRequests() const {
--- a/Libraries/LibRoute/TargetGauge.h
+++ b/Libraries/LibRoute/TargetGauge.h
@@ -1,8 +1,8 @@
 //===- TargetGauge.h - Live load of one target ------------------*- C++ -*-===//
 //
-// What an entry knows about a target's load right now: the last report, and
-// the work that this entry has sent and the target has not yet accounted for.
-// All members are lock-free and may be called from any thread.
+// An entry's current view of a target's load: the last report, and the work
+// that this entry has sent and that is not yet included in a report. All
+// members are lock-free and may be called from any thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,40 +17,42 @@
 
 namespace figlift::route {
 
-/// Size of one attempt as the book counts it.
+/// Size of one attempt as the gauge counts it.
 struct SentWork {
   record::ServiceClass Class = record::ServiceClass::Interactive;
-  /// Prompt tokens that are expected to be computed, cached ones left out.
+  /// Prompt tokens that are expected to be computed, without cached ones.
   uint64_t PrefillTokens = 0;
   uint64_t DecodeTokens = 0;
 };
 
 class TargetGauge {
 public:
-  /// Takes a report that arrived at \p Now. The numbers are stored one by one:
-  /// a reader may see a mixture of two neighbouring reports, which is as good
+  /// Stores a report that arrived at \p Now. The fields are stored one by one:
+  /// a reader may see a mixture of two consecutive reports, which is as good
   /// an estimate as either.
   void report(const TargetLoad &Load, BootTime Now);
   TargetLoad reported() const;
-  /// The epoch's origin when no report has arrived.
+  /// The origin of the clock if no report has arrived.
   BootTime reportedAt() const;
 
-  /// The entry sends an attempt. Between this call and settled() the work is
-  /// in no report.
-  void sent(const SentWork &Work);
-  /// The attempt's first frame came, with a load that includes it, or the
-  /// attempt ended before one. Exactly once for each sent().
-  void settled(const SentWork &Work);
+  /// Adds an attempt that the entry is about to send. Until recordSettled() is
+  /// called, no report includes its work.
+  void recordSent(const SentWork &Work);
+  /// Removes an attempt when its first frame arrives with a load that includes
+  /// it, or when it ends without one. Must be called once for each
+  /// recordSent().
+  void recordSettled(const SentWork &Work);
 
-  /// The last report plus the work sent and not yet accounted for.
+  /// Returns the last report plus the work sent that it does not include.
   TargetLoad corrected() const;
   uint64_t unaccountedRequests() const;
 
-  /// The target reported \p Cached prompt tokens where \p Believed ones were
-  /// expected to be cached (Accepted or Finished frame).
-  void learnHit(uint32_t Believed, uint32_t Cached);
-  /// Part of the believed savings that lately came true, between 0.1 and 1.
-  double prefixTrust() const { return m_PrefixTrust.load(Relaxed); }
+  /// Records that \p Cached prompt tokens were found in the target's cache
+  /// (Accepted or Finished frame), where \p ExpectedTokens were expected.
+  void recordCacheHits(uint32_t ExpectedTokens, uint32_t Cached);
+  /// Moving average of the fraction of expected tokens that were found in the
+  /// cache, between 0.1 and 1.
+  double prefixHitRatio() const { return m_PrefixHitRatio.load(Relaxed); }
 
   RecentPrefixes &recentPrefixes() { return m_RecentPrefixes; }
   const RecentPrefixes &recentPrefixes() const { return m_RecentPrefixes; }
@@ -72,7 +74,7 @@
   std::atomic<uint64_t> m_SentDecode{0};
   std::atomic<uint32_t> m_SentRequests{0};
   RecentPrefixes m_RecentPrefixes;
-  std::atomic<double> m_PrefixTrust{1};
+  std::atomic<double> m_PrefixHitRatio{1};
 };
 
 } // namespace figlift::route
--- a/Services/figlift-entry/Attempt.cpp
+++ b/Services/figlift-entry/Attempt.cpp
@@ -72,7 +72,7 @@
 
 void Attempt::learnHit(uint32_t CachedPromptTokens) {
   if (m_PrefixTokensBelieved > 0)
-    m_Link->gauge().learnHit(m_PrefixTokensBelieved, CachedPromptTokens);
+    m_Link->gauge().recordCacheHits(m_PrefixTokensBelieved, CachedPromptTokens);
 }
 
 void Attempt::pass(const wire::RunFrame &Frame) {
--- a/Services/figlift-entry/Attempt.h
+++ b/Services/figlift-entry/Attempt.h
@@ -9,7 +9,7 @@
 
 #include "figlift-entry/CallContext.h"
 
-#include "LibRoute/InFlightBook.h"
+#include "LibRoute/InFlightTracker.h"
 
 #include <atomic>
 #include <memory>
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -78,7 +78,7 @@
   std::vector<std::string> excludedTargets();
   uint64_t routingSeed() const;
   void logChosen(const route::TargetView &Target,
-                 const std::vector<route::Considered> &Account,
+                 const std::vector<route::CandidateScore> &Account,
                  const std::vector<std::string> &Excluded) const;
   Result<Destination> chooseHome(const ServingState &Now);
   Result<Destination> destination(const ServingState &Now,
--- a/Services/figlift-entry/CallChoice.cpp
+++ b/Services/figlift-entry/CallChoice.cpp
@@ -78,7 +78,7 @@
     return destination(Now, *Probe);
   const std::vector<std::string> Excluded = excludedTargets();
   const uint64_t Seed = routingSeed();
-  std::vector<route::Considered> Account;
+  std::vector<route::CandidateScore> Account;
   auto Choose = [&](std::span<const std::string> Without) {
     return route::chooseTarget(
         m_Context.Routing, Now.Table, Shape, Without, Seed,
@@ -146,12 +146,12 @@
 
 /// All that the choice weighed, and what was left out of it.
 void Call::logChosen(const route::TargetView &Target,
-                     const std::vector<route::Considered> &Account,
+                     const std::vector<route::CandidateScore> &Account,
                      const std::vector<std::string> &Excluded) const {
   if (!log::isOn(log::Level::Debug))
     return;
   std::string Weighed;
-  for (const route::Considered &Each : Account)
+  for (const route::CandidateScore &Each : Account)
     Weighed += fmt::format(
         "{}{}: cost {} us (wait {}, total {}), {} sequences, {:.0f} prompt and "
         "{:.0f} decode tokens/s{}",
@@ -174,8 +174,8 @@
                    "the chosen target was disconnected");
   const route::RequestShape Shape = shape();
   pinModel(*Best.Target);
-  return Destination{Link->second, Best.enter(Shape), Best.PrefixTokensBelieved,
-                     0};
+  return Destination{Link->second, Best.startTracking(Shape),
+                     Best.ExpectedCachedTokens, 0};
 }
 
 Result<Call::Destination> Call::chooseHome(const ServingState &Now) {
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -122,7 +122,7 @@
 
   const Parts m_Parts;
   membership::Membership m_Membership;
-  route::InFlightBook m_Book;
+  route::InFlightTracker m_Book;
   retry::HealthTracker m_Health;
   PeersObserver m_OnPeers;
   RevisionObserver m_OnRevision;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -94,7 +94,7 @@
   Next->Homes = m_Homes;
   m_Status.store(std::move(Status));
   m_Parts.Published.publish(std::move(Next));
-  m_Book.forgetUnused();
+  m_Book.removeUnused();
 }
 
 } // namespace figlift::entry
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -141,7 +141,7 @@
   entry::WorkspaceBook m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
   retry::RetrySettings m_Retrying;
-  route::InFlightBook m_Book;
+  route::InFlightTracker m_Book;
   entry::ServingStatePointer m_State;
   entry::EventLoop m_Timers;
   std::unique_ptr<wire::Client> m_Client;
--- a/Tests/LibRoute/RoutingTrial.h
+++ b/Tests/LibRoute/RoutingTrial.h
@@ -1,8 +1,8 @@
 //===- RoutingTrial.h - Small deterministic queue model ---------*- C++ -*-===//
 //
-// Engines as single prefill queues with a prefix cache of a few blocks, one
-// entry, and reports that arrive with a lag. Enough to see a policy herd or
-// miss caches; no cluster simulator.
+// Models engines as single prefill queues with a prefix cache of a few blocks,
+// one entry, and reports that arrive with a delay. This is enough to show
+// herding and cache misses of a policy; it is not a cluster simulator.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,11 +25,11 @@
   unsigned Targets = 8;
   double PrefillRate = 8000;
   milliseconds ReportLag{200};
-  /// One request each.
+  /// Time between two requests.
   milliseconds ArrivalInterval{20};
   unsigned Requests = 2000;
   uint32_t PromptTokens = 1024;
-  /// Kinds of prompts with a beginning of their own; 0: nothing is shared.
+  /// Number of distinct prefixes that prompts share; 0 if they share none.
   unsigned SharedPrefixes = 0;
   size_t CachedPrefixesPerTarget = 4;
 };
@@ -42,8 +42,8 @@
 
 class RoutingTrial {
 public:
-  RoutingTrial(Policy Which, TrialSettings Settings)
-      : m_Policy(std::move(Which)), m_Settings(Settings),
+  RoutingTrial(Policy Routing, TrialSettings Settings)
+      : m_Policy(std::move(Routing)), m_Settings(Settings),
         m_Engines(Settings.Targets) {}
 
   TrialResult run() {
@@ -52,9 +52,9 @@
     Seconds Now{0}, NextReport = m_Settings.ReportLag;
     for (unsigned I = 0; I < m_Settings.Requests; ++I) {
       Now += m_Settings.ArrivalInterval;
-      for (Engine &One : m_Engines)
-        One.Queue = std::max(Seconds(0),
-                             One.Queue - Seconds(m_Settings.ArrivalInterval));
+      for (Engine &Model : m_Engines)
+        Model.Queue = std::max(
+            Seconds(0), Model.Queue - Seconds(m_Settings.ArrivalInterval));
       if (Now >= NextReport) {
         rebuild();
         NextReport += m_Settings.ReportLag;
@@ -77,7 +77,8 @@
     return "vm-" + std::to_string(Index);
   }
 
-  /// A report of every engine arrives and accounts for all that was sent.
+  /// Delivers a report of every engine that includes all work sent so far, and
+  /// rebuilds the routing table.
   void rebuild() {
     m_Tickets.clear();
     std::vector<TargetView> Views;
@@ -88,7 +89,7 @@
       Load.MaximumSequences = 64;
       Load.PrefillTokensWaiting[1] = static_cast<uint64_t>(
           m_Engines[I].Queue.count() * m_Settings.PrefillRate);
-      m_Book.gauge(name(I))->report(Load, BootTime(m_Settings.ReportLag));
+      m_Tracker.gauge(name(I))->report(Load, BootTime(m_Settings.ReportLag));
       TargetView View;
       View.Id = name(I);
       View.BackEnd = "lm-desk";
@@ -98,7 +99,7 @@
       View.Prefixes = PrefixSummary(Cached);
       Views.push_back(std::move(View));
     }
-    m_Table = RoutingTable(std::move(Views), m_Book);
+    m_Table = RoutingTable(std::move(Views), m_Tracker);
   }
 
   void serve(unsigned Number, TrialResult &Result) {
@@ -106,8 +107,8 @@
     Request.BackEnd = "lm-desk";
     Request.PromptTokens = m_Settings.PromptTokens;
     if (m_Settings.SharedPrefixes > 0)
-      // The beginnings come in no order that a rotation could match. They have
-      // three blocks of the prompt's four.
+      // The prefixes arrive in an order that round robin cannot match. Each has
+      // three of the four blocks of a prompt.
       for (uint64_t Block = 0; Block < 3; ++Block)
         Request.PrefixHashes.push_back(rendezvousWeight(Number, "prompt") %
                                            m_Settings.SharedPrefixes * 10 +
@@ -116,11 +117,11 @@
     if (!Chosen)
       return;
     const Choice &Best = Chosen.value();
-    m_Tickets.push_back(Best.enter(Request));
+    m_Tickets.push_back(Best.startTracking(Request));
     Engine &Target = m_Engines[std::stoul(Best.Target->Id.substr(3))];
     const bool Cached = useCache(Target, Request);
-    Best.Target->Gauge->learnHit(Best.PrefixTokensBelieved,
-                                 Cached ? 3 * PrefixBlockTokens : 0);
+    Best.Target->Gauge->recordCacheHits(Best.ExpectedCachedTokens,
+                                        Cached ? 3 * PrefixBlockTokens : 0);
     Result.MeanWait += Target.Queue;
     Result.WorstWait = std::max(Result.WorstWait, Target.Queue);
     Result.CachedFraction += Cached;
@@ -144,7 +145,7 @@
   Policy m_Policy;
   TrialSettings m_Settings;
   std::vector<Engine> m_Engines;
-  InFlightBook m_Book;
+  InFlightTracker m_Tracker;
   RoutingTable m_Table;
   std::vector<InFlightTicket> m_Tickets;
 };
--- a/Tests/LibRoute/TestChooseTarget.cpp
+++ b/Tests/LibRoute/TestChooseTarget.cpp
@@ -1,6 +1,6 @@
 //===- TestChooseTarget.cpp - Single routing decisions ----------*- C++ -*-===//
 //
-// Which target one request gets, and which refusal.
+// The target that is chosen for a request, or the refusal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 TEST_GROUP(ChooseTarget) {
-  InFlightBook Book;
+  InFlightTracker Tracker;
   std::vector<TargetView> Views;
 
   TargetLoad measuredLoad(uint64_t Waiting = 0,
@@ -28,14 +28,14 @@
   }
 
   TargetView &add(const std::string &Id, const TargetLoad &Load,
-                  Role Which = Role::Mixed) {
+                  Role TargetRole = Role::Mixed) {
     TargetView View;
     View.Id = Id;
     View.BackEnd = "lm-desk";
     View.Zone = "hall-a";
-    View.CurrentRole = Which;
+    View.CurrentRole = TargetRole;
     View.Accepting = true;
-    Book.gauge(Id)->report(Load, BootTime{});
+    Tracker.gauge(Id)->report(Load, BootTime{});
     Views.push_back(View);
     return Views.back();
   }
@@ -50,16 +50,16 @@
   }
 
   Result<Choice> choose(const RequestShape &Request,
-                        const Policy &Which = FigliftPolicy{},
+                        const Policy &Routing = FigliftPolicy{},
                         std::vector<std::string> Excluded = {}) {
-    Table = RoutingTable(Views, Book, {}, "hall-a");
-    return chooseTarget(Which, Table, Request, Excluded, 7);
+    Table = RoutingTable(Views, Tracker, {}, "hall-a");
+    return chooseTarget(Routing, Table, Request, Excluded, 7);
   }
 
   RoutingTable Table;
 };
 
-TEST(ChooseTarget, PassesOverTargetsThatMayNotGetTheWork) {
+TEST(ChooseTarget, SkipsIneligibleTargets) {
   add("draining", measuredLoad()).Accepting = false;
   add("other-model", measuredLoad()).Models = {"fardas@1"};
   add("failed", measuredLoad());
@@ -72,29 +72,28 @@
                              .Target->Id.c_str());
   }
   Request.Model = "desk@3";
-  const auto Refused = choose(Request, FigliftPolicy{}, {"failed"});
-  CHECK(Refused.error().Code == ResultCode::NoTargetAvailable);
-  CHECK(Refused.error().RetryAfter.has_value());
+  const auto Refusal = choose(Request, FigliftPolicy{}, {"failed"});
+  CHECK(Refusal.error().Code == ResultCode::NoTargetAvailable);
+  CHECK(Refusal.error().RetryAfter.has_value());
 }
 
-// Symptom: a parent waits for an answer that comes after the desk has closed
-// the slot, and its work delays everybody behind it.
-// Sequence: every queue holds four seconds of prompts, the deadline is one.
-// Cause: nobody compared the deadline with the backlog before sending.
-TEST(ChooseTarget, RefusesEarlyWhatCannotMakeItsDeadline) {
+// Guards against sending work that cannot meet its deadline: every queue holds
+// four seconds of prompts and the deadline is one second away. The answer would
+// come too late, and the work would delay the requests behind it.
+TEST(ChooseTarget, RefusesWorkThatCannotMeetItsDeadline) {
   add("a", measuredLoad(32000));
   add("b", measuredLoad(40000));
   RequestShape Request = request();
   Request.TimeLeft = milliseconds(1000);
-  const auto Refused = choose(Request);
-  CHECK(Refused.error().Code == ResultCode::DeadlineUnreachable);
-  // 4 s of backlog, 125 ms of its own, 200 ms of decode, 1 s left.
-  CHECK(*Refused.error().RetryAfter >= milliseconds(3300));
-  CHECK(*Refused.error().RetryAfter <= milliseconds(3400));
-
-  FigliftPolicy Without;
-  Without.EarlyRefusal = false;
-  CHECK(choose(Request, Without).has_value());
+  const auto Refusal = choose(Request);
+  CHECK(Refusal.error().Code == ResultCode::DeadlineUnreachable);
+  // 4 s of backlog, 125 ms of prefill, 200 ms of decode, 1 s to the deadline.
+  CHECK(*Refusal.error().RetryAfter >= milliseconds(3300));
+  CHECK(*Refusal.error().RetryAfter <= milliseconds(3400));
+
+  FigliftPolicy ReducedPolicy;
+  ReducedPolicy.EarlyRefusal = false;
+  CHECK(choose(Request, ReducedPolicy).has_value());
   Request.TimeLeft = milliseconds(4400);
   CHECK(choose(Request).has_value());
 }
@@ -102,103 +101,103 @@
 TEST(ChooseTarget, RefusesWhenEveryQueueOfTheClassIsFull) {
   add("a", measuredLoad(DefaultClassBounds[1]));
   add("b", measuredLoad(DefaultClassBounds[1] + 8000));
-  const auto Refused = choose(request());
-  CHECK(Refused.error().Code == ResultCode::Overloaded);
-  CHECK(*Refused.error().RetryAfter == milliseconds(125));
+  const auto Refusal = choose(request());
+  CHECK(Refusal.error().Code == ResultCode::Overloaded);
+  CHECK(*Refusal.error().RetryAfter == milliseconds(125));
   RequestShape Urgent = request();
   Urgent.Class = ServiceClass::Immediate;
   CHECK(choose(Urgent).has_value());
 }
 
-// Symptom: waiver look-ups at the counter are refused during a nightly batch.
-// Sequence: background prompts fill every queue; an immediate call arrives.
-// Cause: the engines serve urgent work first, but the estimate counted all
-// that waits.
+// Guards against refusing immediate requests during a nightly batch: background
+// prompts fill every queue. Engines process urgent work first, so the estimate
+// must not include all waiting work.
 TEST(ChooseTarget, BackgroundWorkDoesNotDelayUrgentWork) {
   add("a", measuredLoad(60000, ServiceClass::Background));
   RequestShape Urgent = request();
   Urgent.Class = ServiceClass::Immediate;
   Urgent.TimeLeft = milliseconds(1000);
   CHECK(choose(Urgent).has_value());
-  FigliftPolicy Without;
-  Without.ClassPriorities = false;
-  CHECK(choose(Urgent, Without).error().Code ==
+  FigliftPolicy ReducedPolicy;
+  ReducedPolicy.ClassPriorities = false;
+  CHECK(choose(Urgent, ReducedPolicy).error().Code ==
         ResultCode::DeadlineUnreachable);
 }
 
-// Failure: of two equal engines the one that was measured a little faster gets
-// all streams, and the other stands idle.
-TEST(ChooseTarget, PrefersAnIdleTargetToACrowdedOneThatWasMeasuredFaster) {
-  TargetLoad Crowded = measuredLoad();
-  Crowded.MaximumSequences = 64;
-  Crowded.DecodeTokensPerSecond = 9400;
-  Crowded.RunningSequences = 43;
-  Crowded.DecodeTokensWaiting = 6000;
-  TargetLoad Idle = measuredLoad();
-  Idle.MaximumSequences = 64;
-  Idle.DecodeTokensPerSecond = 7000;
-  add("crowded", Crowded);
-  add("idle", Idle);
+// Guards against an idle engine: of two equal engines, the one with the
+// slightly higher measured speed would get all streams.
+TEST(ChooseTarget, PrefersIdleTargetToBusyOneWithHigherMeasuredSpeed) {
+  TargetLoad BusyLoad = measuredLoad();
+  BusyLoad.MaximumSequences = 64;
+  BusyLoad.DecodeTokensPerSecond = 9400;
+  BusyLoad.RunningSequences = 43;
+  BusyLoad.DecodeTokensWaiting = 6000;
+  TargetLoad IdleLoad = measuredLoad();
+  IdleLoad.MaximumSequences = 64;
+  IdleLoad.DecodeTokensPerSecond = 7000;
+  add("crowded", BusyLoad);
+  add("idle", IdleLoad);
   STRCMP_EQUAL("idle", choose(request(10, 300)).value().Target->Id.c_str());
 }
 
-// Failure: work that ends in time is refused, as what only weighs targets
-// against each other counts as time.
-TEST(ChooseTarget, RefusesNoWorkForACrowdedBatch) {
-  TargetLoad Crowded = measuredLoad();
-  Crowded.RunningSequences = 15;
-  Crowded.DecodeTokensWaiting = 150;
-  add("crowded", Crowded);
+// Guards against refusing work that would finish before its deadline: the
+// penalties that only compare targets must not count as time.
+TEST(ChooseTarget, BatchPenaltyDoesNotCauseRefusals) {
+  TargetLoad BusyLoad = measuredLoad();
+  BusyLoad.RunningSequences = 15;
+  BusyLoad.DecodeTokensWaiting = 150;
+  add("crowded", BusyLoad);
   RequestShape Request = request(10, 100);
-  // 100 tokens of 20 ms each.
+  // 100 tokens take 20 ms each.
   Request.TimeLeft = milliseconds(2100);
   CHECK(choose(Request).has_value());
 }
 
-// Failure: an engine that has measured nothing stands idle for as long as
-// another one has room, as it is taken for eight times slower.
-TEST(ChooseTarget, TakesAnUnmeasuredTargetForAsFastAsItsPeers) {
-  TargetLoad Busy = measuredLoad();
-  Busy.MaximumSequences = 64;
-  Busy.DecodeTokensPerSecond = 8000;
-  Busy.RunningSequences = 43;
-  Busy.DecodeTokensWaiting = 6000;
+// Guards against an idle engine: an engine without measurements was assumed to
+// be eight times slower than its peers, so it got no work as long as another
+// engine had room.
+TEST(ChooseTarget, AssumesPeerSpeedsForUnmeasuredTarget) {
+  TargetLoad BusyLoad = measuredLoad();
+  BusyLoad.MaximumSequences = 64;
+  BusyLoad.DecodeTokensPerSecond = 8000;
+  BusyLoad.RunningSequences = 43;
+  BusyLoad.DecodeTokensWaiting = 6000;
   TargetLoad Unmeasured;
   Unmeasured.MaximumSequences = 64;
-  add("busy", Busy);
+  add("busy", BusyLoad);
   add("idle", Unmeasured);
   const auto Chosen = choose(request(10, 300));
   STRCMP_EQUAL("idle", Chosen.value().Target->Id.c_str());
   CHECK(Chosen.value().ExpectedTotal < std::chrono::seconds(4));
 }
 
-TEST(ChooseTarget, AssumedSpeedsNeverRefuse) {
+TEST(ChooseTarget, AssumedSpeedsDoNotCauseRefusals) {
   add("fresh", TargetLoad{});
   RequestShape Request = request(100000, 1000);
   Request.TimeLeft = milliseconds(1);
   CHECK(choose(Request).has_value());
 }
 
-TEST(ChooseTarget, RolesSuitTheWorkUnlessTheyAreBusy) {
+TEST(ChooseTarget, PrefersMatchingRoleUnlessBusy) {
   add("prefill", measuredLoad(), Role::Prefill);
   add("decode", measuredLoad(), Role::Decode);
   const RequestShape LongPrompt = request(16000, 2);
   const RequestShape LongAnswer = request(20, 800);
   STRCMP_EQUAL("prefill", choose(LongPrompt).value().Target->Id.c_str());
   STRCMP_EQUAL("decode", choose(LongAnswer).value().Target->Id.c_str());
-  Book.gauge("prefill")->report(measuredLoad(16000), BootTime{});
+  Tracker.gauge("prefill")->report(measuredLoad(16000), BootTime{});
   STRCMP_EQUAL("decode", choose(LongPrompt).value().Target->Id.c_str());
 }
 
-TEST(ChooseTarget, OwnZoneWinsAmongEquals) {
+TEST(ChooseTarget, PrefersOwnZoneAmongEqualTargets) {
   add("far", measuredLoad()).Zone = "hall-b";
   add("near", measuredLoad());
   STRCMP_EQUAL("near", choose(request()).value().Target->Id.c_str());
-  Book.gauge("near")->report(measuredLoad(2000), BootTime{});
+  Tracker.gauge("near")->report(measuredLoad(2000), BootTime{});
   STRCMP_EQUAL("far", choose(request()).value().Target->Id.c_str());
 }
 
-TEST(ChooseTarget, WaitsForAFreeSequenceCount) {
+TEST(ChooseTarget, CountsTheWaitForAFreeSequence) {
   TargetLoad Full = measuredLoad();
   Full.RunningSequences = 16;
   Full.DecodeTokensWaiting = 16 * 100;
@@ -207,20 +206,21 @@
   STRCMP_EQUAL("queue", choose(request()).value().Target->Id.c_str());
 }
 
-TEST(ChooseTarget, RoundRobinTakesTurnsAndRandomReachesAll) {
+TEST(ChooseTarget, RoundRobinIsEvenAndRandomReachesAllTargets) {
   for (const char *Id : {"a", "b", "c"})
     add(Id, measuredLoad());
-  Table = RoutingTable(Views, Book);
-  const Policy Turns = RoundRobinPolicy{};
-  std::map<std::string, int> ByTurn, ByChance;
+  Table = RoutingTable(Views, Tracker);
+  const Policy RoundRobin = RoundRobinPolicy{};
+  std::map<std::string, int> RoundRobinCounts, RandomCounts;
   for (uint64_t I = 0; I < 300; ++I) {
-    ++ByTurn[chooseTarget(Turns, Table, request(), {}, I).value().Target->Id];
-    ++ByChance[chooseTarget(RandomPolicy{}, Table, request(), {}, I)
-                   .value()
-                   .Target->Id];
+    ++RoundRobinCounts
+        [chooseTarget(RoundRobin, Table, request(), {}, I).value().Target->Id];
+    ++RandomCounts[chooseTarget(RandomPolicy{}, Table, request(), {}, I)
+                       .value()
+                       .Target->Id];
   }
   for (const char *Id : {"a", "b", "c"}) {
-    LONGS_EQUAL(100, ByTurn[Id]);
-    CHECK(ByChance[Id] > 70);
+    LONGS_EQUAL(100, RoundRobinCounts[Id]);
+    CHECK(RandomCounts[Id] > 70);
   }
 }
--- a/Tests/LibRoute/TestPrefixAndSubset.cpp
+++ b/Tests/LibRoute/TestPrefixAndSubset.cpp
@@ -1,10 +1,10 @@
 //===- TestPrefixAndSubset.cpp - Hashes, subsets and gauges -----*- C++ -*-===//
 //
-// The building blocks under the choice of a target.
+// The components that the choice of a target is built on.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LibRoute/InFlightBook.h"
+#include "LibRoute/InFlightTracker.h"
 #include "LibRoute/PrefixHash.h"
 #include "LibRoute/Subset.h"
 
@@ -27,17 +27,17 @@
   LONGS_EQUAL(2, First.size());
   LONGS_EQUAL(3, Second.size());
   CHECK(First[0] == Second[0] && First[1] == Second[1]);
-  // The same block at another place is not the same prefix.
+  // The same block at another position is not the same prefix.
   CHECK(First[0] != First[1]);
   CHECK(prefixHashes(std::string(PrefixBlockBytes - 1, 'x')).empty());
 }
 
-TEST(PrefixHash, LongestHeldBlockCountsDespiteGapsInCacheEvents) {
+TEST(PrefixHash, LongestCachedBlockCountsDespiteLostCacheEvents) {
   const auto Hashes = prefixHashes(std::string(4 * PrefixBlockBytes, 'r'));
-  const std::vector<uint64_t> Held{Hashes[2], Hashes[0]};
-  const PrefixSummary Summary(Held);
+  const std::vector<uint64_t> Cached{Hashes[2], Hashes[0]};
+  const PrefixSummary Summary(Cached);
   LONGS_EQUAL(3, Summary.matchingBlocks(Hashes));
-  LONGS_EQUAL(1, PrefixSummary(Held, 1).size());
+  LONGS_EQUAL(1, PrefixSummary(Cached, 1).size());
   LONGS_EQUAL(0, PrefixSummary().matchingBlocks(Hashes));
 }
 
@@ -51,33 +51,33 @@
 }
 ;
 
-TEST(Subset, PrefersTheOwnZoneAndKeepsOthers) {
+TEST(Subset, PrefersOwnZoneAndKeepsOthers) {
   const auto Chosen = subsetFor("entry-1", "zone-2", fleet(64), 12);
   LONGS_EQUAL(12, Chosen.size());
-  const auto Near = std::ranges::count_if(Chosen, [](const std::string &Id) {
-    return std::stoi(Id.substr(3)) % 4 == 2;
-  });
-  LONGS_EQUAL(8, Near);
+  const auto InOwnZone =
+      std::ranges::count_if(Chosen, [](const std::string &Id) {
+        return std::stoi(Id.substr(3)) % 4 == 2;
+      });
+  LONGS_EQUAL(8, InOwnZone);
   LONGS_EQUAL(3, subsetFor("entry-1", "zone-2", fleet(3), 12).size());
 }
 
-TEST(Subset, MovesLittleWhenOneTargetLeaves) {
+TEST(Subset, ChangesLittleWhenATargetIsRemoved) {
   auto Members = fleet(64);
   const auto Before = subsetFor("entry-1", "zone-2", Members, 12);
-  std::erase_if(Members,
-                [&](const auto &One) { return One.Id == Before.front(); });
+  std::erase_if(
+      Members, [&](const auto &Member) { return Member.Id == Before.front(); });
   const auto After = subsetFor("entry-1", "zone-2", Members, 12);
-  std::set<std::string> Kept(Before.begin(), Before.end());
+  std::set<std::string> Previous(Before.begin(), Before.end());
   const auto Same = std::ranges::count_if(
-      After, [&](const auto &Id) { return Kept.contains(Id); });
+      After, [&](const auto &Id) { return Previous.contains(Id); });
   LONGS_EQUAL(11, Same);
 }
 
-// Symptom: a target stands idle though the fleet is overloaded.
-// Sequence: each entry picks its subset on its own; by chance none picks it.
-// Cause: without knowledge of the other entries nothing makes the union of the
-// subsets the whole fleet.
-TEST(Subset, EveryTargetIsHeldBySomeEntry) {
+// Guards against a target that is idle while the fleet is overloaded: if each
+// entry selects its subset independently of the other entries, a target may be
+// in none of the subsets.
+TEST(Subset, EveryTargetIsInSomeSubset) {
   const auto Members = fleet(200);
   std::vector<std::string> Entries;
   for (int I = 0; I < 20; ++I)
@@ -96,17 +96,17 @@
   CHECK(Largest <= 40);
 }
 
-TEST_GROUP(InFlightBook){};
+TEST_GROUP(InFlightTracker){};
 
-// Symptom: an entry avoids an idle target for ever, or overloads one.
-// Sequence: many threads send and settle at once; one update is lost.
-// Cause: a count that is not exact never returns to zero.
-TEST(InFlightBook, CountsAreExactUnderManyThreads) {
-  InFlightBook Book;
+// Guards against an entry that permanently avoids an idle target, or overloads
+// one: if an update by concurrent threads is lost, the count of work in flight
+// never returns to zero.
+TEST(InFlightTracker, CountsAreExactUnderManyThreads) {
+  InFlightTracker Tracker;
   std::vector<std::thread> Threads;
-  for (int T = 0; T < 4; ++T)
-    Threads.emplace_back([&Book, T] {
-      const auto Gauge = Book.gauge("vm-" + std::to_string(T % 2));
+  for (int ThreadIndex = 0; ThreadIndex < 4; ++ThreadIndex)
+    Threads.emplace_back([&Tracker, ThreadIndex] {
+      const auto Gauge = Tracker.gauge("vm-" + std::to_string(ThreadIndex % 2));
       for (int I = 0; I < 5000; ++I) {
         InFlightTicket Ticket(Gauge, {record::ServiceClass::Interactive, 7, 3});
         InFlightTicket Moved = std::move(Ticket);
@@ -115,13 +115,13 @@
         Moved.settle();
       }
     });
-  for (std::thread &One : Threads)
-    One.join();
+  for (std::thread &Thread : Threads)
+    Thread.join();
   for (const char *Id : {"vm-0", "vm-1"}) {
-    LONGS_EQUAL(0, Book.gauge(Id)->unaccountedRequests());
-    LONGS_EQUAL(0, Book.gauge(Id)->corrected().prefillTotal());
+    LONGS_EQUAL(0, Tracker.gauge(Id)->unaccountedRequests());
+    LONGS_EQUAL(0, Tracker.gauge(Id)->corrected().prefillTotal());
   }
-  LONGS_EQUAL(2, Book.size());
-  Book.forgetUnused();
-  LONGS_EQUAL(0, Book.size());
+  LONGS_EQUAL(2, Tracker.size());
+  Tracker.removeUnused();
+  LONGS_EQUAL(0, Tracker.size());
 }
--- a/Tests/LibRoute/TestRoutingTrial.cpp
+++ b/Tests/LibRoute/TestRoutingTrial.cpp
@@ -1,7 +1,7 @@
-//===- TestRoutingTrial.cpp - Mechanisms of routing, on and off -*- C++ -*-===//
+//===- TestRoutingTrial.cpp - Effects of routing mechanisms -----*- C++ -*-===//
 //
-// Each mechanism of FigliftPolicy against itself without that mechanism and
-// against the baselines, in the small queue model.
+// Compares FigliftPolicy with and without each mechanism, and with the
+// baselines, in the small queue model.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,49 +14,47 @@
 
 TEST_GROUP(RoutingTrial){};
 
-// Symptom: one engine's queue grows to seconds while others idle, in waves.
-// Sequence: reports come every 200 ms; until the next one, every request goes
-// to the engine that was the emptiest in the last.
-// Cause: the entry's own work since the report is not counted.
-TEST(RoutingTrial, OwnWorkInFlightPreventsHerdingOnLaggingReports) {
+// Guards against herding: reports arrive every 200 ms, and until the next one
+// every request would go to the engine with the shortest queue in the last one,
+// unless the entry counts the work that it has sent since. One queue after the
+// other would grow to seconds while the other engines are idle.
+TEST(RoutingTrial, InFlightCorrectionPreventsHerding) {
   const TrialSettings Settings;
-  FigliftPolicy Without;
-  Without.InFlightCorrection = false;
-  const auto With = RoutingTrial(FigliftPolicy{}, Settings).run();
-  const auto Off = RoutingTrial(Without, Settings).run();
-  const auto Least = RoutingTrial(LeastLoadedPolicy{}, Settings).run();
-  CHECK(With.MeanWait * 3 < Off.MeanWait);
-  CHECK(With.MeanWait * 3 < Least.MeanWait);
-  CHECK(With.WorstWait < Off.WorstWait);
+  FigliftPolicy ReducedPolicy;
+  ReducedPolicy.InFlightCorrection = false;
+  const auto Full = RoutingTrial(FigliftPolicy{}, Settings).run();
+  const auto Reduced = RoutingTrial(ReducedPolicy, Settings).run();
+  const auto LeastLoaded = RoutingTrial(LeastLoadedPolicy{}, Settings).run();
+  CHECK(Full.MeanWait * 3 < Reduced.MeanWait);
+  CHECK(Full.MeanWait * 3 < LeastLoaded.MeanWait);
+  CHECK(Full.WorstWait < Reduced.WorstWait);
 }
 
-// Symptom: prompts that share a roster are computed again on every engine.
-// Sequence: 24 rosters, 8 engines with room for 4 each; spread evenly, each
-// engine sees all rosters and holds few of them.
-// Cause: the choice of the target knows nothing of the caches.
-TEST(RoutingTrial, PrefixAwarenessKeepsPromptsWhereTheyAreCached) {
+// Guards against computing shared prefixes on every engine: with 24 prefixes
+// and 8 engines that cache 4 each, routing that ignores the caches sends every
+// prefix to every engine, and each engine caches only few of them.
+TEST(RoutingTrial, PrefixAwarenessRoutesPromptsToTheirCache) {
   TrialSettings Settings;
   Settings.SharedPrefixes = 24;
-  FigliftPolicy Without;
-  Without.PrefixAwareness = false;
-  const auto With = RoutingTrial(FigliftPolicy{}, Settings).run();
-  const auto Off = RoutingTrial(Without, Settings).run();
+  FigliftPolicy ReducedPolicy;
+  ReducedPolicy.PrefixAwareness = false;
+  const auto Full = RoutingTrial(FigliftPolicy{}, Settings).run();
+  const auto Reduced = RoutingTrial(ReducedPolicy, Settings).run();
   const auto Random = RoutingTrial(RandomPolicy{}, Settings).run();
-  CHECK(With.CachedFraction > 0.8);
-  CHECK(Off.CachedFraction < 0.4);
+  CHECK(Full.CachedFraction > 0.8);
+  CHECK(Reduced.CachedFraction < 0.4);
   CHECK(Random.CachedFraction < 0.4);
-  CHECK(With.MeanWait < Off.MeanWait);
+  CHECK(Full.MeanWait < Reduced.MeanWait);
 }
 
-// Symptom: one engine of eight drowns though the others are free.
-// Sequence: all prompts of a powder morning begin with the same roster, and
-// follow it to the engine that holds it.
-// Cause: affinity would win over load, did the wait not count as well.
-TEST(RoutingTrial, OneHotPrefixSpreadsOnceItsEngineIsBusy) {
+// Guards against overloading one engine of eight: all prompts have the same
+// prefix and would all follow it to the engine that caches it, unless the
+// expected wait is part of the cost.
+TEST(RoutingTrial, HotPrefixSpreadsOnceItsEngineIsBusy) {
   TrialSettings Settings;
   Settings.SharedPrefixes = 1;
   Settings.ArrivalInterval = milliseconds(4);
-  const auto With = RoutingTrial(FigliftPolicy{}, Settings).run();
-  CHECK(With.WorstWait < Seconds(0.5));
-  CHECK(With.CachedFraction > 0.9);
+  const auto Full = RoutingTrial(FigliftPolicy{}, Settings).run();
+  CHECK(Full.WorstWait < Seconds(0.5));
+  CHECK(Full.CachedFraction > 0.9);
 }
