--- a/Libraries/LibAdmission/Admission.cpp
+++ b/Libraries/LibAdmission/Admission.cpp
@@ -1,4 +1,4 @@
-//===- Admission.cpp - Queue and limits of one target -----------*- C++ -*-===//
+//===- Admission.cpp - Admission control of one target ----------*- C++ -*-===//
 //
 // Transitions of the admission state machine.
 //
@@ -16,9 +16,9 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr milliseconds RetryWithoutEstimate{500};
-/// Under overload the queue stands at the edge of what makes its deadline;
-/// without a margin for the error of the estimate, a part of the work there
-/// is done and comes just too late.
+/// Margin for the error of the estimate. Under overload, the queue is as long
+/// as the deadlines permit; without the margin, a part of the work would be
+/// done and finish just after its deadline.
 constexpr double EstimateMargin = 1.05;
 constexpr milliseconds MinimumRetryAfter{50};
 constexpr milliseconds MaximumRetryAfter{30000};
@@ -40,15 +40,17 @@
 
 Admission::Admission(AdmissionSettings Settings) : m_Settings(Settings) {}
 
-std::vector<Action> Admission::step(const Event &Happened, BootTime Now) {
+std::vector<Action> Admission::step(const Event &Input, BootTime Now) {
   Actions Out;
-  std::visit([&](const auto &One) { on(One, Now, Out); }, Happened);
+  std::visit([&](const auto &Alternative) { on(Alternative, Now, Out); },
+             Input);
   return Out;
 }
 
-void Admission::on(const Arrived &Event, BootTime Now, Actions &Out) {
+void Admission::on(const RequestArrived &Event, BootTime Now, Actions &Out) {
   const Work &Request = Event.Request;
-  // What a draining target refuses is offered to another one at once.
+  // Work that a draining target refuses is retried on another target, which
+  // counts it.
   if (m_Accepting) {
     m_OfferedPrefill += expectedPrefill(Request);
     m_OfferedDecode += Request.MaximumTokens;
@@ -58,50 +60,50 @@
     return;
   }
   const size_t Class = index(Request.Class);
-  Entry &New = m_Book[Request.Id];
+  Entry &New = m_Requests[Request.Id];
   New = {Request, Stage::Queued, expectedPrefill(Request), 0};
   m_PrefillWaiting[Class] += New.PrefillTokens;
   m_DecodeWaiting += Request.MaximumTokens;
   m_Queues[Class].push_back(Request.Id);
   admitQueued(Now, Out);
   if (New.At == Stage::Queued)
-    Out.push_back(Queue{Request.Id});
+    Out.push_back(Enqueue{Request.Id});
 }
 
 void Admission::on(const FirstToken &Event, BootTime Now, Actions &Out) {
-  const auto Found = m_Book.find(Event.Id);
-  if (Found == m_Book.end() || Found->second.At != Stage::Prefill)
+  const auto Found = m_Requests.find(Event.Id);
+  if (Found == m_Requests.end() || Found->second.At != Stage::Prefill)
     return;
-  Entry &Which = Found->second;
-  const uint32_t Prompt = Which.Request.PromptTokens;
-  leavePrefill(Which,
-               Event.CachedPromptTokens > 0
-                   ? Prompt - std::min(Event.CachedPromptTokens, Prompt)
-                   : Which.PrefillTokens,
-               Now);
-  Which.At = Stage::Decode;
-  Which.LastToken = m_Speed.mark(Now);
+  Entry &Current = Found->second;
+  const uint32_t Prompt = Current.Request.PromptTokens;
+  finishPrefill(Current,
+                Event.CachedPromptTokens > 0
+                    ? Prompt - std::min(Event.CachedPromptTokens, Prompt)
+                    : Current.PrefillTokens,
+                Now);
+  Current.At = Stage::Decode;
+  Current.LastToken = m_Speed.mark(Now);
   ++m_Decoding;
-  if (Which.Request.MaximumTokens > 0) {
-    Which.Produced = 1;
+  if (Current.Request.MaximumTokens > 0) {
+    Current.Produced = 1;
     m_DecodeWaiting -= 1;
   }
   admitQueued(Now, Out);
 }
 
 void Admission::on(const Progress &Event, BootTime Now, Actions &) {
-  const auto Found = m_Book.find(Event.Id);
-  if (Found == m_Book.end() || Found->second.At != Stage::Decode)
+  const auto Found = m_Requests.find(Event.Id);
+  if (Found == m_Requests.end() || Found->second.At != Stage::Decode)
     return;
-  Entry &Which = Found->second;
-  const uint32_t Left = Which.Request.MaximumTokens - Which.Produced;
-  const uint32_t Counted = std::min(Event.Tokens, Left);
-  m_Speed.tokensDone(Which.LastToken, Event.Tokens, m_Decoding, Now);
-  Which.Produced += Counted;
+  Entry &Current = Found->second;
+  const uint32_t Remaining = Current.Request.MaximumTokens - Current.Produced;
+  const uint32_t Counted = std::min(Event.Tokens, Remaining);
+  m_Speed.recordTokens(Current.LastToken, Event.Tokens, m_Decoding, Now);
+  Current.Produced += Counted;
   m_DecodeWaiting -= Counted;
 }
 
-void Admission::on(const Ended &Event, BootTime Now, Actions &Out) {
+void Admission::on(const RequestEnded &Event, BootTime Now, Actions &Out) {
   remove(Event.Id, Now);
   admitQueued(Now, Out);
 }
@@ -111,9 +113,10 @@
   m_Accepting = Event.Accepting;
   m_NotAcceptingCode = Event.Code;
   if (m_Accepting) {
-    // Speeds of the old role say little about the new one.
+    // The target may have a new role, and the speeds of the old one do not
+    // apply to it.
     if (Reopened)
-      m_Speed.forget();
+      m_Speed.reset();
     admitQueued(Now, Out);
     return;
   }
@@ -131,27 +134,27 @@
 }
 
 void Admission::on(const Tick &, BootTime Now, Actions &Out) {
-  refuseHopeless(Now, Out);
+  refuseUnreachableDeadlines(Now, Out);
   admitQueued(Now, Out);
 }
 
-unsigned Admission::places() const {
+unsigned Admission::sequenceSlots() const {
   return std::min(m_Settings.MaximumSequences, m_Settings.BatchSize);
 }
 
 bool Admission::fitsAtTarget(const Entry &Candidate) const {
-  if (m_AtTarget >= places())
+  if (m_AtTarget >= sequenceSlots())
     return false;
-  // The share of a class bounds it together with the less urgent ones: the
-  // rest of the places stays free for more urgent work.
-  size_t Held = 0;
+  // The share of a class limits it together with the less urgent ones. The rest
+  // of the slots is reserved for more urgent work.
+  size_t UsedSlots = 0;
   for (size_t Class = index(Candidate.Request.Class); Class < ServiceClassCount;
        ++Class)
-    Held += m_Places[Class];
+    UsedSlots += m_SequencesAtTarget[Class];
   const double Share = m_Settings.Classes[index(Candidate.Request.Class)].Share;
-  const auto Allowed =
-      std::max<size_t>(1, static_cast<size_t>(Share * places()));
-  if (Held >= Allowed)
+  const auto AllowedSlots =
+      std::max<size_t>(1, static_cast<size_t>(Share * sequenceSlots()));
+  if (UsedSlots >= AllowedSlots)
     return false;
   return m_PrefillAtTarget == 0 ||
          Candidate.Request.Class == ServiceClass::Immediate ||
@@ -159,12 +162,12 @@
              m_Settings.MaximumPrefillAtTarget;
 }
 
-void Admission::handOver(Entry &Next, BootTime Now, Actions &Out) {
+void Admission::sendToTarget(Entry &Next, BootTime Now, Actions &Out) {
   Next.At = Stage::Prefill;
-  ++m_Places[index(Next.Request.Class)];
+  ++m_SequencesAtTarget[index(Next.Request.Class)];
   ++m_AtTarget;
   m_PrefillAtTarget += Next.PrefillTokens;
-  m_Speed.promptsWait(true, Now);
+  m_Speed.setPromptsWaiting(true, Now);
   Out.push_back(Admit{Next.Request.Id});
 }
 
@@ -173,24 +176,24 @@
     return;
   for (auto &Queue : m_Queues)
     while (!Queue.empty()) {
-      Entry &Next = m_Book.at(Queue.front());
+      Entry &Next = m_Requests.at(Queue.front());
       if (!fitsAtTarget(Next))
         break;
       Queue.pop_front();
-      handOver(Next, Now, Out);
+      sendToTarget(Next, Now, Out);
     }
 }
 
-void Admission::refuseHopeless(BootTime Now, Actions &Out) {
-  std::vector<std::string> Hopeless;
+void Admission::refuseUnreachableDeadlines(BootTime Now, Actions &Out) {
+  std::vector<std::string> Unreachable;
   for (const auto &Queue : m_Queues)
     for (const std::string &Id : Queue) {
-      const Work &Request = m_Book.at(Id).Request;
+      const Work &Request = m_Requests.at(Id).Request;
       if (Request.Deadline &&
           Now + expectedTotal(Request, 0) > *Request.Deadline)
-        Hopeless.push_back(Id);
+        Unreachable.push_back(Id);
     }
-  for (const std::string &Id : Hopeless) {
+  for (const std::string &Id : Unreachable) {
     remove(Id, Now);
     Out.push_back(Refuse{Id, ResultCode::DeadlineUnreachable, std::nullopt});
   }
@@ -200,29 +203,29 @@
                                             BootTime Now) const {
   if (!m_Accepting)
     return Refuse{Request.Id, m_NotAcceptingCode, RetryWithoutEstimate};
-  if (m_Book.contains(Request.Id))
+  if (m_Requests.contains(Request.Id))
     return Refuse{Request.Id, ResultCode::InvalidInput, std::nullopt};
   const size_t Class = index(Request.Class);
   const uint64_t Waiting = m_PrefillWaiting[Class];
   const uint64_t Bound = m_Settings.Classes[Class].MaximumQueuedTokens;
-  const double Rate = m_Speed.promptTokensPerSecond();
+  const double Rate = m_Speed.prefillTokensPerSecond();
   if (Waiting > 0 && Waiting + expectedPrefill(Request) > Bound) {
-    const Seconds Drains(Rate > 0 ? Waiting / Rate : 0.5);
+    const Seconds QueueTime(Rate > 0 ? Waiting / Rate : 0.5);
     return Refuse{Request.Id, ResultCode::Overloaded,
-                  boundedRetryAfter(Drains)};
+                  boundedRetryAfter(QueueTime)};
   }
   if (!Request.Deadline)
     return std::nullopt;
-  uint64_t Ahead = 0;
-  for (size_t More = 0; More <= Class; ++More)
-    Ahead += m_PrefillWaiting[More];
-  const Seconds Expected = expectedTotal(Request, Ahead);
+  uint64_t PrefillAhead = 0;
+  for (size_t MoreUrgent = 0; MoreUrgent <= Class; ++MoreUrgent)
+    PrefillAhead += m_PrefillWaiting[MoreUrgent];
+  const Seconds Expected = expectedTotal(Request, PrefillAhead);
   if (Expected * EstimateMargin <= *Request.Deadline - Now)
     return std::nullopt;
-  // Waiting helps only by what the backlog contributes.
+  // A later retry only saves the time that the backlog takes.
   std::optional<milliseconds> RetryAfter;
-  if (Rate > 0 && Ahead > 0)
-    RetryAfter = boundedRetryAfter(Seconds(Ahead / Rate));
+  if (Rate > 0 && PrefillAhead > 0)
+    RetryAfter = boundedRetryAfter(Seconds(PrefillAhead / Rate));
   return Refuse{Request.Id, ResultCode::DeadlineUnreachable, RetryAfter};
 }
 
@@ -230,9 +233,9 @@
                                                   uint64_t PrefillAhead) const {
   Seconds Total(0);
   const double Prefill = PrefillAhead + expectedPrefill(Request);
-  if (const double Rate = m_Speed.promptTokensPerSecond(); Rate > 0)
+  if (const double Rate = m_Speed.prefillTokensPerSecond(); Rate > 0)
     Total += Seconds(Prefill / Rate);
-  // Each piece of a prompt waits for a decode step of the others.
+  // Each chunk of a prompt waits for a decode step of the running sequences.
   if (m_Decoding > 0)
     Total += m_Speed.decodeStep() * (Prefill / route::PrefillChunkTokens);
   if (Request.MaximumTokens > 1)
@@ -240,35 +243,36 @@
   return std::chrono::duration_cast<std::chrono::nanoseconds>(Total);
 }
 
-void Admission::leavePrefill(Entry &Which, uint64_t ComputedTokens,
-                             BootTime Now) {
-  m_PrefillWaiting[index(Which.Request.Class)] -= Which.PrefillTokens;
-  m_PrefillAtTarget -= Which.PrefillTokens;
-  m_Speed.promptDone(ComputedTokens, Now);
-  m_Speed.promptsWait(m_PrefillAtTarget > 0, Now);
+void Admission::finishPrefill(Entry &Current, uint64_t ComputedTokens,
+                              BootTime Now) {
+  m_PrefillWaiting[index(Current.Request.Class)] -= Current.PrefillTokens;
+  m_PrefillAtTarget -= Current.PrefillTokens;
+  m_Speed.recordPrefill(ComputedTokens, Now);
+  m_Speed.setPromptsWaiting(m_PrefillAtTarget > 0, Now);
 }
 
 void Admission::remove(const std::string &Id, BootTime Now) {
-  const auto Found = m_Book.find(Id);
-  if (Found == m_Book.end())
+  const auto Found = m_Requests.find(Id);
+  if (Found == m_Requests.end())
     return;
-  Entry &Which = Found->second;
-  const size_t Class = index(Which.Request.Class);
-  m_DecodeWaiting -= Which.Request.MaximumTokens - Which.Produced;
-  if (Which.At == Stage::Queued) {
-    m_PrefillWaiting[Class] -= Which.PrefillTokens;
+  Entry &Current = Found->second;
+  const size_t Class = index(Current.Request.Class);
+  m_DecodeWaiting -= Current.Request.MaximumTokens - Current.Produced;
+  if (Current.At == Stage::Queued) {
+    m_PrefillWaiting[Class] -= Current.PrefillTokens;
     std::erase(m_Queues[Class], Id);
   } else {
-    if (Which.At == Stage::Decode)
+    if (Current.At == Stage::Decode)
       --m_Decoding;
-    if (Which.At == Stage::Prefill) {
-      // A plain service's answer is its first token.
-      leavePrefill(Which, Which.Request.MaximumTokens == 0 ? 1 : 0, Now);
+    if (Current.At == Stage::Prefill) {
+      // A call of a plain service ends without a FirstToken event; it counts
+      // as one token.
+      finishPrefill(Current, Current.Request.MaximumTokens == 0 ? 1 : 0, Now);
     }
-    --m_Places[Class];
+    --m_SequencesAtTarget[Class];
     --m_AtTarget;
   }
-  m_Book.erase(Found);
+  m_Requests.erase(Found);
 }
 
 route::TargetLoad Admission::load(BootTime) const {
@@ -277,10 +281,10 @@
   Load.DecodeTokensWaiting = m_DecodeWaiting;
   Load.RunningSequences = static_cast<uint32_t>(m_AtTarget);
   Load.WaitingRequests = static_cast<uint32_t>(queued());
-  Load.MaximumSequences = places();
-  Load.PrefillTokensPerSecond = m_Speed.promptTokensPerSecond();
+  Load.MaximumSequences = sequenceSlots();
+  Load.PrefillTokensPerSecond = m_Speed.prefillTokensPerSecond();
   if (const auto Time = m_Speed.decodeStep(); Time.count() > 0)
-    Load.DecodeTokensPerSecond = places() / Time.count();
+    Load.DecodeTokensPerSecond = sequenceSlots() / Time.count();
   return Load;
 }
 
--- a/Libraries/LibAdmission/SpeedEstimator.cpp
+++ b/Libraries/LibAdmission/SpeedEstimator.cpp
@@ -1,6 +1,6 @@
 //===- SpeedEstimator.cpp - Measured speeds of a target ---------*- C++ -*-===//
 //
-// Moving averages of prompt speed and decode step.
+// Moving averages of the prefill speed and the decode step.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,45 +15,46 @@
 
 using Seconds = SpeedEstimator::Seconds;
 
-/// Prompt time of a sample: long enough for a few pieces of prompts.
+/// Prefill time of a sample: long enough for a few chunks of prompts.
 constexpr Seconds Window{0.25};
-/// Of the first sample, so that there is some measurement soon.
+/// Prefill time of the first sample, short so that a speed is available soon.
 constexpr Seconds FirstWindow{0.02};
 constexpr double RateWeight = 0.2;
 constexpr double StepWeight = 0.05;
-/// Decode steps can explain at most this part of the prompts' time; more is
-/// an estimate of the step that is out of date.
-constexpr double MaximumDecodePart = 0.8;
+/// Limit on the part of the prefill time that is attributed to decode steps; a
+/// larger part means that the estimate of the step is out of date.
+constexpr double MaximumDecodeFraction = 0.8;
 
 } // namespace
 
 void SpeedEstimator::advance(BootTime Now) {
-  if (m_PromptsWait && Now > m_Since)
+  if (m_PromptsWaiting && Now > m_Since)
     m_PromptTime += Now - m_Since;
   m_Since = Now;
 }
 
-void SpeedEstimator::promptsWait(bool Any, BootTime Now) {
+void SpeedEstimator::setPromptsWaiting(bool Waiting, BootTime Now) {
   advance(Now);
-  m_PromptsWait = Any;
+  m_PromptsWaiting = Waiting;
 }
 
-void SpeedEstimator::promptDone(uint64_t ComputedTokens, BootTime Now) {
+void SpeedEstimator::recordPrefill(uint64_t ComputedTokens, BootTime Now) {
   advance(Now);
   m_PromptTokens += ComputedTokens;
   const Seconds Time = m_PromptTime - m_WindowStart;
-  if (m_PromptTokens == 0 || Time < (m_PromptRate > 0 ? Window : FirstWindow))
+  if (m_PromptTokens == 0 || Time < (m_PrefillRate > 0 ? Window : FirstWindow))
     return;
-  // An upper bound of the step contains prompts itself.
-  const Seconds Decode = m_StepIsMeasured ? std::min(m_Step * m_StepsMeanwhile,
-                                                     Time * MaximumDecodePart)
-                                          : Seconds(0);
+  // An upper bound of the step includes prefill time, so it is not subtracted.
+  const Seconds Decode =
+      m_StepIsMeasured
+          ? std::min(m_Step * m_StepsInWindow, Time * MaximumDecodeFraction)
+          : Seconds(0);
   const double Sample = m_PromptTokens / (Time - Decode).count();
-  m_PromptRate = m_PromptRate > 0
-                     ? m_PromptRate + RateWeight * (Sample - m_PromptRate)
-                     : Sample;
+  m_PrefillRate = m_PrefillRate > 0
+                      ? m_PrefillRate + RateWeight * (Sample - m_PrefillRate)
+                      : Sample;
   m_WindowStart = m_PromptTime;
-  m_StepsMeanwhile = 0;
+  m_StepsInWindow = 0;
   m_PromptTokens = 0;
 }
 
@@ -62,35 +63,35 @@
   return {Now, m_PromptTime};
 }
 
-void SpeedEstimator::tokensDone(TokenMark &Last, uint32_t Tokens,
-                                size_t Sequences, BootTime Now) {
+void SpeedEstimator::recordTokens(TokenMark &Last, uint32_t Tokens,
+                                  size_t Sequences, BootTime Now) {
   const TokenMark Here = mark(Now);
   const Seconds Gap = Here.At - Last.At;
   const Seconds WithPrompts = Here.PromptTime - Last.PromptTime;
   Last = Here;
   if (Tokens == 0 || Gap.count() <= 0)
     return;
-  const Seconds Each = Gap / Tokens;
+  const Seconds TimePerToken = Gap / Tokens;
   if (WithPrompts.count() > 0) {
-    m_StepsMeanwhile +=
+    m_StepsInWindow +=
         WithPrompts / Gap * Tokens / std::max<size_t>(Sequences, 1);
-    // An upper bound is better than nothing on a target that is never without
-    // prompts.
-    if (!m_StepIsMeasured && (m_Step.count() == 0 || Each < m_Step))
-      m_Step = Each;
+    // On a target that always has prompts, only an upper bound is available.
+    if (!m_StepIsMeasured && (m_Step.count() == 0 || TimePerToken < m_Step))
+      m_Step = TimePerToken;
     return;
   }
   const double Share = 1 - std::pow(1 - StepWeight, Tokens);
-  m_Step = m_StepIsMeasured ? m_Step + (Each - m_Step) * Share : Each;
+  m_Step = m_StepIsMeasured ? m_Step + (TimePerToken - m_Step) * Share
+                            : TimePerToken;
   m_StepIsMeasured = true;
 }
 
-void SpeedEstimator::forget() {
-  m_PromptRate = 0;
+void SpeedEstimator::reset() {
+  m_PrefillRate = 0;
   m_Step = Seconds(0);
   m_StepIsMeasured = false;
   m_WindowStart = m_PromptTime;
-  m_StepsMeanwhile = 0;
+  m_StepsInWindow = 0;
   m_PromptTokens = 0;
 }
 
--- a/Libraries/LibAdmission/SpeedEstimator.h
+++ b/Libraries/LibAdmission/SpeedEstimator.h
@@ -1,11 +1,11 @@
 //===- SpeedEstimator.h - Measured speeds of a target -----------*- C++ -*-===//
 //
-// A target that processes prompts and decodes at the same time divides its
-// time between both, so neither speed can be read off directly: under load the
-// plain averages of both would come out too low, and their sum would show an
-// engine that is overloaded when it is half busy. So the decode step is taken
-// from tokens that no prompt delayed, and the time of the decode steps is left
-// out of the time of the prompts.
+// A target that runs prefill and decode concurrently divides its time between
+// both, so neither speed can be measured directly: under load, plain averages
+// of both would be too low, and together they would show an engine as
+// overloaded that is half utilized. The decode step is therefore measured with
+// tokens that no prompt delayed, and the time of decode steps is subtracted
+// from the time of prefill.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,45 +22,48 @@
 public:
   using Seconds = std::chrono::duration<double>;
 
-  /// When a sequence got its last token.
+  /// When a sequence produced its last token.
   struct TokenMark {
     BootTime At;
-    /// The estimator's clock of time with prompts at the target.
+    /// Total time with prompts at the target until then.
     Seconds PromptTime{0};
   };
 
-  /// Whether prompts are at the target from now on.
-  void promptsWait(bool Any, BootTime Now);
-  void promptDone(uint64_t ComputedTokens, BootTime Now);
-  /// The sequence of \p Last, one of \p Sequences, got \p Tokens more.
-  void tokensDone(TokenMark &Last, uint32_t Tokens, size_t Sequences,
-                  BootTime Now);
+  /// Sets whether there are unprocessed prompts at the target from now on.
+  void setPromptsWaiting(bool Waiting, BootTime Now);
+  void recordPrefill(uint64_t ComputedTokens, BootTime Now);
+  /// Records that one of \p Sequences decoding sequences produced \p Tokens
+  /// since \p Last, and updates \p Last.
+  void recordTokens(TokenMark &Last, uint32_t Tokens, size_t Sequences,
+                    BootTime Now);
   TokenMark mark(BootTime Now);
-  /// The target changed its role: nothing measured counts any more.
-  void forget();
+  /// Discards all measurements, because the target may have a new role.
+  void reset();
 
-  /// Of a target that does nothing else; 0 before the first measurement.
-  double promptTokensPerSecond() const { return m_PromptRate; }
-  /// Of one token of each sequence in the batch; 0 before the first one.
+  /// Prefill speed of a target that does nothing else; 0 before the first
+  /// measurement.
+  double prefillTokensPerSecond() const { return m_PrefillRate; }
+  /// Time in which each sequence of the batch produces one token; 0 before the
+  /// first measurement.
   Seconds decodeStep() const { return m_Step; }
 
 private:
   void advance(BootTime Now);
 
-  bool m_PromptsWait = false;
+  bool m_PromptsWaiting = false;
   BootTime m_Since;
   /// Total time with prompts at the target.
   Seconds m_PromptTime{0};
 
-  // The open window of prompt work; its time begins at m_WindowStart of
-  // m_PromptTime.
+  // Current measurement window of prefill; it started when m_PromptTime was
+  // m_WindowStart.
   Seconds m_WindowStart{0};
-  double m_StepsMeanwhile = 0;
+  double m_StepsInWindow = 0;
   uint64_t m_PromptTokens = 0;
 
-  double m_PromptRate = 0;
+  double m_PrefillRate = 0;
   Seconds m_Step{0};
-  /// False: m_Step is at most an upper bound.
+  /// If false, m_Step is 0 or an upper bound.
   bool m_StepIsMeasured = false;
 };
 
--- a/Services/figlift-agent/Gate.cpp
+++ b/Services/figlift-agent/Gate.cpp
@@ -51,7 +51,7 @@
 void Gate::enter(WorkId Id, admission::Work Request, Decisions Then) {
   Request.Id = std::to_string(Id);
   m_Waiting[Request.Id] = std::move(Then);
-  step(admission::Arrived{std::move(Request)});
+  step(admission::RequestArrived{std::move(Request)});
 }
 
 void Gate::firstToken(WorkId Id, uint32_t CachedTokens) {
@@ -65,7 +65,7 @@
 void Gate::leave(WorkId Id) {
   const std::string Key = std::to_string(Id);
   m_Waiting.erase(Key);
-  step(admission::Ended{Key});
+  step(admission::RequestEnded{Key});
   m_OnLeave();
 }
 
--- a/Services/figlift-agent/Gate.h
+++ b/Services/figlift-agent/Gate.h
@@ -61,7 +61,7 @@
 private:
   void step(const admission::Event &What);
   void act(const admission::Admit &What);
-  void act(const admission::Queue &) {}
+  void act(const admission::Enqueue &) {}
   void act(const admission::Refuse &What);
   std::optional<Decisions> take(const std::string &Id);
 
--- a/Tests/LibAdmission/EngineTrial.h
+++ b/Tests/LibAdmission/EngineTrial.h
@@ -1,7 +1,7 @@
 //===- EngineTrial.h - Small deterministic engine ---------------*- C++ -*-===//
 //
-// Steps of one batch: a piece of prompts, then one token of each sequence that
-// decodes. Drives an Admission and takes its decisions.
+// Simulates the steps of one batch: a chunk of prefill, then one token of each
+// decoding sequence. Drives an Admission and carries out its decisions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,20 +26,20 @@
   static constexpr Seconds DecodeStep{0.02};
   static constexpr uint32_t Chunk = 2048;
 
-  explicit EngineTrial(AdmissionSettings Settings) : Book(Settings) {}
+  explicit EngineTrial(AdmissionSettings Settings) : Controller(Settings) {}
 
-  void arrive(Work Request, milliseconds Patience) {
+  void arrive(Work Request, milliseconds TimeLimit) {
     Request.Id = std::to_string(m_Next++);
     m_Requests[Request.Id] = {Request, Request.PromptTokens, 0,
-                              m_Now + Patience};
-    act(Book.step(Arrived{Request}, now()));
+                              m_Now + TimeLimit};
+    act(Controller.step(RequestArrived{Request}, now()));
   }
 
-  /// Runs steps until \p Until; nothing to do passes the time.
+  /// Runs steps until \p Until. Skips the remaining time if there is no work.
   void runUntil(Seconds Until) {
     while (m_Now < Until) {
       const Seconds Length = step();
-      act(Book.step(Tick{}, now()));
+      act(Controller.step(Tick{}, now()));
       if (Length.count() == 0)
         m_Now = Until;
     }
@@ -51,32 +51,32 @@
   }
   Seconds elapsed() const { return m_Now; }
 
-  Admission Book;
+  Admission Controller;
   unsigned InTime = 0;
   unsigned Late = 0;
   unsigned Refused = 0;
 
 private:
   struct Request {
-    Work What;
-    uint32_t PrefillLeft;
+    Work Details;
+    uint32_t PrefillRemaining;
     uint32_t Produced;
-    Seconds WantedBy;
+    Seconds Deadline;
   };
 
   Seconds step() {
     uint32_t Budget = Chunk;
     std::vector<std::string> Prefilled, Decoding;
     for (const std::string &Id : m_Running) {
-      Request &One = m_Requests[Id];
-      if (One.PrefillLeft == 0) {
+      Request &Current = m_Requests[Id];
+      if (Current.PrefillRemaining == 0) {
         Decoding.push_back(Id);
         continue;
       }
-      const uint32_t Tokens = std::min(Budget, One.PrefillLeft);
+      const uint32_t Tokens = std::min(Budget, Current.PrefillRemaining);
       Budget -= Tokens;
-      One.PrefillLeft -= Tokens;
-      if (Tokens > 0 && One.PrefillLeft == 0)
+      Current.PrefillRemaining -= Tokens;
+      if (Tokens > 0 && Current.PrefillRemaining == 0)
         Prefilled.push_back(Id);
     }
     Seconds Length((Chunk - Budget) / PrefillRate);
@@ -90,21 +90,21 @@
     return Length;
   }
 
-  void produce(const std::string &Id, const Event &Happened) {
-    act(Book.step(Happened, now()));
-    Request &One = m_Requests[Id];
-    if (++One.Produced < One.What.MaximumTokens)
+  void produce(const std::string &Id, const Event &Input) {
+    act(Controller.step(Input, now()));
+    Request &Current = m_Requests[Id];
+    if (++Current.Produced < Current.Details.MaximumTokens)
       return;
-    ++(m_Now <= One.WantedBy ? InTime : Late);
+    ++(m_Now <= Current.Deadline ? InTime : Late);
     m_Running.remove(Id);
-    act(Book.step(Ended{Id}, now()));
+    act(Controller.step(RequestEnded{Id}, now()));
   }
 
   void act(const std::vector<Action> &Actions) {
-    for (const Action &One : Actions) {
-      if (const auto *Taken = std::get_if<Admit>(&One))
-        m_Running.push_back(Taken->Id);
-      Refused += std::holds_alternative<Refuse>(One);
+    for (const Action &Step : Actions) {
+      if (const auto *Admitted = std::get_if<Admit>(&Step))
+        m_Running.push_back(Admitted->Id);
+      Refused += std::holds_alternative<Refuse>(Step);
     }
   }
 
--- a/Tests/LibAdmission/TestEngineTrial.cpp
+++ b/Tests/LibAdmission/TestEngineTrial.cpp
@@ -1,4 +1,4 @@
-//===- TestEngineTrial.cpp - Admission before a small engine ----*- C++ -*-===//
+//===- TestEngineTrial.cpp - Admission with a small engine ------*- C++ -*-===//
 //
 // Measured speeds under mixed work, and goodput under overload.
 //
@@ -23,21 +23,21 @@
   return Request;
 }
 
-/// Half as much again as the engine can do; returns the part of the answers
-/// that the engine could have given in time.
+/// Offers 150 % of the engine's capacity. Returns the answers that met their
+/// deadline as a fraction of the engine's capacity.
 double goodput(bool Deadlines) {
   AdmissionSettings Settings;
   Settings.Classes[1].MaximumQueuedTokens = 400000;
   EngineTrial Engine(Settings);
-  constexpr milliseconds Patience{3000};
+  constexpr milliseconds TimeLimit{3000};
   constexpr double Capacity = EngineTrial::PrefillRate / 4000;
   constexpr int Requests = 300;
   for (int I = 0; I < Requests; ++I) {
     Engine.runUntil(Seconds(I / (1.5 * Capacity)));
     Work Request = work(4000, 1);
     if (Deadlines)
-      Request.Deadline = Engine.now() + Patience;
-    Engine.arrive(Request, Patience);
+      Request.Deadline = Engine.now() + TimeLimit;
+    Engine.arrive(Request, TimeLimit);
   }
   const Seconds End = Engine.elapsed();
   Engine.runUntil(End + Seconds(60));
@@ -48,46 +48,43 @@
 
 TEST_GROUP(EngineTrial){};
 
-// Symptom: the planner takes a half busy engine for overloaded.
-// Sequence: prompts and answers share the engine; each is timed by itself, so
-// each time contains the other.
-// Cause: busy time counted twice.
-TEST(EngineTrial, SpeedsAreToldApartUnderMixedWork) {
+// Guards against speeds that are too low: prefill and decode share the engine,
+// and if each is timed independently, busy time is counted twice, and the
+// planner considers a half utilized engine overloaded.
+TEST(EngineTrial, MeasuresBothSpeedsUnderMixedWork) {
   for (const uint32_t Prompt : {500u, 1500u, 3000u}) {
     EngineTrial Engine{AdmissionSettings{}};
     for (int I = 0; I < 400; ++I) {
       Engine.runUntil(Seconds(I * 0.25));
-      // Bursts, so that the mix of the windows varies.
+      // Send bursts, so that the mix of work varies between windows.
       for (int J = 0; J < (I / 8) % 3; ++J)
         Engine.arrive(work(Prompt, 30), milliseconds(60000));
     }
-    const auto Load = Engine.Book.load(Engine.now());
+    const auto Load = Engine.Controller.load(Engine.now());
     DOUBLES_EQUAL(20000, Load.PrefillTokensPerSecond, 4000);
     DOUBLES_EQUAL(64 / 0.02, Load.DecodeTokensPerSecond, 640);
   }
 }
 
-// Symptom: an entry believes in four times the engine's speed, and sends it
-// work that it cannot do in time.
-// Sequence: prompts are at the engine from the first moment on; no decode step
-// was ever seen without them.
-// Cause: a step that contains prompts was taken out of the prompts' time.
-TEST(EngineTrial, NoPureStepLeavesThePromptSpeedUsable) {
+// Guards against a prefill speed that is four times too high, for which entries
+// send more work than the engine can do in time: if prompts are always at the
+// engine, every measured decode step includes prefill, and must not be
+// subtracted from the prefill time.
+TEST(EngineTrial, PrefillSpeedIsUsableWithoutPureDecodeSteps) {
   EngineTrial Engine{AdmissionSettings{}};
   for (int I = 0; I < 100; ++I) {
     Engine.runUntil(Seconds(I * 0.25));
     Engine.arrive(work(6000, 30), milliseconds(60000));
   }
-  const auto Load = Engine.Book.load(Engine.now());
+  const auto Load = Engine.Controller.load(Engine.now());
   DOUBLES_EQUAL(20000, Load.PrefillTokensPerSecond, 5000);
   CHECK(Load.DecodeTokensPerSecond > 0);
 }
 
-// Symptom: the engine is fully busy, and nearly every answer comes too late.
-// Sequence: half as much again arrives as the engine can do; first come first
-// served, everybody waits longer than their patience.
-// Cause: work is taken that can no longer make its deadline.
-TEST(EngineTrial, DeadlinesKeepGoodputUnderOverload) {
+// Guards against an engine that is fully utilized while nearly every answer
+// misses its deadline: at 150 % of its capacity, first come first served, every
+// request waits too long unless work that cannot meet its deadline is refused.
+TEST(EngineTrial, DeadlinesPreserveGoodputUnderOverload) {
   CHECK(goodput(true) > 0.9);
   CHECK(goodput(false) < 0.5);
 }
