--- a/Libraries/LibPlan/DemandEstimator.cpp
+++ b/Libraries/LibPlan/DemandEstimator.cpp
@@ -1,6 +1,6 @@
-//===- DemandEstimator.cpp - Offered work from growing counters -*- C++ -*-===//
+//===- DemandEstimator.cpp - Demand from offered work -----------*- C++ -*-===//
 //
-// Decayed rates for each source.
+// Exponentially decayed rates for each source.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,42 +20,43 @@
 
 } // namespace
 
-void DemandEstimator::observe(const std::string &Name,
+void DemandEstimator::observe(const std::string &SourceName,
                               uint64_t OfferedPrefillTokens,
                               uint64_t OfferedDecodeTokens, BootTime Now) {
-  const auto [Found, New] = m_Sources.try_emplace(Name);
-  Source &Known = Found->second;
-  const Seconds Elapsed = Now - Known.Seen;
-  const bool Restarted = OfferedPrefillTokens < Known.Prefill ||
-                         OfferedDecodeTokens < Known.Decode;
+  const auto [Found, New] = m_Sources.try_emplace(SourceName);
+  Source &State = Found->second;
+  const Seconds Elapsed = Now - State.UpdatedAt;
+  const bool Restarted = OfferedPrefillTokens < State.Prefill ||
+                         OfferedDecodeTokens < State.Decode;
   if (!New && !Restarted && Elapsed.count() <= 0)
     return;
   if (!New && !Restarted) {
     const double Prefill =
-        (OfferedPrefillTokens - Known.Prefill) / Elapsed.count();
+        (OfferedPrefillTokens - State.Prefill) / Elapsed.count();
     const double Decode =
-        (OfferedDecodeTokens - Known.Decode) / Elapsed.count();
-    const double Keep = Known.HasRate ? decay(Elapsed, m_Window) : 0;
-    Known.Rate.PrefillTokensPerSecond =
-        Keep * Known.Rate.PrefillTokensPerSecond + (1 - Keep) * Prefill;
-    Known.Rate.DecodeTokensPerSecond =
-        Keep * Known.Rate.DecodeTokensPerSecond + (1 - Keep) * Decode;
-    Known.HasRate = true;
+        (OfferedDecodeTokens - State.Decode) / Elapsed.count();
+    const double Weight = State.HasRate ? decay(Elapsed, m_Window) : 0;
+    State.Rate.PrefillTokensPerSecond =
+        Weight * State.Rate.PrefillTokensPerSecond + (1 - Weight) * Prefill;
+    State.Rate.DecodeTokensPerSecond =
+        Weight * State.Rate.DecodeTokensPerSecond + (1 - Weight) * Decode;
+    State.HasRate = true;
   }
-  Known.Prefill = OfferedPrefillTokens;
-  Known.Decode = OfferedDecodeTokens;
-  Known.Seen = Now;
+  State.Prefill = OfferedPrefillTokens;
+  State.Decode = OfferedDecodeTokens;
+  State.UpdatedAt = Now;
 }
 
 Demand DemandEstimator::demand(BootTime Now) const {
   Demand Sum;
-  for (const auto &[Name, Known] : m_Sources) {
-    // A silent source fades: its work goes to others, who count it.
-    const Seconds Silent = Now - Known.Seen;
-    const double Keep =
+  for (const auto &[SourceName, State] : m_Sources) {
+    // The rate of a source that stops reporting decays, because its work is
+    // sent to other sources, which count it.
+    const Seconds Silent = Now - State.UpdatedAt;
+    const double Weight =
         Silent > m_Window ? decay(Silent - m_Window, m_Window) : 1.0;
-    Sum.PrefillTokensPerSecond += Keep * Known.Rate.PrefillTokensPerSecond;
-    Sum.DecodeTokensPerSecond += Keep * Known.Rate.DecodeTokensPerSecond;
+    Sum.PrefillTokensPerSecond += Weight * State.Rate.PrefillTokensPerSecond;
+    Sum.DecodeTokensPerSecond += Weight * State.Rate.DecodeTokensPerSecond;
   }
   return Sum;
 }
--- a/Libraries/LibPlan/DemandEstimator.h
+++ b/Libraries/LibPlan/DemandEstimator.h
@@ -1,8 +1,9 @@
-//===- DemandEstimator.h - Offered work from growing counters ---*- C++ -*-===//
+//===- DemandEstimator.h - Demand from counters of offered work -*- C++ -*-===//
 //
-// Agents count the work that was offered to them since their start. The sum
-// of the growth over all targets, averaged over a window, is the demand. It
-// comes from admissions, so it leads the engines' lagging load reports.
+// Agents count the work offered to them since their start. The demand is the
+// growth of these counters, averaged over a window and summed over all targets.
+// It is counted at admission, so it is more recent than the load reports of the
+// engines.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,19 +25,20 @@
       std::chrono::milliseconds Window = std::chrono::seconds(8))
       : m_Window(Window) {}
 
-  /// \p Source is a target, or an entry with the work that it refused early.
-  /// A counter that fell means a restarted source: its count starts anew.
+  /// \p Source is a target, or an entry that counts the work it refused before
+  /// sending it. A counter that decreases means that the source has restarted,
+  /// and becomes the new base of its growth.
   void observe(const std::string &Source, uint64_t OfferedPrefillTokens,
                uint64_t OfferedDecodeTokens, BootTime Now);
-  void forget(const std::string &Source) { m_Sources.erase(Source); }
+  void remove(const std::string &Source) { m_Sources.erase(Source); }
   Demand demand(BootTime Now) const;
 
 private:
   struct Source {
     uint64_t Prefill = 0;
     uint64_t Decode = 0;
-    BootTime Seen;
-    /// Exponentially decayed averages as of Seen.
+    BootTime UpdatedAt;
+    /// Exponentially decayed averages as of UpdatedAt.
     Demand Rate;
     bool HasRate = false;
   };
--- a/Libraries/LibPlan/Fleet.cpp
+++ b/Libraries/LibPlan/Fleet.cpp
@@ -1,6 +1,7 @@
-//===- Fleet.cpp - Trusted view of a shard's engines ------------*- C++ -*-===//
+//===- Fleet.cpp - Current view of a shard's engines ------------*- C++ -*-===//
 //
-// Trust in reports, orders under way and the minimums of each kind of work.
+// Validity of reports, pending orders, and the minimum of engines for each kind
+// of work.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,67 +11,69 @@
 
 namespace figlift::plan {
 
-void OrdersUnderWay::given(const GiveOrder &Order, BootTime Now) {
-  m_Orders[Order.Target] = {Order.What, Now};
+void PendingOrders::recordIssued(const TargetOrder &Order, BootTime Now) {
+  m_Orders[Order.Target] = {Order.RequestedChange, Now};
 }
 
-std::optional<Change> OrdersUnderWay::ended(const std::string &Target,
-                                            BootTime Now) {
+std::optional<Change> PendingOrders::recordEnded(const std::string &Target,
+                                                 BootTime Now) {
   const auto Found = m_Orders.find(Target);
   if (Found == m_Orders.end())
     return std::nullopt;
-  const Order Done = Found->second;
+  const Order Ended = Found->second;
   m_Orders.erase(Found);
   m_EndedAt[Target] = Now;
-  if (std::holds_alternative<SetRole>(Done.What))
+  if (std::holds_alternative<SetRole>(Ended.RequestedChange))
     m_RoleChange = (m_RoleChange * 3 +
                     std::chrono::duration_cast<std::chrono::milliseconds>(
-                        Now - Done.GivenAt)) /
+                        Now - Ended.IssuedAt)) /
                    4;
-  return Done.What;
+  return Ended.RequestedChange;
 }
 
-void OrdersUnderWay::expire(const Snapshot &Seen, const FleetSettings &Settings,
-                            BootTime Now) {
+void PendingOrders::expire(const Snapshot &View, const FleetSettings &Settings,
+                           BootTime Now) {
   std::erase_if(m_Orders, [&](const auto &Entry) {
     const auto Found =
-        std::ranges::find(Seen.Targets, Entry.first, &TargetState::Id);
-    const bool Gone = Found == Seen.Targets.end() || !Found->Live;
-    return Gone || Now - Entry.second.GivenAt > Settings.OrderTimeout;
+        std::ranges::find(View.Targets, Entry.first, &TargetState::Id);
+    const bool Removed = Found == View.Targets.end() || !Found->Live;
+    return Removed || Now - Entry.second.IssuedAt > Settings.OrderTimeout;
   });
   std::erase_if(m_EndedAt, [&](const auto &Entry) {
     return Now - Entry.second > Settings.OrderTimeout;
   });
 }
 
-const Change *OrdersUnderWay::find(const std::string &Target) const {
+const Change *PendingOrders::find(const std::string &Target) const {
   const auto Found = m_Orders.find(Target);
-  return Found == m_Orders.end() ? nullptr : &Found->second.What;
+  return Found == m_Orders.end() ? nullptr : &Found->second.RequestedChange;
 }
 
-bool OrdersUnderWay::reportedSince(const TargetState &Target) const {
+bool PendingOrders::hasReportedSinceLastOrder(const TargetState &Target) const {
   const auto Found = m_EndedAt.find(Target.Id);
   return Found == m_EndedAt.end() || Target.ReportedAt > Found->second;
 }
 
-Fleet::Fleet(const Snapshot &Seen, const OrdersUnderWay &Orders,
+Fleet::Fleet(const Snapshot &View, const PendingOrders &Orders,
              const FleetSettings &Settings, BootTime Now)
-    : m_Seen(Seen) {
-  for (const TargetState &Target : Seen.Targets) {
+    : m_View(View) {
+  for (const TargetState &Target : View.Targets) {
     if (!Target.Live)
       continue;
-    const Change *Pending = Orders.find(Target.Id);
-    if (Pending || Target.OrderInProgress) {
-      const auto *NewRole = Pending ? std::get_if<SetRole>(Pending) : nullptr;
-      ++m_Returning.count(NewRole ? NewRole->NewRole : Target.CurrentRole);
-      ++m_Changing;
+    const Change *PendingChange = Orders.find(Target.Id);
+    if (PendingChange || Target.OrderInProgress) {
+      const auto *NewRole =
+          PendingChange ? std::get_if<SetRole>(PendingChange) : nullptr;
+      ++m_RolesAfterChange.count(NewRole ? NewRole->NewRole
+                                         : Target.CurrentRole);
+      ++m_ChangesInProgress;
       continue;
     }
-    if (!Orders.reportedSince(Target)) {
-      // It has come back, and its report is about to; counted as under change
-      // so that the bound on concurrent changes holds meanwhile.
-      ++m_Returning.count(Target.CurrentRole);
-      ++m_Changing;
+    if (!Orders.hasReportedSinceLastOrder(Target)) {
+      // The order has ended, but there is no newer report. Count the change as
+      // in progress, so that the limit on concurrent changes is not exceeded.
+      ++m_RolesAfterChange.count(Target.CurrentRole);
+      ++m_ChangesInProgress;
       continue;
     }
     if (Target.Accepting &&
@@ -79,48 +82,48 @@
   }
 }
 
-Split Fleet::split() const {
-  Split Result;
+RoleCounts Fleet::roleCounts() const {
+  RoleCounts Counts;
   for (const TargetState *Target : m_Serving)
-    ++Result.count(Target->CurrentRole);
-  return Result;
+    ++Counts.count(Target->CurrentRole);
+  return Counts;
 }
 
 unsigned Fleet::servingModel(const std::string &Model,
-                             const std::string &Without) const {
+                             const std::string &ExcludedTarget) const {
   return std::ranges::count_if(m_Serving, [&](const TargetState *Target) {
-    return Target->Id != Without &&
+    return Target->Id != ExcludedTarget &&
            std::ranges::find(Target->Models, Model, &ModelVersion::Name) !=
                Target->Models.end();
   });
 }
 
-bool Fleet::keepsMinimums(const Split &Later) const {
-  const record::RoleSplit &Minimum = m_Seen.Spec.Roles;
-  const Split Now = split();
-  const auto Holds = [](unsigned Then, unsigned Before, unsigned Wanted) {
-    return Then >= Wanted || Then >= Before;
+bool Fleet::meetsMinimums(const RoleCounts &Counts) const {
+  const record::RoleSplit &Minimum = m_View.Spec.Roles;
+  const RoleCounts CurrentCounts = roleCounts();
+  const auto Meets = [](unsigned Planned, unsigned Current, unsigned Required) {
+    return Planned >= Required || Planned >= Current;
   };
-  const unsigned CanPrefill = Later.Prefill + Later.Mixed;
-  const unsigned CanDecode = Later.Decode + Later.Mixed;
-  return Holds(CanPrefill, Now.Prefill + Now.Mixed,
+  const unsigned CanPrefill = Counts.Prefill + Counts.Mixed;
+  const unsigned CanDecode = Counts.Decode + Counts.Mixed;
+  return Meets(CanPrefill, CurrentCounts.Prefill + CurrentCounts.Mixed,
                std::max(1u, Minimum.Prefill)) &&
-         Holds(CanDecode, Now.Decode + Now.Mixed,
+         Meets(CanDecode, CurrentCounts.Decode + CurrentCounts.Mixed,
                std::max(1u, Minimum.Decode)) &&
-         Holds(Later.Mixed, Now.Mixed, Minimum.Mixed);
+         Meets(Counts.Mixed, CurrentCounts.Mixed, Minimum.Mixed);
 }
 
-bool Fleet::maySpare(const TargetState &Target) const {
-  Split Meanwhile = split();
-  --Meanwhile.count(Target.CurrentRole);
-  return keepsMinimums(Meanwhile);
+bool Fleet::canSpare(const TargetState &Target) const {
+  RoleCounts DuringChange = roleCounts();
+  --DuringChange.count(Target.CurrentRole);
+  return meetsMinimums(DuringChange);
 }
 
-bool Fleet::mayBecome(const TargetState &Target, Role NewRole) const {
-  Split Later = split();
-  --Later.count(Target.CurrentRole);
-  ++Later.count(NewRole);
-  return maySpare(Target) && keepsMinimums(Later);
+bool Fleet::canChangeRole(const TargetState &Target, Role NewRole) const {
+  RoleCounts AfterChange = roleCounts();
+  --AfterChange.count(Target.CurrentRole);
+  ++AfterChange.count(NewRole);
+  return canSpare(Target) && meetsMinimums(AfterChange);
 }
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/FluidModel.cpp
+++ b/Libraries/LibPlan/FluidModel.cpp
@@ -1,6 +1,6 @@
-//===- FluidModel.cpp - Predicted value of a split of roles -----*- C++ -*-===//
+//===- FluidModel.cpp - Predicted value of a role assignment ----*- C++ -*-===//
 //
-// Fixed-step integration of two queues in a row.
+// Fixed-step integration of two queues in series.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,79 +19,80 @@
   double Decode;
 };
 
-/// Engines of one role within a step: their time goes to one kind of work and
-/// what is left of it to the other.
+/// Time of the engines of one role within a step, which is spent on one kind of
+/// work first and the rest on the other.
 class EngineTime {
 public:
-  EngineTime(const Speeds &Own, double Time) : m_Own(Own), m_Left(Time) {}
+  EngineTime(const Speeds &EngineSpeeds, double Time)
+      : m_Speeds(EngineSpeeds), m_Remaining(Time) {}
 
-  /// Time for all of \p Waiting.
+  /// Time needed for all of \p Waiting.
   double needed(const Backlog &Waiting) const {
-    return Waiting.PrefillTokens / m_Own.PrefillTokensPerSecond +
-           Waiting.DecodeTokens / m_Own.DecodeTokensPerSecond;
+    return Waiting.PrefillTokens / m_Speeds.PrefillTokensPerSecond +
+           Waiting.DecodeTokens / m_Speeds.DecodeTokensPerSecond;
   }
   void prefill(Backlog &Waiting) {
-    take(Waiting.PrefillTokens, m_Own.PrefillTokensPerSecond);
+    consume(Waiting.PrefillTokens, m_Speeds.PrefillTokensPerSecond);
   }
   void decode(Backlog &Waiting) {
-    take(Waiting.DecodeTokens, m_Own.DecodeTokensPerSecond);
+    consume(Waiting.DecodeTokens, m_Speeds.DecodeTokensPerSecond);
   }
-  /// Both, in proportion to what waits.
-  void both(Backlog &Waiting) {
+  /// Spends the time on both kinds of work, in proportion to their backlogs.
+  void serveBoth(Backlog &Waiting) {
     const double Needed = needed(Waiting);
-    const double Part = Needed > m_Left ? m_Left / Needed : 1.0;
-    m_Left = std::max(0.0, m_Left - Needed);
+    const double Part = Needed > m_Remaining ? m_Remaining / Needed : 1.0;
+    m_Remaining = std::max(0.0, m_Remaining - Needed);
     Waiting.PrefillTokens *= 1 - Part;
     Waiting.DecodeTokens *= 1 - Part;
   }
 
 private:
-  void take(double &Tokens, double Speed) {
-    const double Done = std::min(Tokens, m_Left * Speed);
-    Tokens -= Done;
-    m_Left -= Done / Speed;
+  void consume(double &Tokens, double Speed) {
+    const double Completed = std::min(Tokens, m_Remaining * Speed);
+    Tokens -= Completed;
+    m_Remaining -= Completed / Speed;
   }
 
-  Speeds m_Own;
-  double m_Left;
+  Speeds m_Speeds;
+  double m_Remaining;
 };
 
-/// What \p Engines get done in \p Time seconds of the work that waits: each
-/// role its own work first, mixed engines the rest, then the leaning ones
-/// help out.
-Served serve(const FluidSettings &Settings, const Split &Engines,
+/// Returns the work that \p Engines complete in \p Time seconds. Prefill and
+/// decode engines do the work of their role first, then mixed engines do the
+/// rest, and finally prefill and decode engines do the remaining other work.
+Served serve(const FluidSettings &Settings, const RoleCounts &Engines,
              const Backlog &Waiting, double Time) {
   const RoleSpeeds &Speed = Settings.Engines;
   EngineTime Prefill(Speed.Prefill, Engines.Prefill * Time);
   EngineTime Decode(Speed.Decode, Engines.Decode * Time);
   EngineTime Mixed(Speed.Mixed, Engines.Mixed * Time);
-  Backlog Left = Waiting;
-  Prefill.prefill(Left);
-  Decode.decode(Left);
-  Mixed.both(Left);
-  Prefill.decode(Left);
-  Decode.prefill(Left);
-  return {Waiting.PrefillTokens - Left.PrefillTokens,
-          Waiting.DecodeTokens - Left.DecodeTokens};
+  Backlog Remaining = Waiting;
+  Prefill.prefill(Remaining);
+  Decode.decode(Remaining);
+  Mixed.serveBoth(Remaining);
+  Prefill.decode(Remaining);
+  Decode.prefill(Remaining);
+  return {Waiting.PrefillTokens - Remaining.PrefillTokens,
+          Waiting.DecodeTokens - Remaining.DecodeTokens};
 }
 
 } // namespace
 
-unsigned &Split::count(Role Which) {
-  if (Which == Role::Prefill)
+unsigned &RoleCounts::count(Role EngineRole) {
+  if (EngineRole == Role::Prefill)
     return Prefill;
-  return Which == Role::Decode ? Decode : Mixed;
+  return EngineRole == Role::Decode ? Decode : Mixed;
 }
 
 namespace {
 
 using Seconds = std::chrono::duration<double>;
 
-double ratio(double Part, double Whole) { return Whole > 0 ? Part / Whole : 0; }
+double ratio(double Part, double Total) { return Total > 0 ? Part / Total : 0; }
 
-/// Two queues in a row. Each holds the work itself and what belongs to the
-/// same requests in the other queue, so that a change of the mix does not
-/// change requests that wait already.
+/// Two queues in series. Each tracks its own work and the work of the same
+/// requests in the other phase, so that a change of the mix does not affect
+/// requests that already wait.
 class Queues {
 public:
   Queues(const FluidSettings &Settings, const Backlog &Waiting,
@@ -100,95 +101,98 @@
         m_PromptWeight(Settings.Engines.Mixed.DecodeTokensPerSecond /
                        Settings.Engines.Mixed.PrefillTokensPerSecond),
         m_Prefill(Waiting.PrefillTokens), m_Decode(Waiting.DecodeTokens),
-        m_DecodeToCome(Waiting.PrefillTokens *
-                       ratio(Offered.DecodeTokensPerSecond,
-                             Offered.PrefillTokensPerSecond)),
-        m_PromptsDone(Waiting.DecodeTokens *
-                      ratio(Offered.PrefillTokensPerSecond,
-                            Offered.DecodeTokensPerSecond)) {}
-
-  /// Value of \p Time seconds.
-  double advance(const Split &Engines, const Demand &Offered, double Time) {
+        m_DecodeAfterPrefill(Waiting.PrefillTokens *
+                             ratio(Offered.DecodeTokensPerSecond,
+                                   Offered.PrefillTokensPerSecond)),
+        m_PromptsInDecode(Waiting.DecodeTokens *
+                          ratio(Offered.PrefillTokensPerSecond,
+                                Offered.DecodeTokensPerSecond)) {}
+
+  /// Simulates \p Time seconds and returns their value.
+  double advance(const RoleCounts &Engines, const Demand &Offered,
+                 double Time) {
     m_Prefill += Offered.PrefillTokensPerSecond * Time;
-    m_DecodeToCome += Offered.DecodeTokensPerSecond * Time;
-    const Served Done = serve(m_Settings, Engines, {m_Prefill, m_Decode}, Time);
-    const double Answered = finishDecode(Done.Decode);
-    finishPrefill(Done.Prefill);
-    const double Patience = Seconds(m_Settings.Patience).count();
-    const double Waited = m_Decode + m_Prefill * m_PromptWeight;
-    leave(Offered, Patience);
-    return Answered - Waited * std::min(1.0, Time / Patience);
+    m_DecodeAfterPrefill += Offered.DecodeTokensPerSecond * Time;
+    const Served Completed =
+        serve(m_Settings, Engines, {m_Prefill, m_Decode}, Time);
+    const double Answered = finishDecode(Completed.Decode);
+    finishPrefill(Completed.Prefill);
+    const double MaximumWait = Seconds(m_Settings.MaximumWait).count();
+    const double WaitingTokens = m_Decode + m_Prefill * m_PromptWeight;
+    dropExpired(Offered, MaximumWait);
+    return Answered - WaitingTokens * std::min(1.0, Time / MaximumWait);
   }
 
 private:
   double finishDecode(double Tokens) {
     const double Part = ratio(Tokens, m_Decode);
-    const double Prompts = m_PromptsDone * Part;
+    const double Prompts = m_PromptsInDecode * Part;
     m_Decode -= Tokens;
-    m_PromptsDone -= Prompts;
+    m_PromptsInDecode -= Prompts;
     return Tokens + Prompts * m_PromptWeight;
   }
 
   void finishPrefill(double Tokens) {
     const double Part = ratio(Tokens, m_Prefill);
-    const double Follows = m_DecodeToCome * Part;
+    const double FollowingDecode = m_DecodeAfterPrefill * Part;
     m_Prefill -= Tokens;
-    m_DecodeToCome -= Follows;
-    m_Decode += Follows;
-    m_PromptsDone += Tokens;
+    m_DecodeAfterPrefill -= FollowingDecode;
+    m_Decode += FollowingDecode;
+    m_PromptsInDecode += Tokens;
   }
 
-  /// What has waited for longer than anybody wants it.
-  void leave(const Demand &Offered, double Patience) {
+  /// Drops the work that has waited for too long.
+  void dropExpired(const Demand &Offered, double MaximumWait) {
     const double Prefill = std::min(
-        1.0, ratio(Offered.PrefillTokensPerSecond * Patience, m_Prefill));
+        1.0, ratio(Offered.PrefillTokensPerSecond * MaximumWait, m_Prefill));
     const double Decode = std::min(
-        1.0, ratio(Offered.DecodeTokensPerSecond * Patience, m_Decode));
+        1.0, ratio(Offered.DecodeTokensPerSecond * MaximumWait, m_Decode));
     m_Prefill *= Prefill;
-    m_DecodeToCome *= Prefill;
+    m_DecodeAfterPrefill *= Prefill;
     m_Decode *= Decode;
-    m_PromptsDone *= Decode;
+    m_PromptsInDecode *= Decode;
   }
 
   const FluidSettings &m_Settings;
   double m_PromptWeight;
   double m_Prefill;
   double m_Decode;
-  /// Output tokens of the prompts that wait.
-  double m_DecodeToCome;
-  /// Prompt tokens of the answers that are being decoded.
-  double m_PromptsDone;
+  /// Output tokens of the waiting prompts.
+  double m_DecodeAfterPrefill;
+  /// Prompt tokens of the requests in decode.
+  double m_PromptsInDecode;
 };
 
 } // namespace
 
-const Split &Scenario::at(Seconds Time) const {
-  if (Time < Start)
-    return First;
-  return Time < Start + Change ? During : After;
+const RoleCounts &Scenario::at(Seconds Time) const {
+  if (Time < ChangeStart)
+    return BeforeChange;
+  return Time < ChangeStart + ChangeDuration ? DuringChange : AfterChange;
 }
 
 const Demand &Forecast::at(Seconds Time) const {
-  if (Time < Persists || PhaseLength.count() == 0)
+  if (Time < CurrentDuration || PhaseLength.count() == 0)
     return Current;
-  const auto Turn = static_cast<int>((Time - Persists) / Seconds(PhaseLength));
-  return Turn % 2 == 0 ? Next : Current;
+  const auto Phase =
+      static_cast<int>((Time - CurrentDuration) / Seconds(PhaseLength));
+  return Phase % 2 == 0 ? Next : Current;
 }
 
-unsigned Split::count(Role Which) const {
-  return const_cast<Split *>(this)->count(Which);
+unsigned RoleCounts::count(Role EngineRole) const {
+  return const_cast<RoleCounts *>(this)->count(EngineRole);
 }
 
 double predictedValue(const FluidSettings &Settings, const Scenario &Engines,
-                      const Forecast &Expected, const Backlog &Waiting,
+                      const Forecast &ExpectedDemand, const Backlog &Waiting,
                       std::chrono::milliseconds Horizon) {
   const double Step = Seconds(Horizon).count() / Steps;
-  Queues Work(Settings, Waiting, Expected.Current);
+  Queues Work(Settings, Waiting, ExpectedDemand.Current);
   double Value = 0;
   for (int I = 0; I < Steps; ++I) {
     const double Now = I * Step;
-    Value +=
-        Work.advance(Engines.at(Seconds(Now)), Expected.at(Seconds(Now)), Step);
+    Value += Work.advance(Engines.at(Seconds(Now)),
+                          ExpectedDemand.at(Seconds(Now)), Step);
   }
   return Value;
 }
--- a/Libraries/LibPlan/FluidModel.h
+++ b/Libraries/LibPlan/FluidModel.h
@@ -1,8 +1,9 @@
-//===- FluidModel.h - Predicted value of a split of roles -------*- C++ -*-===//
+//===- FluidModel.h - Predicted value of a role assignment ------*- C++ -*-===//
 //
-// Treats work as a fluid: prompts queue for prefill, what prefill lets through
-// queues for decode. Predicts the useful tokens of a horizon, so that splits
-// can be compared, the seconds of an engine lost to a change included.
+// Fluid model of the work: prompts queue for prefill, and the output of prefill
+// queues for decode. Predicts the useful tokens produced within a horizon, so
+// that assignments of roles can be compared. This includes the engine time that
+// a role change costs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,22 +17,22 @@
 
 namespace figlift::plan {
 
-/// Engines by role; the sum is what serves.
-struct Split {
+/// Number of serving engines in each role.
+struct RoleCounts {
   unsigned Prefill = 0;
   unsigned Decode = 0;
   unsigned Mixed = 0;
 
-  unsigned &count(Role Which);
-  unsigned count(Role Which) const;
+  unsigned &count(Role EngineRole);
+  unsigned count(Role EngineRole) const;
   unsigned total() const { return Prefill + Decode + Mixed; }
-  bool operator==(const Split &) const = default;
+  bool operator==(const RoleCounts &) const = default;
 };
 
 struct FluidSettings {
   RoleSpeeds Engines;
-  /// Work that waited so long is worth nothing.
-  std::chrono::milliseconds Patience{10000};
+  /// Work that has waited for this time has no value.
+  std::chrono::milliseconds MaximumWait{10000};
 };
 
 struct Backlog {
@@ -39,34 +40,34 @@
   double DecodeTokens = 0;
 };
 
-/// The engines that serve over time: \p First until \p Start, \p During a
-/// change of \p Change, \p After from then on.
+/// The engines that serve over time: before, during and after a role change.
 struct Scenario {
-  Split First;
-  Split During;
-  Split After;
-  std::chrono::milliseconds Start{0};
-  std::chrono::milliseconds Change{0};
+  RoleCounts BeforeChange;
+  RoleCounts DuringChange;
+  RoleCounts AfterChange;
+  std::chrono::milliseconds ChangeStart{0};
+  std::chrono::milliseconds ChangeDuration{0};
 
-  const Split &at(std::chrono::duration<double> Time) const;
+  const RoleCounts &at(std::chrono::duration<double> Time) const;
 };
 
-/// Demand that is expected: \p Current as long as it \p Persists, then \p Next
-/// and \p Current in turns of \p PhaseLength.
+/// Expected demand: \p Current for \p CurrentDuration, then \p Next and
+/// \p Current alternately, each for \p PhaseLength.
 struct Forecast {
   Demand Current;
   Demand Next;
-  std::chrono::milliseconds Persists{0};
+  std::chrono::milliseconds CurrentDuration{0};
   std::chrono::milliseconds PhaseLength{0};
 
   const Demand &at(std::chrono::duration<double> Time) const;
 };
 
-/// Useful tokens of the horizon less what waiting cost. A useful token is an
-/// output token of answered work, or the prompt tokens of answered work that
-/// take a mixed engine as long as one output token.
+/// Returns the useful tokens produced within the horizon minus a cost for
+/// waiting work. A useful token is an output token of answered work, or the
+/// number of prompt tokens of answered work that take a mixed engine as long as
+/// one output token.
 double predictedValue(const FluidSettings &Settings, const Scenario &Engines,
-                      const Forecast &Expected, const Backlog &Waiting,
+                      const Forecast &ExpectedDemand, const Backlog &Waiting,
                       std::chrono::milliseconds Horizon);
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/MixHistory.cpp
+++ b/Libraries/LibPlan/MixHistory.cpp
@@ -1,6 +1,7 @@
-//===- MixHistory.cpp - How long a mix of work usually lasts ----*- C++ -*-===//
+//===- MixHistory.cpp - Usual duration of a mix of work ---------*- C++ -*-===//
 //
-// Phases are told apart by the share of prefill against its average.
+// A phase is a period in which the share of prefill stays above or below its
+// average.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,16 +18,17 @@
 
 constexpr Seconds AverageWindow{300};
 constexpr double PhaseWeight = 0.4;
-/// The ratio of output to prompt must differ so much from the average to
-/// count as another side.
+/// The ratio of output to prompt tokens counts as being on one side of the
+/// average if it differs from it by at least this factor.
 constexpr double DeadBand = 1.1;
 
-/// Of a phase's demand; about one observation a second.
+/// Weight of a sample in the typical demand of a phase; about one sample
+/// arrives per second.
 constexpr double TypicalWeight = 0.1;
 
 void move(Demand &Average, const Demand &Value, double Share) {
-  const auto Move = [Share](double &Known, double New) {
-    Known += (New - Known) * Share;
+  const auto Move = [Share](double &Average, double New) {
+    Average += (New - Average) * Share;
   };
   Move(Average.PrefillTokensPerSecond, Value.PrefillTokensPerSecond);
   Move(Average.DecodeTokensPerSecond, Value.DecodeTokensPerSecond);
@@ -35,7 +37,7 @@
 } // namespace
 
 MixHistory::Side MixHistory::sideOf(const Demand &Offered) const {
-  // Cross-multiplied ratios: either kind of work may be zero.
+  // Compare cross-multiplied ratios, because either kind of work may be zero.
   const double Prefill =
       Offered.PrefillTokensPerSecond * m_Average.DecodeTokensPerSecond;
   const double Decode =
@@ -47,22 +49,22 @@
   return Side::Unknown;
 }
 
-Demand &MixHistory::typicalOf(Side Which) {
-  return Which == Side::MorePrefill ? m_TypicalPrefill : m_TypicalDecode;
+Demand &MixHistory::typicalOf(Side CurrentSide) {
+  return CurrentSide == Side::MorePrefill ? m_TypicalPrefill : m_TypicalDecode;
 }
 
 void MixHistory::observe(const Demand &Offered, BootTime Now) {
-  if (!m_HasSeen) {
-    m_HasSeen = true;
-    m_Started = m_LastSeen = m_SideSince = Now;
+  if (!m_HasSamples) {
+    m_HasSamples = true;
+    m_Started = m_LastSample = m_SideSince = Now;
     m_Average = Offered;
     return;
   }
-  const Seconds Elapsed = Now - m_LastSeen;
-  m_LastSeen = Now;
-  // A plain mean at first, decayed once the window is full.
-  const Seconds Memory = std::min<Seconds>(Now - m_Started, AverageWindow);
-  const double Share = Memory > Elapsed ? Elapsed / Memory : 1.0;
+  const Seconds Elapsed = Now - m_LastSample;
+  m_LastSample = Now;
+  // Use the arithmetic mean until the window is full, then a decayed average.
+  const Seconds Window = std::min<Seconds>(Now - m_Started, AverageWindow);
+  const double Share = Window > Elapsed ? Elapsed / Window : 1.0;
   move(m_Average, Offered, Share);
 
   const Side Current = sideOf(Offered);
@@ -91,14 +93,15 @@
   if (m_PhaseLength.count() == 0)
     return {Offered, Offered, Horizon, Horizon};
   const Seconds Elapsed = Now - m_SideSince;
-  // A phase that has outlived the usual is taken for a lasting one by and by.
-  const Seconds Left = std::max(m_PhaseLength - Elapsed, Elapsed / 2);
+  // If a phase exceeds the usual length, its expected remainder grows with its
+  // age, so that it is gradually treated as permanent.
+  const Seconds Remaining = std::max(m_PhaseLength - Elapsed, Elapsed / 2);
   const auto Rounded = [](Seconds Time) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(Time);
   };
   return {Offered,
           m_Side == Side::MorePrefill ? m_TypicalDecode : m_TypicalPrefill,
-          std::min(Rounded(Left), Horizon), Rounded(m_PhaseLength)};
+          std::min(Rounded(Remaining), Horizon), Rounded(m_PhaseLength)};
 }
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/MixHistory.h
+++ b/Libraries/LibPlan/MixHistory.h
@@ -1,9 +1,9 @@
-//===- MixHistory.h - How long a mix of work usually lasts ------*- C++ -*-===//
+//===- MixHistory.h - Usual duration of a mix of work -----------*- C++ -*-===//
 //
-// A planner that takes each mix for permanent chases every swing, and is
-// always late by the time of a change. So the planner learns how long the mix
-// stays on one side of its average and what the other side looks like, and
-// expects that after it.
+// A planner that treats each mix of prefill and decode as permanent follows
+// every fluctuation, and is always late by the duration of a role change. The
+// planner therefore learns how long the mix stays on one side of its average,
+// and the typical demand on the other side, which it expects next.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,8 @@
 class MixHistory {
 public:
   void observe(const Demand &Offered, BootTime Now);
-  /// Without a complete phase so far, \p Offered is expected for \p Horizon.
+  /// Returns the expected demand. As long as no phase has been complete,
+  /// \p Offered is expected for \p Horizon.
   Forecast forecast(const Demand &Offered, std::chrono::milliseconds Horizon,
                     BootTime Now) const;
 
@@ -27,19 +28,19 @@
   enum class Side { Unknown, MorePrefill, MoreDecode };
 
   Side sideOf(const Demand &Offered) const;
-  Demand &typicalOf(Side Which);
+  Demand &typicalOf(Side CurrentSide);
 
-  /// Decayed over minutes.
+  /// Decayed average over several minutes.
   Demand m_Average;
   BootTime m_Started;
-  BootTime m_LastSeen;
-  bool m_HasSeen = false;
+  BootTime m_LastSample;
+  bool m_HasSamples = false;
   Side m_Side = Side::Unknown;
   BootTime m_SideSince;
-  /// Moving averages within the phases of each side.
+  /// Moving averages of the demand within the phases of each side.
   Demand m_TypicalPrefill;
   Demand m_TypicalDecode;
-  /// Moving average of complete phases; zero before the first.
+  /// Moving average of the lengths of complete phases; 0 before the first.
   std::chrono::duration<double> m_PhaseLength{0};
 };
 
--- a/Libraries/LibPlan/Placement.h
+++ b/Libraries/LibPlan/Placement.h
@@ -1,10 +1,11 @@
-//===- Placement.h - Which models are loaded where --------------*- C++ -*-===//
+//===- Placement.h - Placement of models on engines -------------*- C++ -*-===//
 //
-// Brings the record's models onto the engines, one engine after the other: the
-// new version is loaded beside the old one, must be reported ready, and only
-// then the old one is unloaded. The first engine goes alone. A version that
-// fails is rolled back where it was loaded and not tried again until the
-// record names another. Loads are paced to the weight store.
+// Loads the models of the record onto the engines in a rolling update: on each
+// engine the new version is loaded beside the old one, and the old one is
+// unloaded only after the new one is reported ready. A new version is loaded on
+// a single engine first. A version that fails to load is rolled back wherever
+// it is loaded, and is not loaded again until the record names another version.
+// Loads are rate-limited to protect the weight store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +23,11 @@
 namespace figlift::plan {
 
 struct PlacementSettings {
-  /// Shortest time between the starts of two loads.
+  /// Minimum time between the starts of two loads.
   std::chrono::milliseconds LoadInterval{2000};
-  /// A version is rolled back after so many failed loads.
+  /// A version is rolled back after this number of failed loads.
   unsigned FailuresToRollBack = 2;
-  /// Before a failed load is tried again.
+  /// Delay before a failed load is retried.
   std::chrono::milliseconds RetryDelay{10000};
 };
 
@@ -34,37 +35,39 @@
 public:
   explicit Placement(PlacementSettings Settings = {}) : m_Settings(Settings) {}
 
-  /// The next load or unload, if one may be given now.
-  std::optional<GiveOrder> plan(const Snapshot &Seen, const Fleet &Engines,
-                                BootTime Now);
-  /// Whether a model of the record is served by no engine.
-  static bool someModelUnserved(const Snapshot &Seen, const Fleet &Engines);
+  /// Returns the next load or unload, if one can be issued now.
+  std::optional<TargetOrder> plan(const Snapshot &View, const Fleet &Engines,
+                                  BootTime Now);
+  /// Whether a model of the record is not served by any engine.
+  static bool hasUnservedModel(const Snapshot &View, const Fleet &Engines);
 
-  void given(const GiveOrder &Order, BootTime Now);
-  void ended(const Change &What, const OrderEnded &How, BootTime Now);
-  bool rolledBack(const ModelVersion &Model) const {
+  void recordIssued(const TargetOrder &Order, BootTime Now);
+  void recordEnded(const Change &EndedChange, const OrderEnded &Result,
+                   BootTime Now);
+  bool isRolledBack(const ModelVersion &Model) const {
     return m_RolledBack.contains(Model);
   }
 
 private:
-  using Wanted = std::set<ModelVersion>;
+  using ModelSet = std::set<ModelVersion>;
 
-  Wanted wanted(const Snapshot &Seen, const Fleet &Engines);
-  void remember(const Wanted &Models, const Fleet &Engines);
-  std::optional<GiveOrder> planLoad(const Snapshot &Seen, const Wanted &Models,
-                                    const Fleet &Engines, BootTime Now) const;
-  std::optional<GiveOrder> planUnload(const Wanted &Models,
-                                      const Fleet &Engines) const;
-  bool mayLoad(const ModelVersion &Model, const TargetState &Target,
+  ModelSet desiredModels(const Snapshot &View, const Fleet &Engines);
+  void recordPreviousVersions(const ModelSet &Models, const Fleet &Engines);
+  std::optional<TargetOrder> planLoad(const Snapshot &View,
+                                      const ModelSet &Models,
+                                      const Fleet &Engines, BootTime Now) const;
+  std::optional<TargetOrder> planUnload(const ModelSet &Models,
+                                        const Fleet &Engines) const;
+  bool canLoad(const ModelVersion &Model, const TargetState &Target,
                const Fleet &Engines) const;
 
   PlacementSettings m_Settings;
   BootTime m_NextLoad;
   std::map<ModelVersion, unsigned> m_Failures;
-  /// The engine that was ordered last to load it.
-  std::map<ModelVersion, std::string> m_LastTried;
+  /// The engine that was last ordered to load the version.
+  std::map<ModelVersion, std::string> m_LastAttemptedTarget;
   std::set<ModelVersion> m_RolledBack;
-  /// By model name: the version that served before the wanted one.
+  /// By model name: the version that was served before that of the record.
   std::map<std::string, std::string> m_Previous;
 };
 
--- a/Libraries/LibPlan/PlanTypes.cpp
+++ b/Libraries/LibPlan/PlanTypes.cpp
@@ -1,4 +1,4 @@
-//===- PlanTypes.cpp - What the planner sees and orders ---------*- C++ -*-===//
+//===- PlanTypes.cpp - Inputs and orders of the planner ---------*- C++ -*-===//
 //
 // Text form of model versions.
 //
--- a/Libraries/LibPlan/PlanTypes.h
+++ b/Libraries/LibPlan/PlanTypes.h
@@ -1,7 +1,7 @@
-//===- PlanTypes.h - What the planner sees and orders -----------*- C++ -*-===//
+//===- PlanTypes.h - Inputs and orders of the planner -----------*- C++ -*-===//
 //
-// Views of targets and demand that the shell hands to the planner, and the
-// changes that it gives back.
+// State of targets and demand that the caller passes to the planner, and the
+// orders that it returns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,11 +24,11 @@
 
 using route::Role;
 
-/// A model, or an adapter of one.
+/// A version of a model, or of an adapter of a model.
 struct ModelVersion {
   std::string Name;
   std::string Version;
-  /// Empty: the model itself.
+  /// Empty for the model itself.
   std::string Adapter;
 
   auto operator<=>(const ModelVersion &) const = default;
@@ -42,18 +42,19 @@
 struct TargetState {
   std::string Id;
   Role CurrentRole = Role::Mixed;
-  /// On the platform's list, not leaving, and its agent reachable.
+  /// It is on the platform's list, is not being removed, and its agent is
+  /// reachable.
   bool Live = false;
-  /// Its agent takes work.
+  /// Its agent accepts work.
   bool Accepting = false;
-  /// Some order runs there, whoever gave it.
+  /// An order runs on it, possibly one of another planner.
   bool OrderInProgress = false;
   std::vector<ModelVersion> Models;
   route::TargetLoad Load;
   BootTime ReportedAt;
 };
 
-/// Work offered to the shard, refused work included, in tokens each second.
+/// Work offered to the shard, including refused work, in tokens per second.
 struct Demand {
   double PrefillTokensPerSecond = 0;
   double DecodeTokensPerSecond = 0;
@@ -79,29 +80,30 @@
 };
 using Change = std::variant<SetRole, LoadModel, UnloadModel>;
 
-/// Action: an order to one target.
-struct GiveOrder {
+/// An order to one target.
+struct TargetOrder {
   std::string Target;
-  Change What;
-  /// Why, for the time line and the log.
+  Change RequestedChange;
+  /// Reason for the order, for the timeline and the log.
   std::string Reason;
 };
 
-/// Time to plan, about once a second.
+/// Sent about once a second, with the current state.
 struct Tick {
-  Snapshot Seen;
+  Snapshot View;
 };
-/// An order that this planner gave has ended. Lost answers are not reported as
-/// ended until the intent row or the agent says how it ended.
+/// An order of this planner has ended. If its reply is lost, this is sent only
+/// after the intent row or the agent has shown how the order ended.
 struct OrderEnded {
   std::string Target;
-  /// Success, or why not. StoreUnavailable and Overloaded mean that the weight
-  /// store gave no permit, which says nothing against the model.
+  /// Success, or the reason of the failure. StoreUnavailable and Overloaded
+  /// mean that the weight store granted no permit, and do not count as failures
+  /// of the model.
   ResultCode Code = ResultCode::Success;
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
 using Event = std::variant<Tick, OrderEnded>;
-using Action = GiveOrder;
+using Action = TargetOrder;
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/Planner.cpp
+++ b/Libraries/LibPlan/Planner.cpp
@@ -1,6 +1,6 @@
-//===- Planner.cpp - Plans for one shard ------------------------*- C++ -*-===//
+//===- Planner.cpp - Planner of one shard -----------------------*- C++ -*-===//
 //
-// Shares the bound on concurrent changes between roles and models.
+// Applies the limit on concurrent changes to roles and models together.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,49 +13,51 @@
 Planner::Planner(PlannerSettings Settings)
     : m_Settings(Settings), m_Placement(m_Settings.Models) {}
 
-std::vector<Action> Planner::step(const Event &Happened, BootTime Now) {
-  return std::visit([&](const auto &One) { return on(One, Now); }, Happened);
+std::vector<Action> Planner::step(const Event &Input, BootTime Now) {
+  return std::visit(
+      [&](const auto &Alternative) { return on(Alternative, Now); }, Input);
 }
 
 std::vector<Action> Planner::on(const OrderEnded &Event, BootTime Now) {
-  if (const auto What = m_Orders.ended(Event.Target, Now))
-    m_Placement.ended(*What, Event, Now);
+  if (const auto EndedChange = m_Orders.recordEnded(Event.Target, Now))
+    m_Placement.recordEnded(*EndedChange, Event, Now);
   return {};
 }
 
 std::vector<Action> Planner::on(const Tick &Event, BootTime Now) {
-  // Plain services have neither roles nor models.
-  if (Event.Seen.Spec.Type == record::BackEndType::Service)
+  // Plain services have no roles and no models.
+  if (Event.View.Spec.Type == record::BackEndType::Service)
     return {};
-  m_Orders.expire(Event.Seen, m_Settings.Trust, Now);
-  m_Known.Speeds.observe(Event.Seen.Targets);
-  m_Known.Mix.observe(Event.Seen.Offered, Now);
+  m_Orders.expire(Event.View, m_Settings.Reports, Now);
+  m_Learned.Speeds.observe(Event.View.Targets);
+  m_Learned.Mix.observe(Event.View.Offered, Now);
   std::vector<Action> Out;
   const unsigned Bound =
-      std::max(1u, Event.Seen.Spec.Weights.MaximumConcurrentChanges);
+      std::max(1u, Event.View.Spec.Weights.MaximumConcurrentChanges);
   while (Out.size() < Bound) {
-    const Fleet Engines(Event.Seen, m_Orders, m_Settings.Trust, Now);
-    if (Engines.changing() >= Bound)
+    const Fleet Engines(Event.View, m_Orders, m_Settings.Reports, Now);
+    if (Engines.changesInProgress() >= Bound)
       break;
-    auto Order = next(Event.Seen, Now);
+    auto Order = nextOrder(Event.View, Now);
     if (!Order)
       break;
-    m_Orders.given(*Order, Now);
-    m_Placement.given(*Order, Now);
+    m_Orders.recordIssued(*Order, Now);
+    m_Placement.recordIssued(*Order, Now);
     Out.push_back(std::move(*Order));
   }
   return Out;
 }
 
-std::optional<GiveOrder> Planner::next(const Snapshot &Seen, BootTime Now) {
-  const Fleet Engines(Seen, m_Orders, m_Settings.Trust, Now);
-  // Without its model an engine's role is of no use.
-  if (Placement::someModelUnserved(Seen, Engines))
-    return m_Placement.plan(Seen, Engines, Now);
+std::optional<TargetOrder> Planner::nextOrder(const Snapshot &View,
+                                              BootTime Now) {
+  const Fleet Engines(View, m_Orders, m_Settings.Reports, Now);
+  // Models come first: the role of an engine has no effect without a model.
+  if (Placement::hasUnservedModel(View, Engines))
+    return m_Placement.plan(View, Engines, Now);
   if (auto Order =
-          planRole(m_Settings.Roles, Seen, Engines, m_Orders, m_Known, Now))
+          planRole(m_Settings.Roles, View, Engines, m_Orders, m_Learned, Now))
     return Order;
-  return m_Placement.plan(Seen, Engines, Now);
+  return m_Placement.plan(View, Engines, Now);
 }
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/Planner.h
+++ b/Libraries/LibPlan/Planner.h
@@ -1,8 +1,8 @@
-//===- Planner.h - Plans for one shard --------------------------*- C++ -*-===//
+//===- Planner.h - Planner of one shard -------------------------*- C++ -*-===//
 //
-// The state machine that the holder of a shard's lease runs. A fresh one
-// starts with every takeover of the lease: what it needs to know of orders
-// given by others comes in the snapshots.
+// State machine that the holder of a shard's lease runs. Each new holder starts
+// with an empty state, and learns of the orders of its predecessors from the
+// snapshots.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,28 +20,28 @@
 struct PlannerSettings {
   PlanPolicy Roles = FigliftPlan{};
   PlacementSettings Models;
-  FleetSettings Trust;
+  FleetSettings Reports;
 };
 
 class Planner {
 public:
   explicit Planner(PlannerSettings Settings = {});
 
-  /// The orders to give now; each is taken as given.
-  std::vector<Action> step(const Event &Happened, BootTime Now);
+  /// Returns the orders to issue now. They count as issued from now on.
+  std::vector<Action> step(const Event &Input, BootTime Now);
 
-  const OrdersUnderWay &orders() const { return m_Orders; }
+  const PendingOrders &orders() const { return m_Orders; }
   const Placement &placement() const { return m_Placement; }
 
 private:
   std::vector<Action> on(const Tick &Event, BootTime Now);
   std::vector<Action> on(const OrderEnded &Event, BootTime Now);
-  std::optional<GiveOrder> next(const Snapshot &Seen, BootTime Now);
+  std::optional<TargetOrder> nextOrder(const Snapshot &View, BootTime Now);
 
   PlannerSettings m_Settings;
-  OrdersUnderWay m_Orders;
+  PendingOrders m_Orders;
   Placement m_Placement;
-  Knowledge m_Known;
+  LearnedState m_Learned;
 };
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/RolePlanner.cpp
+++ b/Libraries/LibPlan/RolePlanner.cpp
@@ -1,6 +1,6 @@
-//===- RolePlanner.cpp - Which engine should change its role ----*- C++ -*-===//
+//===- RolePlanner.cpp - Planning of role changes ---------------*- C++ -*-===//
 //
-// The three arms as a visitor.
+// Implements the three policies as a visitor.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +17,15 @@
 
 constexpr std::array EngineRoles{Role::Prefill, Role::Decode, Role::Mixed};
 
-struct Move {
+struct RoleChange {
   const TargetState *Target;
   Role NewRole;
 };
 
-/// The engine of \p From with the least work to drain, if one may change.
-std::optional<Move> cheapestMove(const Fleet &Engines, Role From, Role To) {
+/// Returns a change of the engine with the least work to drain among those of
+/// role \p From that can change to \p To.
+std::optional<RoleChange> cheapestChange(const Fleet &Engines, Role From,
+                                         Role To) {
   const TargetState *Best = nullptr;
   const auto Work = [](const TargetState &Target) {
     return std::tuple(Target.Load.DecodeTokensWaiting +
@@ -31,19 +33,19 @@
                       std::string_view(Target.Id));
   };
   for (const TargetState *Target : Engines.serving())
-    if (Target->CurrentRole == From && Engines.mayBecome(*Target, To) &&
+    if (Target->CurrentRole == From && Engines.canChangeRole(*Target, To) &&
         (!Best || Work(*Target) < Work(*Best)))
       Best = Target;
   if (!Best)
     return std::nullopt;
-  return Move{Best, To};
+  return RoleChange{Best, To};
 }
 
-GiveOrder order(const Move &Which, std::string Reason) {
-  return {Which.Target->Id, SetRole{Which.NewRole}, std::move(Reason)};
+TargetOrder orderFor(const RoleChange &Change, std::string Reason) {
+  return {Change.Target->Id, SetRole{Change.NewRole}, std::move(Reason)};
 }
 
-Split sum(Split First, const Split &Second) {
+RoleCounts sum(RoleCounts First, const RoleCounts &Second) {
   First.Prefill += Second.Prefill;
   First.Decode += Second.Decode;
   First.Mixed += Second.Mixed;
@@ -59,93 +61,99 @@
   return Sum;
 }
 
-/// A change that brings a kind of work up to its minimum, after engines were
-/// lost. It needs no gain: some work is served badly or not at all.
-std::optional<GiveOrder> repairMinimum(const Snapshot &Seen,
-                                       const Fleet &Engines) {
-  const record::RoleSplit &Minimum = Seen.Spec.Roles;
-  const Split Final = sum(Engines.split(), Engines.returning());
-  const auto MoveTo = [&](Role To) -> std::optional<GiveOrder> {
+/// Returns a change that restores the minimum of engines for a kind of work
+/// after engines were lost. It requires no predicted gain, because this work is
+/// underserved or not served at all.
+std::optional<TargetOrder> restoreMinimum(const Snapshot &View,
+                                          const Fleet &Engines) {
+  const record::RoleSplit &MinimumCounts = View.Spec.Roles;
+  const RoleCounts Final =
+      sum(Engines.roleCounts(), Engines.rolesAfterChange());
+  const auto ChangeTo = [&](Role To) -> std::optional<TargetOrder> {
     for (const Role From : EngineRoles)
-      if (const auto Which =
-              From == To ? std::nullopt : cheapestMove(Engines, From, To))
-        return order(*Which, "too few engines for " +
-                                 std::string(route::roleName(To)) + " work");
+      if (const auto Change =
+              From == To ? std::nullopt : cheapestChange(Engines, From, To))
+        return orderFor(*Change, "too few engines for " +
+                                     std::string(route::roleName(To)) +
+                                     " work");
     return std::nullopt;
   };
-  std::optional<GiveOrder> Repair;
-  if (Final.Prefill + Final.Mixed < std::max(1u, Minimum.Prefill))
-    Repair = MoveTo(Role::Prefill);
-  if (!Repair && Final.Decode + Final.Mixed < std::max(1u, Minimum.Decode))
-    Repair = MoveTo(Role::Decode);
-  if (!Repair && Final.Mixed < Minimum.Mixed)
-    Repair = MoveTo(Role::Mixed);
-  return Repair;
+  std::optional<TargetOrder> Order;
+  if (Final.Prefill + Final.Mixed < std::max(1u, MinimumCounts.Prefill))
+    Order = ChangeTo(Role::Prefill);
+  if (!Order && Final.Decode + Final.Mixed < std::max(1u, MinimumCounts.Decode))
+    Order = ChangeTo(Role::Decode);
+  if (!Order && Final.Mixed < MinimumCounts.Mixed)
+    Order = ChangeTo(Role::Mixed);
+  return Order;
 }
 
 struct RoleChooser {
-  const Snapshot &Seen;
+  const Snapshot &View;
   const Fleet &Engines;
-  const OrdersUnderWay &Orders;
-  const Knowledge &Known;
+  const PendingOrders &Orders;
+  const LearnedState &Learned;
   BootTime Time;
 
-  std::optional<GiveOrder> operator()(const StaticPlan &) const {
-    return towards({Seen.Spec.Roles.Prefill, Seen.Spec.Roles.Decode,
-                    Seen.Spec.Roles.Mixed},
-                   "the record's split");
+  std::optional<TargetOrder> operator()(const StaticPlan &) const {
+    return changeTowards({View.Spec.Roles.Prefill, View.Spec.Roles.Decode,
+                          View.Spec.Roles.Mixed},
+                         "the record's split");
   }
 
-  std::optional<GiveOrder> operator()(const ThresholdPlan &) const {
-    const RoleSpeeds Speed = Known.Speeds.speeds();
-    const double Prefill = Seen.Offered.PrefillTokensPerSecond /
+  std::optional<TargetOrder> operator()(const ThresholdPlan &) const {
+    const RoleSpeeds Speed = Learned.Speeds.speeds();
+    const double Prefill = View.Offered.PrefillTokensPerSecond /
                            Speed.Prefill.PrefillTokensPerSecond;
     const double Decode =
-        Seen.Offered.DecodeTokensPerSecond / Speed.Decode.DecodeTokensPerSecond;
+        View.Offered.DecodeTokensPerSecond / Speed.Decode.DecodeTokensPerSecond;
     if (Prefill + Decode <= 0)
       return std::nullopt;
-    const unsigned Total = sum(Engines.split(), Engines.returning()).total();
+    const unsigned Total =
+        sum(Engines.roleCounts(), Engines.rolesAfterChange()).total();
     const auto ForPrefill = static_cast<unsigned>(
         std::lround(Total * Prefill / (Prefill + Decode)));
-    return towards({ForPrefill, Total - ForPrefill, 0}, "the offered ratio");
+    return changeTowards({ForPrefill, Total - ForPrefill, 0},
+                         "the offered ratio");
   }
 
-  std::optional<GiveOrder> operator()(const FigliftPlan &Settings) const {
-    const FluidSettings Model{Known.Speeds.speeds(), Settings.Patience};
-    const record::PlannerWeights &Weights = Seen.Spec.Weights;
+  std::optional<TargetOrder> operator()(const FigliftPlan &Settings) const {
+    const FluidSettings Model{Learned.Speeds.speeds(), Settings.MaximumWait};
+    const record::PlannerWeights &Weights = View.Spec.Weights;
     const double Seconds =
         std::chrono::duration<double>(Weights.Horizon).count();
-    const Forecast Expected =
+    const Forecast ExpectedDemand =
         Settings.LearnsPersistence
-            ? Known.Mix.forecast(Seen.Offered, Weights.Horizon, Time)
-            : Forecast{Seen.Offered, Seen.Offered, Weights.Horizon,
+            ? Learned.Mix.forecast(View.Offered, Weights.Horizon, Time)
+            : Forecast{View.Offered, View.Offered, Weights.Horizon,
                        Weights.Horizon};
-    const Split Now = Engines.split();
-    const Split Final = sum(Now, Engines.returning());
-    const auto Value = [&](const Scenario &Which) {
-      return predictedValue(Model, Which, Expected, backlog(Engines),
+    const RoleCounts Now = Engines.roleCounts();
+    const RoleCounts Final = sum(Now, Engines.rolesAfterChange());
+    const auto Value = [&](const Scenario &Candidate) {
+      return predictedValue(Model, Candidate, ExpectedDemand, backlog(Engines),
                             Weights.Horizon);
     };
     const auto Duration = Orders.roleChangeDuration();
     const double Current = Value({Now, Now, Final, {}, Duration});
     double BestGain = 0;
-    std::optional<Move> Best;
+    std::optional<RoleChange> Best;
     for (const Role From : EngineRoles)
       for (const Role To : EngineRoles) {
         const auto Candidate =
-            From == To ? std::nullopt : cheapestMove(Engines, From, To);
+            From == To ? std::nullopt : cheapestChange(Engines, From, To);
         if (!Candidate)
           continue;
         Scenario Changed{Now, Now, Final, {}, Duration};
-        --Changed.During.count(From);
-        --Changed.After.count(From);
-        ++Changed.After.count(To);
-        const double AtOnce = Value(Changed);
-        // A change that the next phase wants is not made in this one.
-        Changed.Start = Expected.Persists;
-        if (Expected.Persists < Weights.Horizon && Value(Changed) > AtOnce)
+        --Changed.DuringChange.count(From);
+        --Changed.AfterChange.count(From);
+        ++Changed.AfterChange.count(To);
+        const double ImmediateValue = Value(Changed);
+        // Skip a change that is worth more in the next phase than now.
+        Changed.ChangeStart = ExpectedDemand.CurrentDuration;
+        if (ExpectedDemand.CurrentDuration < Weights.Horizon &&
+            Value(Changed) > ImmediateValue)
           continue;
-        const double Gain = (AtOnce - Current) / Seconds;
+        const double Gain = (ImmediateValue - Current) / Seconds;
         if (Gain <= BestGain)
           continue;
         BestGain = Gain;
@@ -153,21 +161,22 @@
       }
     if (!Best || BestGain * Weights.Goodput <= Weights.RoleChangeCost)
       return std::nullopt;
-    return order(*Best, "gains " + std::to_string(std::lround(BestGain)) +
-                            " useful tokens/s over the horizon");
+    return orderFor(*Best, "gains " + std::to_string(std::lround(BestGain)) +
+                               " useful tokens/s over the horizon");
   }
 
 private:
-  /// One change that brings the engines nearer to \p Wanted.
-  std::optional<GiveOrder> towards(Split Wanted, const char *Reason) const {
-    Split Final = sum(Engines.split(), Engines.returning());
+  /// Returns one change that brings the engines closer to \p TargetCounts.
+  std::optional<TargetOrder> changeTowards(RoleCounts TargetCounts,
+                                           const char *Reason) const {
+    RoleCounts Final = sum(Engines.roleCounts(), Engines.rolesAfterChange());
     for (const Role To : EngineRoles)
       for (const Role From : EngineRoles) {
-        if (From == To || Final.count(To) >= Wanted.count(To) ||
-            Final.count(From) <= Wanted.count(From))
+        if (From == To || Final.count(To) >= TargetCounts.count(To) ||
+            Final.count(From) <= TargetCounts.count(From))
           continue;
-        if (const auto Which = cheapestMove(Engines, From, To))
-          return order(*Which, Reason);
+        if (const auto Change = cheapestChange(Engines, From, To))
+          return orderFor(*Change, Reason);
       }
     return std::nullopt;
   }
@@ -175,13 +184,13 @@
 
 } // namespace
 
-std::optional<GiveOrder> planRole(const PlanPolicy &Policy,
-                                  const Snapshot &Seen, const Fleet &Engines,
-                                  const OrdersUnderWay &Orders,
-                                  const Knowledge &Known, BootTime Now) {
-  if (auto Repair = repairMinimum(Seen, Engines))
-    return Repair;
-  return std::visit(RoleChooser{Seen, Engines, Orders, Known, Now}, Policy);
+std::optional<TargetOrder> planRole(const PlanPolicy &Policy,
+                                    const Snapshot &View, const Fleet &Engines,
+                                    const PendingOrders &Orders,
+                                    const LearnedState &Learned, BootTime Now) {
+  if (auto Order = restoreMinimum(View, Engines))
+    return Order;
+  return std::visit(RoleChooser{View, Engines, Orders, Learned, Now}, Policy);
 }
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/RolePlanner.h
+++ b/Libraries/LibPlan/RolePlanner.h
@@ -1,10 +1,10 @@
-//===- RolePlanner.h - Which engine should change its role ------*- C++ -*-===//
+//===- RolePlanner.h - Planning of role changes -----------------*- C++ -*-===//
 //
-// Compares the current split of roles with each neighbouring one over the
-// record's horizon. A change must gain more useful tokens than it costs in
-// seconds of an engine lost and in the record's price for a change, and the
-// mix is expected to last only as long as it usually does; that is all the
-// hysteresis there is.
+// Compares the current role assignment with each one that differs by a single
+// change, over the horizon of the record. A change is made if it gains more
+// useful tokens than it costs in lost engine time and in the record's cost of a
+// change, where the current mix is expected to last only as long as it usually
+// does. There is no other hysteresis.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,32 +21,32 @@
 
 namespace figlift::plan {
 
-/// Brings the engines to the record's split and leaves them there.
+/// Changes the engines to the roles of the record, and keeps these.
 struct StaticPlan {};
 
-/// Follows the ratio of offered work at once: the baseline without hysteresis.
+/// Follows the ratio of offered work immediately; baseline without hysteresis.
 struct ThresholdPlan {};
 
 struct FigliftPlan {
-  /// Work that waited so long is worth nothing.
-  std::chrono::milliseconds Patience{10000};
-  /// Expect the mix to last as long as it did lately; false: for the whole
-  /// horizon.
+  /// Work that has waited for this time has no value.
+  std::chrono::milliseconds MaximumWait{10000};
+  /// Expect the mix to last as long as recent phases did; if false, for the
+  /// whole horizon.
   bool LearnsPersistence = true;
 };
 
 using PlanPolicy = std::variant<StaticPlan, ThresholdPlan, FigliftPlan>;
 
-/// What the planner has learned of the shard.
-struct Knowledge {
-  SpeedLearner Speeds;
+/// Estimates that the planner has derived from earlier snapshots.
+struct LearnedState {
+  RoleSpeedEstimator Speeds;
   MixHistory Mix;
 };
 
-/// The best role change now, if any is worth its cost.
-std::optional<GiveOrder> planRole(const PlanPolicy &Policy,
-                                  const Snapshot &Seen, const Fleet &Engines,
-                                  const OrdersUnderWay &Orders,
-                                  const Knowledge &Known, BootTime Now);
+/// Returns the best role change, if any gains more than it costs.
+std::optional<TargetOrder> planRole(const PlanPolicy &Policy,
+                                    const Snapshot &View, const Fleet &Engines,
+                                    const PendingOrders &Orders,
+                                    const LearnedState &Learned, BootTime Now);
 
 } // namespace figlift::plan
--- a/Libraries/LibPlan/RoleSpeeds.cpp
+++ b/Libraries/LibPlan/RoleSpeeds.cpp
@@ -1,6 +1,6 @@
-//===- RoleSpeeds.cpp - What an engine achieves in each role ----*- C++ -*-===//
+//===- RoleSpeeds.cpp - Speeds of an engine in each role --------*- C++ -*-===//
 //
-// Moving averages for each role and the estimate for roles never seen.
+// Moving averages for each role, and estimates for roles without measurements.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,34 +11,34 @@
 namespace {
 
 constexpr std::array EngineRoles{Role::Prefill, Role::Decode, Role::Mixed};
-/// Of a round of reports, about one a second.
+/// Weight of one round of reports, which arrive about once a second.
 constexpr double Weight = 0.05;
 
-void average(double &Known, double Sum, unsigned Count) {
+void average(double &Average, double Sum, unsigned Count) {
   if (Count == 0)
     return;
   const double New = Sum / Count;
-  Known = Known == 0 ? New : Known + Weight * (New - Known);
+  Average = Average == 0 ? New : Average + Weight * (New - Average);
 }
 
 } // namespace
 
-Speeds &RoleSpeeds::of(Role Which) {
-  if (Which == Role::Prefill)
+Speeds &RoleSpeeds::of(Role EngineRole) {
+  if (EngineRole == Role::Prefill)
     return Prefill;
-  return Which == Role::Decode ? Decode : Mixed;
+  return EngineRole == Role::Decode ? Decode : Mixed;
 }
 
-const Speeds &RoleSpeeds::of(Role Which) const {
-  return const_cast<RoleSpeeds *>(this)->of(Which);
+const Speeds &RoleSpeeds::of(Role EngineRole) const {
+  return const_cast<RoleSpeeds *>(this)->of(EngineRole);
 }
 
-void SpeedLearner::observe(const std::vector<TargetState> &Targets) {
-  for (const Role Which : EngineRoles) {
+void RoleSpeedEstimator::observe(const std::vector<TargetState> &Targets) {
+  for (const Role EngineRole : EngineRoles) {
     double Prefill = 0, Decode = 0;
     unsigned Prefills = 0, Decodes = 0;
     for (const TargetState &Target : Targets) {
-      if (!Target.Live || !Target.Accepting || Target.CurrentRole != Which)
+      if (!Target.Live || !Target.Accepting || Target.CurrentRole != EngineRole)
         continue;
       if (Target.Load.PrefillTokensPerSecond > 0) {
         Prefill += Target.Load.PrefillTokensPerSecond;
@@ -49,44 +49,47 @@
         ++Decodes;
       }
     }
-    Learned &Known = m_Learned[static_cast<size_t>(Which)];
-    average(Known.Prefill, Prefill, Prefills);
-    average(Known.Decode, Decode, Decodes);
+    MeasuredSpeeds &Measured = m_Measured[static_cast<size_t>(EngineRole)];
+    average(Measured.Prefill, Prefill, Prefills);
+    average(Measured.Decode, Decode, Decodes);
   }
 }
 
-double SpeedLearner::factor(Role Which, bool OfPrefill) const {
-  if (Which == Role::Mixed)
+double RoleSpeedEstimator::factor(Role EngineRole, bool IsPrefill) const {
+  if (EngineRole == Role::Mixed)
     return 1;
-  return OfPrefill == (Which == Role::Prefill) ? m_Assumed.OwnWork
-                                               : m_Assumed.OtherWork;
+  return IsPrefill == (EngineRole == Role::Prefill) ? m_Assumed.MatchingWork
+                                                    : m_Assumed.OtherWork;
 }
 
-double SpeedLearner::mixedSpeed(bool OfPrefill) const {
-  // Mixed engines first, then those that lean to this work.
-  for (const Role Which :
-       {Role::Mixed, OfPrefill ? Role::Prefill : Role::Decode,
-        OfPrefill ? Role::Decode : Role::Prefill}) {
-    const Learned &Known = m_Learned[static_cast<size_t>(Which)];
-    if (const double Speed = OfPrefill ? Known.Prefill : Known.Decode;
+double RoleSpeedEstimator::mixedSpeed(bool IsPrefill) const {
+  // Prefer measurements of mixed engines, then those of engines whose role
+  // matches this work.
+  for (const Role EngineRole :
+       {Role::Mixed, IsPrefill ? Role::Prefill : Role::Decode,
+        IsPrefill ? Role::Decode : Role::Prefill}) {
+    const MeasuredSpeeds &Measured =
+        m_Measured[static_cast<size_t>(EngineRole)];
+    if (const double Speed = IsPrefill ? Measured.Prefill : Measured.Decode;
         Speed > 0)
-      return Speed / factor(Which, OfPrefill);
+      return Speed / factor(EngineRole, IsPrefill);
   }
-  return OfPrefill ? m_Assumed.Mixed.PrefillTokensPerSecond
+  return IsPrefill ? m_Assumed.Mixed.PrefillTokensPerSecond
                    : m_Assumed.Mixed.DecodeTokensPerSecond;
 }
 
-RoleSpeeds SpeedLearner::speeds() const {
+RoleSpeeds RoleSpeedEstimator::speeds() const {
   RoleSpeeds Result;
-  for (const Role Which : EngineRoles) {
-    const Learned &Known = m_Learned[static_cast<size_t>(Which)];
-    Speeds &Own = Result.of(Which);
-    Own.PrefillTokensPerSecond = Known.Prefill > 0
-                                     ? Known.Prefill
-                                     : mixedSpeed(true) * factor(Which, true);
-    Own.DecodeTokensPerSecond = Known.Decode > 0
-                                    ? Known.Decode
-                                    : mixedSpeed(false) * factor(Which, false);
+  for (const Role EngineRole : EngineRoles) {
+    const MeasuredSpeeds &Measured =
+        m_Measured[static_cast<size_t>(EngineRole)];
+    Speeds &RoleSpeed = Result.of(EngineRole);
+    RoleSpeed.PrefillTokensPerSecond =
+        Measured.Prefill > 0 ? Measured.Prefill
+                             : mixedSpeed(true) * factor(EngineRole, true);
+    RoleSpeed.DecodeTokensPerSecond =
+        Measured.Decode > 0 ? Measured.Decode
+                            : mixedSpeed(false) * factor(EngineRole, false);
   }
   return Result;
 }
--- a/Libraries/LibPlan/RoleSpeeds.h
+++ b/Libraries/LibPlan/RoleSpeeds.h
@@ -1,7 +1,7 @@
-//===- RoleSpeeds.h - What an engine achieves in each role ------*- C++ -*-===//
+//===- RoleSpeeds.h - Speeds of an engine in each role ----------*- C++ -*-===//
 //
-// Learned from the engines' own measurements. A role that no engine has had
-// yet is estimated from the others by assumed factors.
+// Averages of the engines' measurements. The speeds of a role that no engine
+// has had yet are estimated from the other roles with assumed factors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace figlift::plan {
 
-/// Of one engine that does nothing else.
+/// Speeds of one engine, each measured without the other kind of work.
 struct Speeds {
   double PrefillTokensPerSecond = 8000;
   double DecodeTokensPerSecond = 1000;
@@ -26,36 +26,38 @@
   Speeds Decode;
   Speeds Mixed;
 
-  Speeds &of(Role Which);
-  const Speeds &of(Role Which) const;
+  Speeds &of(Role EngineRole);
+  const Speeds &of(Role EngineRole) const;
 };
 
 struct SpeedAssumptions {
   Speeds Mixed;
-  /// How much faster a leaning role does its own work than a mixed engine...
-  double OwnWork = 1.5;
-  /// ...and how much slower the other work.
+  /// Speed of a prefill or decode engine at the work of its role, relative to a
+  /// mixed engine.
+  double MatchingWork = 1.5;
+  /// The same for the other kind of work.
   double OtherWork = 0.4;
 };
 
-class SpeedLearner {
+class RoleSpeedEstimator {
 public:
-  explicit SpeedLearner(SpeedAssumptions Assumed = {}) : m_Assumed(Assumed) {}
+  explicit RoleSpeedEstimator(SpeedAssumptions Assumed = {})
+      : m_Assumed(Assumed) {}
 
   void observe(const std::vector<TargetState> &Targets);
   RoleSpeeds speeds() const;
 
 private:
-  /// Moving averages; 0: never measured in this role.
-  struct Learned {
+  /// Moving averages; 0 if the role has no measurement.
+  struct MeasuredSpeeds {
     double Prefill = 0;
     double Decode = 0;
   };
-  double factor(Role Which, bool OfPrefill) const;
-  double mixedSpeed(bool OfPrefill) const;
+  double factor(Role EngineRole, bool IsPrefill) const;
+  double mixedSpeed(bool IsPrefill) const;
 
   SpeedAssumptions m_Assumed;
-  std::array<Learned, 3> m_Learned;
+  std::array<MeasuredSpeeds, 3> m_Measured;
 };
 
 } // namespace figlift::plan
--- a/Libraries/LibPlanner/ShardPlanner.cpp
+++ b/Libraries/LibPlanner/ShardPlanner.cpp
@@ -109,7 +109,7 @@
   }
   observeRefused(Now);
   Seen.Offered = m_Demand.demand(Now);
-  for (const plan::GiveOrder &Each : m_Planner->step(plan::Tick{Seen}, Now))
+  for (const plan::TargetOrder &Each : m_Planner->step(plan::Tick{Seen}, Now))
     give(Each);
 }
 
@@ -129,12 +129,12 @@
                    m_RefusedByAll.DecodeTokens, Now);
 }
 
-void ShardPlanner::give(const plan::GiveOrder &Order) {
+void ShardPlanner::give(const plan::TargetOrder &Order) {
   Pending New;
   New.Order.set_order_id(m_Parts.Ids.nextText());
   New.Order.set_shard(m_Shard.toString());
   New.Order.set_target(Order.Target);
-  std::visit(OrderWriter{New.Order}, Order.What);
+  std::visit(OrderWriter{New.Order}, Order.RequestedChange);
   m_Parts.Told.OrderGiven(m_Shard, Order, New.Order.order_id());
   m_Pending[Order.Target] = std::move(New);
   sendPending(BootClock::now());
@@ -190,6 +190,6 @@
   m_Parts.Told.OrderEnded(m_Shard, Target, How.Code);
   if (!m_Planner)
     return;
-  for (const plan::GiveOrder &Each : m_Planner->step(How, BootClock::now()))
+  for (const plan::TargetOrder &Each : m_Planner->step(How, BootClock::now()))
     give(Each);
 }
--- a/Libraries/LibPlanner/ShardPlanner.h
+++ b/Libraries/LibPlanner/ShardPlanner.h
@@ -55,7 +55,7 @@
   void lost(uint64_t Epoch);
   void planOnce(BootTime Now);
   void observeRefused(BootTime Now);
-  void give(const plan::GiveOrder &Order);
+  void give(const plan::TargetOrder &Order);
   void sendPending(BootTime Now);
   void answered(const std::string &Target, const std::string &OrderId,
                 const Result<wire::OrderReply> &Reply);
--- a/Libraries/LibPlanner/ShardView.h
+++ b/Libraries/LibPlanner/ShardView.h
@@ -80,7 +80,7 @@
 struct PlannerObserver {
   std::function<void(const ShardId &, uint64_t Epoch)> LeaseGained;
   std::function<void(const ShardId &, uint64_t Epoch)> LeaseLost;
-  std::function<void(const ShardId &, const plan::GiveOrder &,
+  std::function<void(const ShardId &, const plan::TargetOrder &,
                      const std::string &OrderId)>
       OrderGiven;
   std::function<void(const ShardId &, const std::string &Target, ResultCode)>
--- a/Services/figlift-entry/Planning.cpp
+++ b/Services/figlift-entry/Planning.cpp
@@ -85,18 +85,18 @@
     log::logEvent(log::Level::Info, "lease-lost",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
-  Told.OrderGiven = [this](const ShardId &, const plan::GiveOrder &Order,
+  Told.OrderGiven = [this](const ShardId &, const plan::TargetOrder &Order,
                            const std::string &Id) {
-    if (std::holds_alternative<plan::SetRole>(Order.What))
+    if (std::holds_alternative<plan::SetRole>(Order.RequestedChange))
       m_RoleChanges.add();
     m_Parts.Events.record(kinds::OrderSent, {SubjectType::Target, Order.Target},
                           {{"order", Id},
-                           {"change", describe(Order.What)},
+                           {"change", describe(Order.RequestedChange)},
                            {"reason", Order.Reason}});
     log::logEvent(log::Level::Info, "order-given",
                   {{"target", Order.Target},
                    {"order", Id},
-                   {"change", describe(Order.What)},
+                   {"change", describe(Order.RequestedChange)},
                    {"reason", Order.Reason}});
   };
   Told.OrderEnded = [](const ShardId &, const std::string &Target,
--- a/Tests/LibPlan/PlanFixture.h
+++ b/Tests/LibPlan/PlanFixture.h
@@ -1,6 +1,6 @@
 //===- PlanFixture.h - A shard for planner tests ----------------*- C++ -*-===//
 //
-// Builds snapshots and carries out orders on them.
+// Builds snapshots and applies orders to them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,50 +19,54 @@
 
 struct PlanFixture {
   BootTime Now{seconds(1000)};
-  Snapshot Seen;
+  Snapshot View;
 
-  TargetState &add(const std::string &Id, Role Which,
+  TargetState &add(const std::string &Id, Role EngineRole,
                    std::vector<ModelVersion> Models = {}) {
     TargetState State;
     State.Id = Id;
-    State.CurrentRole = Which;
+    State.CurrentRole = EngineRole;
     State.Live = State.Accepting = true;
     State.Models = std::move(Models);
-    State.Load.PrefillTokensPerSecond = Which == Role::Decode ? 2700 : 12000;
-    State.Load.DecodeTokensPerSecond = Which == Role::Prefill ? 330 : 1600;
+    State.Load.PrefillTokensPerSecond =
+        EngineRole == Role::Decode ? 2700 : 12000;
+    State.Load.DecodeTokensPerSecond = EngineRole == Role::Prefill ? 330 : 1600;
     State.ReportedAt = Now;
-    Seen.Targets.push_back(State);
-    return Seen.Targets.back();
+    View.Targets.push_back(State);
+    return View.Targets.back();
   }
 
   TargetState &target(const std::string &Id) {
-    return *std::ranges::find(Seen.Targets, Id, &TargetState::Id);
+    return *std::ranges::find(View.Targets, Id, &TargetState::Id);
   }
 
-  std::vector<Action> tick(Planner &Under, milliseconds Later = seconds(1)) {
+  std::vector<Action> tick(Planner &PlannerUnderTest,
+                           milliseconds Later = seconds(1)) {
     Now += Later;
-    for (TargetState &State : Seen.Targets)
+    for (TargetState &State : View.Targets)
       if (State.Live)
         State.ReportedAt = Now;
-    return Under.step(Tick{Seen}, Now);
+    return PlannerUnderTest.step(Tick{View}, Now);
   }
 
-  /// The order ends well, and the next report shows its effect.
-  void carryOut(Planner &Under, const GiveOrder &Order) {
+  /// Ends the order with success; the next report shows its effect.
+  void carryOut(Planner &PlannerUnderTest, const TargetOrder &Order) {
     Now += seconds(3);
     TargetState &State = target(Order.Target);
-    if (const auto *Change = std::get_if<SetRole>(&Order.What))
+    if (const auto *Change = std::get_if<SetRole>(&Order.RequestedChange))
       State.CurrentRole = Change->NewRole;
-    if (const auto *Change = std::get_if<LoadModel>(&Order.What))
+    if (const auto *Change = std::get_if<LoadModel>(&Order.RequestedChange))
       State.Models.push_back(Change->Model);
-    if (const auto *Change = std::get_if<UnloadModel>(&Order.What))
+    if (const auto *Change = std::get_if<UnloadModel>(&Order.RequestedChange))
       std::erase(State.Models, Change->Model);
-    Under.step(OrderEnded{Order.Target, ResultCode::Success, {}}, Now);
+    PlannerUnderTest.step(OrderEnded{Order.Target, ResultCode::Success, {}},
+                          Now);
   }
 
-  void fail(Planner &Under, const GiveOrder &Order, ResultCode Code) {
+  void fail(Planner &PlannerUnderTest, const TargetOrder &Order,
+            ResultCode Code) {
     Now += seconds(3);
-    Under.step(OrderEnded{Order.Target, Code, {}}, Now);
+    PlannerUnderTest.step(OrderEnded{Order.Target, Code, {}}, Now);
   }
 };
 
--- a/Tests/LibPlan/PlanTrial.h
+++ b/Tests/LibPlan/PlanTrial.h
@@ -1,8 +1,9 @@
-//===- PlanTrial.h - Small deterministic shard under a swing ----*- C++ -*-===//
+//===- PlanTrial.h - Small simulation of a shard ----------------*- C++ -*-===//
 //
-// Engines that do prefill and decode by their roles, one queue of each kind,
-// and role changes that take an engine away for seconds. Demand swings between
-// two mixes. A step is 100 ms; no cluster simulator.
+// Models engines that run prefill and decode according to their roles, one
+// queue for each phase, role changes during which an engine does not serve for
+// some seconds, and demand that alternates between two mixes. A step is 100 ms.
+// It is not a cluster simulator.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,14 +26,14 @@
   unsigned Engines = 8;
   milliseconds ChangeDuration{5000};
   milliseconds Length{600000};
-  /// Demand at a time since the start.
+  /// Returns the demand at a time since the start.
   std::function<Demand(milliseconds)> Offered;
   record::BackEnd Spec;
 };
 
 struct PlanTrialResult {
   unsigned Changes = 0;
-  /// Part of the offered work that was answered within ten seconds.
+  /// Fraction of the offered work that was answered within 10 s.
   double Answered = 0;
 };
 
@@ -62,125 +63,132 @@
 private:
   struct Engine {
     std::string Id;
-    Role Current;
-    /// Set while it changes.
-    std::optional<Role> Next;
-    milliseconds Until;
+    Role CurrentRole;
+    /// The new role, while a change is in progress.
+    std::optional<Role> NewRole;
+    milliseconds ChangeEnd;
   };
 
-  static Speeds speeds(Role Which) {
-    if (Which == Role::Prefill)
+  static Speeds speeds(Role EngineRole) {
+    if (EngineRole == Role::Prefill)
       return {PrefillRate * 1.6, DecodeRate / 3};
-    if (Which == Role::Decode)
+    if (EngineRole == Role::Decode)
       return {PrefillRate / 3, DecodeRate * 1.6};
     return {PrefillRate, DecodeRate};
   }
 
-  static BootTime boot(milliseconds Now) { return BootTime(Now + seconds(1)); }
+  static BootTime toBootTime(milliseconds Now) {
+    return BootTime(Now + seconds(1));
+  }
 
   void advance(milliseconds Now, milliseconds Step) {
     const double Time = std::chrono::duration<double>(Step).count();
-    const Demand In = m_Settings.Offered(Now);
-    m_OfferedPrefill += In.PrefillTokensPerSecond * Time;
-    m_OfferedDecode += In.DecodeTokensPerSecond * Time;
-    m_Prefill += In.PrefillTokensPerSecond * Time;
-    m_DecodeToCome += In.DecodeTokensPerSecond * Time;
-    m_Offered += In.DecodeTokensPerSecond * Time / DecodeRate +
-                 In.PrefillTokensPerSecond * Time / PrefillRate;
+    const Demand Offered = m_Settings.Offered(Now);
+    m_OfferedPrefill += Offered.PrefillTokensPerSecond * Time;
+    m_OfferedDecode += Offered.DecodeTokensPerSecond * Time;
+    m_Prefill += Offered.PrefillTokensPerSecond * Time;
+    m_DecodeAfterPrefill += Offered.DecodeTokensPerSecond * Time;
+    m_Offered += Offered.DecodeTokensPerSecond * Time / DecodeRate +
+                 Offered.PrefillTokensPerSecond * Time / PrefillRate;
     double Prefilled = 0, Decoded = 0;
-    for (Engine &One : m_Engines) {
-      if (One.Next && Now >= One.Until)
-        finish(One, Now);
-      if (!One.Next)
-        work(One.Current, Time, Prefilled, Decoded);
+    for (Engine &Simulated : m_Engines) {
+      if (Simulated.NewRole && Now >= Simulated.ChangeEnd)
+        finish(Simulated, Now);
+      if (!Simulated.NewRole)
+        work(Simulated.CurrentRole, Time, Prefilled, Decoded);
     }
     account(Prefilled, Decoded);
-    leave(In);
+    dropExpired(Offered);
   }
 
-  /// One engine: its own kind of work first; a mixed one shares its time.
-  void work(Role Which, double Time, double &Prefilled, double &Decoded) const {
-    const Speeds Own = speeds(Which);
-    const auto Prefill = [&](double Part) {
-      const double Tokens = std::min(m_Prefill - Prefilled,
-                                     Time * Part * Own.PrefillTokensPerSecond);
+  /// Runs one engine: the work of its role first; a mixed engine divides its
+  /// time.
+  void work(Role EngineRole, double Time, double &Prefilled,
+            double &Decoded) const {
+    const Speeds EngineSpeeds = speeds(EngineRole);
+    const auto Prefill = [&](double TimeFraction) {
+      const double Tokens =
+          std::min(m_Prefill - Prefilled,
+                   Time * TimeFraction * EngineSpeeds.PrefillTokensPerSecond);
       Prefilled += Tokens;
-      Time -= Tokens / Own.PrefillTokensPerSecond;
+      Time -= Tokens / EngineSpeeds.PrefillTokensPerSecond;
     };
     const auto Decode = [&] {
-      const double Tokens =
-          std::min(m_Decode - Decoded, Time * Own.DecodeTokensPerSecond);
+      const double Tokens = std::min(m_Decode - Decoded,
+                                     Time * EngineSpeeds.DecodeTokensPerSecond);
       Decoded += Tokens;
-      Time -= Tokens / Own.DecodeTokensPerSecond;
+      Time -= Tokens / EngineSpeeds.DecodeTokensPerSecond;
     };
-    if (Which != Role::Decode)
-      Prefill(Which == Role::Mixed ? 0.5 : 1.0);
+    if (EngineRole != Role::Decode)
+      Prefill(EngineRole == Role::Mixed ? 0.5 : 1.0);
     Decode();
     Prefill(1.0);
   }
 
   void account(double Prefilled, double Decoded) {
-    const double Follows =
-        m_Prefill > 0 ? m_DecodeToCome * Prefilled / m_Prefill : 0;
-    const double Prompts =
-        m_Decode > 0 ? m_PromptsDone * Decoded / m_Decode : 0;
+    const double FollowingDecode =
+        m_Prefill > 0 ? m_DecodeAfterPrefill * Prefilled / m_Prefill : 0;
+    const double PromptTokens =
+        m_Decode > 0 ? m_PromptsInDecode * Decoded / m_Decode : 0;
     m_Prefill -= Prefilled;
-    m_DecodeToCome -= Follows;
-    m_Decode += Follows - Decoded;
-    m_PromptsDone += Prefilled - Prompts;
-    // In engine time, so that both kinds of work weigh alike.
-    m_Answered += Decoded / DecodeRate + Prompts / PrefillRate;
+    m_DecodeAfterPrefill -= FollowingDecode;
+    m_Decode += FollowingDecode - Decoded;
+    m_PromptsInDecode += Prefilled - PromptTokens;
+    // Count engine time, so that both kinds of work have the same weight.
+    m_Answered += Decoded / DecodeRate + PromptTokens / PrefillRate;
   }
 
-  /// Callers leave after ten seconds.
-  void leave(const Demand &In) {
-    const double PrefillBound = In.PrefillTokensPerSecond * 10;
-    const double DecodeBound = In.DecodeTokensPerSecond * 10;
+  /// Drops work that has waited for more than 10 s.
+  void dropExpired(const Demand &Offered) {
+    const double PrefillBound = Offered.PrefillTokensPerSecond * 10;
+    const double DecodeBound = Offered.DecodeTokensPerSecond * 10;
     if (m_Prefill > PrefillBound) {
-      m_DecodeToCome *= PrefillBound / m_Prefill;
+      m_DecodeAfterPrefill *= PrefillBound / m_Prefill;
       m_Prefill = PrefillBound;
     }
     if (m_Decode > DecodeBound) {
-      m_PromptsDone *= DecodeBound / m_Decode;
+      m_PromptsInDecode *= DecodeBound / m_Decode;
       m_Decode = DecodeBound;
     }
   }
 
-  void finish(Engine &One, milliseconds Now) {
-    One.Current = *One.Next;
-    One.Next.reset();
-    m_Planner.step(OrderEnded{One.Id, ResultCode::Success, {}},
-                   boot(Now) - milliseconds(1));
+  void finish(Engine &Simulated, milliseconds Now) {
+    Simulated.CurrentRole = *Simulated.NewRole;
+    Simulated.NewRole.reset();
+    m_Planner.step(OrderEnded{Simulated.Id, ResultCode::Success, {}},
+                   toBootTime(Now) - milliseconds(1));
   }
 
   void plan(milliseconds Now) {
     m_Estimator.observe("all", static_cast<uint64_t>(m_OfferedPrefill),
-                        static_cast<uint64_t>(m_OfferedDecode), boot(Now));
-    Snapshot Seen{m_Settings.Spec, {}, m_Estimator.demand(boot(Now))};
-    for (const Engine &One : m_Engines) {
+                        static_cast<uint64_t>(m_OfferedDecode),
+                        toBootTime(Now));
+    Snapshot View{m_Settings.Spec, {}, m_Estimator.demand(toBootTime(Now))};
+    for (const Engine &Simulated : m_Engines) {
       TargetState State;
-      State.Id = One.Id;
-      State.CurrentRole = One.Current;
+      State.Id = Simulated.Id;
+      State.CurrentRole = Simulated.CurrentRole;
       State.Live = true;
-      State.Accepting = !One.Next;
-      State.OrderInProgress = One.Next.has_value();
+      State.Accepting = !Simulated.NewRole;
+      State.OrderInProgress = Simulated.NewRole.has_value();
       State.Load.PrefillTokensPerSecond =
-          speeds(One.Current).PrefillTokensPerSecond;
+          speeds(Simulated.CurrentRole).PrefillTokensPerSecond;
       State.Load.DecodeTokensPerSecond =
-          speeds(One.Current).DecodeTokensPerSecond;
+          speeds(Simulated.CurrentRole).DecodeTokensPerSecond;
       State.Load.PrefillTokensWaiting[1] =
           static_cast<uint64_t>(m_Prefill / m_Engines.size());
       State.Load.DecodeTokensWaiting =
           static_cast<uint64_t>(m_Decode / m_Engines.size());
-      State.ReportedAt = boot(Now);
-      Seen.Targets.push_back(std::move(State));
+      State.ReportedAt = toBootTime(Now);
+      View.Targets.push_back(std::move(State));
     }
-    for (const GiveOrder &Order : m_Planner.step(Tick{Seen}, boot(Now))) {
+    for (const TargetOrder &Order :
+         m_Planner.step(Tick{View}, toBootTime(Now))) {
       ++m_Result.Changes;
       const auto Found =
           std::ranges::find(m_Engines, Order.Target, &Engine::Id);
-      Found->Next = std::get<SetRole>(Order.What).NewRole;
-      Found->Until = Now + m_Settings.ChangeDuration;
+      Found->NewRole = std::get<SetRole>(Order.RequestedChange).NewRole;
+      Found->ChangeEnd = Now + m_Settings.ChangeDuration;
     }
   }
 
@@ -192,21 +200,22 @@
   DemandEstimator m_Estimator;
   std::vector<Engine> m_Engines;
   double m_Prefill = 0, m_Decode = 0;
-  /// Output of the prompts that wait, and prompts of the answers in progress.
-  double m_DecodeToCome = 0, m_PromptsDone = 0;
+  /// Output tokens of the waiting prompts, and prompt tokens of the requests in
+  /// decode.
+  double m_DecodeAfterPrefill = 0, m_PromptsInDecode = 0;
   double m_OfferedPrefill = 0, m_OfferedDecode = 0;
   double m_Answered = 0, m_Offered = 0;
   PlanTrialResult m_Result;
 };
 
-/// Demand that fills \p Load of \p Engines, a part \p PrefillShare of their
-/// time with prefill.
+/// Returns the demand that uses the fraction \p Load of the time of \p Engines,
+/// and the fraction \p PrefillShare of that for prefill.
 inline Demand mix(double Engines, double Load, double PrefillShare) {
   return {Engines * Load * PrefillShare * 8000,
           Engines * Load * (1 - PrefillShare) * 1000};
 }
 
-/// Square wave between two shares of prefill.
+/// Returns a square wave between two shares of prefill.
 inline std::function<Demand(milliseconds)> swing(double Engines, double Load,
                                                  double Low, double High,
                                                  milliseconds HalfPeriod) {
--- a/Tests/LibPlan/TestPlacement.cpp
+++ b/Tests/LibPlan/TestPlacement.cpp
@@ -1,6 +1,6 @@
 //===- TestPlacement.cpp - Model placement and rollout ----------*- C++ -*-===//
 //
-// The order of loads and unloads, pacing, and the way back.
+// The order of loads and unloads, rate limiting, and rollback.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,174 +13,177 @@
 using namespace figlift::plan::test;
 
 TEST_GROUP(Placement) {
-  const ModelVersion Old{"desk", "1", ""};
-  const ModelVersion New{"desk", "2", ""};
+  const ModelVersion OldVersion{"desk", "1", ""};
+  const ModelVersion NewVersion{"desk", "2", ""};
   PlanFixture Shard;
-  Planner Under;
+  Planner PlannerUnderTest;
 
-  void fleetWithOld(int Count = 3) {
-    Shard.Seen.Spec.Models = {{"desk", "2", {}}};
+  void addEnginesWithOldVersion(int Count = 3) {
+    Shard.View.Spec.Models = {{"desk", "2", {}}};
     for (int I = 0; I < Count; ++I)
-      Shard.add("vm-" + std::to_string(I), Role::Mixed, {Old});
+      Shard.add("vm-" + std::to_string(I), Role::Mixed, {OldVersion});
   }
 
-  unsigned serving(const ModelVersion &Model) {
-    return std::ranges::count_if(Shard.Seen.Targets, [&](const auto &One) {
-      return std::ranges::find(One.Models, Model) != One.Models.end();
+  unsigned countServing(const ModelVersion &Model) {
+    return std::ranges::count_if(Shard.View.Targets, [&](const auto &State) {
+      return std::ranges::find(State.Models, Model) != State.Models.end();
     });
   }
 
-  /// The next order within a minute.
-  std::optional<GiveOrder> next() {
+  /// Returns the nextOrder order that is issued within a minute.
+  std::optional<TargetOrder> nextOrder() {
     for (int I = 0; I < 60; ++I)
-      if (const auto Orders = Shard.tick(Under); !Orders.empty())
+      if (const auto Orders = Shard.tick(PlannerUnderTest); !Orders.empty())
         return Orders.front();
     return std::nullopt;
   }
 };
 
-// Symptom: the whole back end stands still during a rollout.
-// Sequence: a new version is submitted; every engine unloads the old one and
-// loads the new one at the same time.
-// Cause: a rollout without order.
-TEST(Placement, RollsOutEngineByEngineLoadingBeforeUnloading) {
-  fleetWithOld();
-  std::vector<GiveOrder> Orders;
-  while (const auto Order = next()) {
+// Guards against an outage of the whole back end during a rollout: without
+// coordination, all engines unload the old version and load the new one at the
+// same time.
+TEST(Placement, RollsOutEngineByEngineAndLoadsBeforeUnloading) {
+  addEnginesWithOldVersion();
+  std::vector<TargetOrder> Orders;
+  while (const auto Order = nextOrder()) {
     Orders.push_back(*Order);
-    // One at a time: nothing else is ordered while it runs.
-    LONGS_EQUAL(0, Shard.tick(Under).size());
-    Shard.carryOut(Under, *Order);
-    CHECK(std::ranges::all_of(Shard.Seen.Targets, [](const auto &One) {
-      return !One.Models.empty();
+    // No other order is issued while one is in progress.
+    LONGS_EQUAL(0, Shard.tick(PlannerUnderTest).size());
+    Shard.carryOut(PlannerUnderTest, *Order);
+    CHECK(std::ranges::all_of(Shard.View.Targets, [](const auto &State) {
+      return !State.Models.empty();
     }));
   }
   LONGS_EQUAL(6, Orders.size());
   for (size_t I = 0; I < Orders.size(); I += 2) {
-    CHECK(Orders[I].What == Change(LoadModel{New}));
-    CHECK(Orders[I + 1].What == Change(UnloadModel{Old}));
+    CHECK(Orders[I].RequestedChange == Change(LoadModel{NewVersion}));
+    CHECK(Orders[I + 1].RequestedChange == Change(UnloadModel{OldVersion}));
     CHECK(Orders[I].Target == Orders[I + 1].Target);
   }
-  LONGS_EQUAL(3, serving(New));
-  LONGS_EQUAL(0, serving(Old));
+  LONGS_EQUAL(3, countServing(NewVersion));
+  LONGS_EQUAL(0, countServing(OldVersion));
 }
 
-TEST(Placement, UnloadWaitsUntilTheNewVersionIsReportedReady) {
-  fleetWithOld();
-  const auto Load = next();
+TEST(Placement, UnloadWaitsUntilNewVersionIsReportedReady) {
+  addEnginesWithOldVersion();
+  const auto Load = nextOrder();
   CHECK(Load.has_value());
-  // The order ended well, but the engine does not report the version.
+  // The order succeeded, but the engine does not report the version.
   Shard.Now += seconds(3);
-  Under.step(OrderEnded{Load->Target, ResultCode::Success, {}}, Shard.Now);
+  PlannerUnderTest.step(OrderEnded{Load->Target, ResultCode::Success, {}},
+                        Shard.Now);
   for (int I = 0; I < 10; ++I)
-    for (const GiveOrder &Order : Shard.tick(Under)) {
-      CHECK(!std::holds_alternative<UnloadModel>(Order.What));
-      Shard.fail(Under, Order, ResultCode::PeerUnreachable);
+    for (const TargetOrder &Order : Shard.tick(PlannerUnderTest)) {
+      CHECK(!std::holds_alternative<UnloadModel>(Order.RequestedChange));
+      Shard.fail(PlannerUnderTest, Order, ResultCode::PeerUnreachable);
     }
 }
 
-// Symptom: a broken version takes the fleet down, one engine after the other.
-// Sequence: it loads on the first engine and fails on the next ones.
-// Cause: a rollout that goes on, or stops with half of the fleet on each.
+// Guards against a broken version that is rolled out to the whole fleet, or
+// left on a part of it: it loads on the first engine and fails on the nextOrder
+// ones.
 TEST(Placement, FailingVersionIsRolledBackEverywhere) {
-  fleetWithOld();
+  addEnginesWithOldVersion();
   for (int I = 0; I < 2; ++I)
-    Shard.carryOut(Under, *next());
-  LONGS_EQUAL(1, serving(New));
-  LONGS_EQUAL(2, serving(Old));
+    Shard.carryOut(PlannerUnderTest, *nextOrder());
+  LONGS_EQUAL(1, countServing(NewVersion));
+  LONGS_EQUAL(2, countServing(OldVersion));
   for (int I = 0; I < 2; ++I) {
-    const auto Order = next();
-    CHECK(Order->What == Change(LoadModel{New}));
-    Shard.fail(Under, *Order, ResultCode::OrderRejectedByTarget);
+    const auto Order = nextOrder();
+    CHECK(Order->RequestedChange == Change(LoadModel{NewVersion}));
+    Shard.fail(PlannerUnderTest, *Order, ResultCode::OrderRejectedByTarget);
   }
-  CHECK(Under.placement().rolledBack(New));
-  while (const auto Order = next())
-    Shard.carryOut(Under, *Order);
-  LONGS_EQUAL(3, serving(Old));
-  LONGS_EQUAL(0, serving(New));
+  CHECK(PlannerUnderTest.placement().isRolledBack(NewVersion));
+  while (const auto Order = nextOrder())
+    Shard.carryOut(PlannerUnderTest, *Order);
+  LONGS_EQUAL(3, countServing(OldVersion));
+  LONGS_EQUAL(0, countServing(NewVersion));
   // A newer version is a new rollout.
-  Shard.Seen.Spec.Models = {{"desk", "3", {}}};
-  CHECK(next()->What == Change(LoadModel{{"desk", "3", ""}}));
+  Shard.View.Spec.Models = {{"desk", "3", {}}};
+  CHECK(nextOrder()->RequestedChange == Change(LoadModel{{"desk", "3", ""}}));
 }
 
-// Symptom: a broken version is tried on two engines. Sequence: the first try
-// fails; until the second, the engines' loads have changed.
-// Cause: the engine was chosen by load alone.
-TEST(Placement, FailingVersionIsTriedAgainWhereItFailed) {
-  fleetWithOld();
-  const auto First = next();
-  Shard.fail(Under, *First, ResultCode::OrderRejectedByTarget);
-  for (TargetState &Each : Shard.Seen.Targets)
-    Each.Load.RunningSequences = Each.Id == First->Target ? 5 : 0;
-  STRCMP_EQUAL(First->Target.c_str(), next()->Target.c_str());
+// Guards against trying a broken version on two engines: the first load fails,
+// and the load of the engines has changed before the retry, so the engine must
+// not be chosen by load alone.
+TEST(Placement, FailedLoadIsRetriedOnTheSameEngine) {
+  addEnginesWithOldVersion();
+  const auto First = nextOrder();
+  Shard.fail(PlannerUnderTest, *First, ResultCode::OrderRejectedByTarget);
+  for (TargetState &State : Shard.View.Targets)
+    State.Load.RunningSequences = State.Id == First->Target ? 5 : 0;
+  STRCMP_EQUAL(First->Target.c_str(), nextOrder()->Target.c_str());
 }
 
-// Symptom: a good version is taken back and stays away until the record
-// changes. Sequence: agents are killed during the rollout; their successors
-// refuse the order, because they are not ready. Cause: every order that did not
-// end well was held against the version.
-TEST(Placement, RefusalsOfAgentsAreNotHeldAgainstTheVersion) {
-  fleetWithOld();
+// Guards against rolling back a good version, which would not be loaded again
+// until the record changes: agents are killed during the rollout, and restarted
+// agents refuse orders until they are ready. Only failures of the engine count
+// against the version.
+TEST(Placement, RefusalsOfAgentsDoNotCauseARollback) {
+  addEnginesWithOldVersion();
   for (const ResultCode Code :
        {ResultCode::NotReady, ResultCode::StoreOutcomeUnknown,
         ResultCode::OrderConflict, ResultCode::StaleEpoch}) {
-    const auto Order = next();
-    CHECK(Order.has_value() && Order->What == Change(LoadModel{New}));
-    Shard.fail(Under, *Order, Code);
+    const auto Order = nextOrder();
+    CHECK(Order.has_value() &&
+          Order->RequestedChange == Change(LoadModel{NewVersion}));
+    Shard.fail(PlannerUnderTest, *Order, Code);
   }
-  CHECK(!Under.placement().rolledBack(New));
+  CHECK(!PlannerUnderTest.placement().isRolledBack(NewVersion));
 }
 
-TEST(Placement, FirstEngineGoesAloneWhateverTheBound) {
-  fleetWithOld(6);
-  Shard.Seen.Spec.Weights.MaximumConcurrentChanges = 3;
-  const auto First = Shard.tick(Under);
+TEST(Placement, NewVersionIsLoadedOnASingleEngineFirst) {
+  addEnginesWithOldVersion(6);
+  Shard.View.Spec.Weights.MaximumConcurrentChanges = 3;
+  const auto First = Shard.tick(PlannerUnderTest);
   LONGS_EQUAL(1, First.size());
-  Shard.carryOut(Under, First.front());
+  Shard.carryOut(PlannerUnderTest, First.front());
   size_t Largest = 0;
   for (int I = 0; I < 10; ++I)
-    Largest = std::max(Largest, (Shard.tick(Under), Under.orders().size()));
+    Largest = std::max(Largest, (Shard.tick(PlannerUnderTest),
+                                 PlannerUnderTest.orders().size()));
   LONGS_EQUAL(3, Largest);
 }
 
-TEST(Placement, LoadsArePacedToTheWeightStore) {
-  fleetWithOld(6);
-  Shard.Seen.Spec.Weights.MaximumConcurrentChanges = 6;
-  Shard.carryOut(Under, *next());
-  Shard.carryOut(Under, *next());
+TEST(Placement, LoadsAreRateLimited) {
+  addEnginesWithOldVersion(6);
+  Shard.View.Spec.Weights.MaximumConcurrentChanges = 6;
+  Shard.carryOut(PlannerUnderTest, *nextOrder());
+  Shard.carryOut(PlannerUnderTest, *nextOrder());
   BootTime Last;
   for (int I = 0; I < 3; ++I) {
-    const auto Order = next();
-    CHECK(std::holds_alternative<LoadModel>(Order->What));
+    const auto Order = nextOrder();
+    CHECK(std::holds_alternative<LoadModel>(Order->RequestedChange));
     CHECK(Shard.Now - Last >= seconds(2));
     Last = Shard.Now;
   }
-  // No permit: nothing is held against the version, and loads wait.
-  const std::string Target = Shard.tick(Under, seconds(2)).front().Target;
+  // A denied permit does not count against the version, and delays loads.
+  const std::string Target =
+      Shard.tick(PlannerUnderTest, seconds(2)).front().Target;
   const BootTime Refused = Shard.Now;
   for (int I = 0; I < 3; ++I)
-    Under.step(OrderEnded{Target, ResultCode::StoreUnavailable, seconds(20)},
-               Refused);
-  CHECK(!Under.placement().rolledBack(New));
+    PlannerUnderTest.step(
+        OrderEnded{Target, ResultCode::StoreUnavailable, seconds(20)}, Refused);
+  CHECK(!PlannerUnderTest.placement().isRolledBack(NewVersion));
   while (Shard.Now - Refused < seconds(19))
-    LONGS_EQUAL(0, Shard.tick(Under).size());
+    LONGS_EQUAL(0, Shard.tick(PlannerUnderTest).size());
 }
 
-TEST(Placement, EmptyFleetIsFilledThoughNobodyServes) {
-  Shard.Seen.Spec.Models = {{"desk", "2", {"norte"}}};
+TEST(Placement, ModelsAreLoadedWhenNoEngineServes) {
+  Shard.View.Spec.Models = {{"desk", "2", {"norte"}}};
   Shard.add("vm-0", Role::Mixed);
   const ModelVersion Adapter{"desk", "2", "norte"};
-  const auto Base = next();
-  CHECK(Base->What == Change(LoadModel{New}));
-  Shard.carryOut(Under, *Base);
-  // With a single engine nothing may be taken away any more.
-  CHECK(!next().has_value());
-  Shard.add("vm-1", Role::Mixed, {New});
-  const auto Second = next();
-  CHECK(Second->What == Change(LoadModel{Adapter}));
+  const auto BaseOrder = nextOrder();
+  CHECK(BaseOrder->RequestedChange == Change(LoadModel{NewVersion}));
+  Shard.carryOut(PlannerUnderTest, *BaseOrder);
+  // A single engine cannot be spared for another change.
+  CHECK(!nextOrder().has_value());
+  Shard.add("vm-1", Role::Mixed, {NewVersion});
+  const auto AdapterOrder = nextOrder();
+  CHECK(AdapterOrder->RequestedChange == Change(LoadModel{Adapter}));
 }
 
-TEST(Placement, ModelVersionsKeepTheirTextForm) {
+TEST(Placement, ModelVersionsRoundTripThroughText) {
   for (const char *Text : {"desk@2", "desk@2+norte"})
     STRCMP_EQUAL(Text, ModelVersion::parse(Text).toString().c_str());
 }
--- a/Tests/LibPlan/TestRoles.cpp
+++ b/Tests/LibPlan/TestRoles.cpp
@@ -1,6 +1,7 @@
-//===- TestRoles.cpp - Role changes under a swinging mix --------*- C++ -*-===//
+//===- TestRoles.cpp - Role changes under a changing mix --------*- C++ -*-===//
 //
-// The planner against its baselines, and the bounds that hold for every arm.
+// Compares the planner with its baselines, and checks the limits that apply to
+// every policy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,174 +34,178 @@
 
 } // namespace
 
-TEST_GROUP(RoleSwing){};
+TEST_GROUP(RoleChanges){};
 
-TEST(RoleSwing, FollowsALongSwingThatAStaticSplitLoses) {
+TEST(RoleChanges, FollowsLongPhasesBetterThanStaticRoles) {
   const auto Static = runTrial(StaticPlan{}, seconds(150), 1.2, 1, {4, 4, 0});
-  const auto Planned = runTrial(FigliftPlan{}, seconds(150), 1.2);
+  const auto Figlift = runTrial(FigliftPlan{}, seconds(150), 1.2);
   LONGS_EQUAL(0, Static.Changes);
   CHECK(Static.Answered < 0.95);
-  CHECK(Planned.Answered > 0.99);
+  CHECK(Figlift.Answered > 0.99);
 }
 
-// Symptom: engines change to and fro, and each is away for seconds every time.
-// Sequence: the mix swings every 20 s; the plan follows each swing when it is
-// half over.
-// Cause: a mix taken for permanent, or a threshold without hysteresis.
-TEST(RoleSwing, ShortSwingsCauseFewChangesAndLoseNothing) {
-  const auto Planned = runTrial(FigliftPlan{}, seconds(20), 1.2);
+// Guards against role changes back and forth, each of which takes an engine out
+// of service for seconds: the mix changes every 20 s, and a planner that treats
+// each mix as permanent, or uses a threshold without hysteresis, follows each
+// change when half of the phase is over.
+TEST(RoleChanges, ShortPhasesCauseFewChanges) {
+  const auto Figlift = runTrial(FigliftPlan{}, seconds(20), 1.2);
   const auto Threshold = runTrial(ThresholdPlan{}, seconds(20), 1.2);
-  const auto Chasing = runTrial(withoutPersistence(), seconds(20), 1.2);
-  CHECK(Planned.Changes * 3 < Threshold.Changes);
-  CHECK(Planned.Changes * 3 < Chasing.Changes);
-  CHECK(Planned.Answered >= Threshold.Answered);
-  CHECK(Planned.Answered >= Chasing.Answered);
+  const auto WithoutPersistence =
+      runTrial(withoutPersistence(), seconds(20), 1.2);
+  CHECK(Figlift.Changes * 3 < Threshold.Changes);
+  CHECK(Figlift.Changes * 3 < WithoutPersistence.Changes);
+  CHECK(Figlift.Answered >= Threshold.Answered);
+  CHECK(Figlift.Answered >= WithoutPersistence.Answered);
 }
 
-TEST(RoleSwing, NoChangeWithoutAGain) {
+TEST(RoleChanges, NoChangeWithoutGain) {
   CHECK(runTrial(ThresholdPlan{}, seconds(60), 0.8).Changes > 0);
   LONGS_EQUAL(0, runTrial(FigliftPlan{}, seconds(60), 0.8).Changes);
 }
 
-TEST(RoleSwing, PriceOfAChangeReducesChanges) {
+TEST(RoleChanges, CostOfAChangeReducesChanges) {
   const auto Cheap = runTrial(FigliftPlan{}, seconds(60), 1.2, 1);
-  const auto Dear = runTrial(FigliftPlan{}, seconds(60), 1.2, 100);
-  CHECK(Dear.Changes < Cheap.Changes);
+  const auto Expensive = runTrial(FigliftPlan{}, seconds(60), 1.2, 100);
+  CHECK(Expensive.Changes < Cheap.Changes);
   LONGS_EQUAL(0, runTrial(FigliftPlan{}, seconds(60), 1.2, 1e9).Changes);
 }
 
-TEST_GROUP(RoleBounds) {
+TEST_GROUP(RoleLimits) {
   PlanFixture Shard;
-  /// All prefill: every arm wants more prefill engines.
-  void offerPrefillOnly() { Shard.Seen.Offered = {200000, 10}; }
-  static std::vector<PlanPolicy> followingArms() {
+  /// Demand for which every policy needs more prefill engines.
+  void offerPrefillOnly() { Shard.View.Offered = {200000, 10}; }
+  static std::vector<PlanPolicy> dynamicPolicies() {
     return {ThresholdPlan{}, FigliftPlan{}};
   }
 };
 
-// Symptom: short questions find no engine that decodes.
-// Sequence: long prompts flood in; every engine is moved to prefill.
-// Cause: a plan by averages knows no minimum.
-TEST(RoleBounds, LastEngineForAKindOfWorkStays) {
+// Guards against short requests that find no decode engine: during a burst of
+// long prompts, a planner without a minimum changes every engine to prefill.
+TEST(RoleLimits, KeepsLastEngineForAKindOfWork) {
   offerPrefillOnly();
   Shard.add("p", Role::Prefill);
   Shard.add("d1", Role::Decode);
   Shard.add("d2", Role::Decode);
-  for (const PlanPolicy &Arm : followingArms()) {
-    Planner Under({Arm, {}, {}});
-    PlanFixture Copy = Shard;
+  for (const PlanPolicy &TestedPolicy : dynamicPolicies()) {
+    Planner PlannerUnderTest({TestedPolicy, {}, {}});
+    PlanFixture ShardCopy = Shard;
     unsigned Changes = 0;
     for (int I = 0; I < 30; ++I)
-      for (const GiveOrder &Order : Copy.tick(Under)) {
+      for (const TargetOrder &Order : ShardCopy.tick(PlannerUnderTest)) {
         ++Changes;
-        Copy.carryOut(Under, Order);
-        CHECK(std::ranges::any_of(Copy.Seen.Targets, [](const auto &One) {
-          return One.CurrentRole != Role::Prefill;
-        }));
+        ShardCopy.carryOut(PlannerUnderTest, Order);
+        CHECK(
+            std::ranges::any_of(ShardCopy.View.Targets, [](const auto &State) {
+              return State.CurrentRole != Role::Prefill;
+            }));
       }
     LONGS_EQUAL(1, Changes);
   }
 }
 
-TEST(RoleBounds, RecordsMinimumsHoldDuringAChangeToo) {
+TEST(RoleLimits, MeetsMinimumsDuringAChange) {
   offerPrefillOnly();
-  Shard.Seen.Spec.Roles.Decode = 2;
+  Shard.View.Spec.Roles.Decode = 2;
   Shard.add("p", Role::Prefill);
   Shard.add("d1", Role::Decode);
   Shard.add("d2", Role::Decode);
-  for (const PlanPolicy &Arm : followingArms()) {
-    Planner Under({Arm, {}, {}});
-    LONGS_EQUAL(0, Shard.tick(Under).size());
+  for (const PlanPolicy &TestedPolicy : dynamicPolicies()) {
+    Planner PlannerUnderTest({TestedPolicy, {}, {}});
+    LONGS_EQUAL(0, Shard.tick(PlannerUnderTest).size());
   }
 }
 
-TEST(RoleBounds, ChangesAtOnceAreBoundedAcrossTakeovers) {
+TEST(RoleLimits, LimitsConcurrentChangesAcrossTakeovers) {
   offerPrefillOnly();
   Shard.add("p", Role::Prefill);
   for (int I = 0; I < 6; ++I)
     Shard.add("d" + std::to_string(I), Role::Decode);
   for (const unsigned Bound : {1u, 2u}) {
-    Shard.Seen.Spec.Weights.MaximumConcurrentChanges = Bound;
+    Shard.View.Spec.Weights.MaximumConcurrentChanges = Bound;
     Planner First;
     const auto Orders = Shard.tick(First);
     LONGS_EQUAL(Bound, Orders.size());
     LONGS_EQUAL(0, Shard.tick(First).size());
-    // The lease moves: the successor knows of the orders from reports alone.
-    PlanFixture Copy = Shard;
-    for (const GiveOrder &Order : Orders)
-      Copy.target(Order.Target).OrderInProgress = true;
+    // The lease moves: the successor learns of the orders only from reports.
+    PlanFixture ShardCopy = Shard;
+    for (const TargetOrder &Order : Orders)
+      ShardCopy.target(Order.Target).OrderInProgress = true;
     Planner Second;
-    LONGS_EQUAL(0, Copy.tick(Second).size());
+    LONGS_EQUAL(0, ShardCopy.tick(Second).size());
   }
 }
 
-// Symptom: no engine is left for decoding although the plan kept one.
-// Sequence: one of the two decode engines changes; the other dies meanwhile.
-// Cause: a plan that is not made anew while a change runs.
-TEST(RoleBounds, LossDuringAChangeIsPlannedAround) {
+// Guards against losing the last decode engine: one of the two decode engines
+// changes its role and the other one fails during the change, so the plan must
+// be updated while the change is in progress.
+TEST(RoleLimits, RepairsLossOfAnEngineDuringAChange) {
   offerPrefillOnly();
   Shard.add("p1", Role::Prefill);
   Shard.add("p2", Role::Prefill);
   Shard.add("d1", Role::Decode);
   Shard.add("d2", Role::Decode);
-  Planner Under;
-  const auto Orders = Shard.tick(Under);
+  Planner PlannerUnderTest;
+  const auto Orders = Shard.tick(PlannerUnderTest);
   LONGS_EQUAL(1, Orders.size());
-  const std::string Other = Orders.front().Target == "d1" ? "d2" : "d1";
-  Shard.target(Other).Live = false;
-  LONGS_EQUAL(0, Shard.tick(Under).size());
-  Shard.carryOut(Under, Orders.front());
-  // Nobody decodes now: some prefill engine must, though prefill is short.
-  const auto Repair = Shard.tick(Under);
-  LONGS_EQUAL(1, Repair.size());
-  CHECK(std::get<SetRole>(Repair.front().What).NewRole != Role::Prefill);
+  const std::string OtherTarget = Orders.front().Target == "d1" ? "d2" : "d1";
+  Shard.target(OtherTarget).Live = false;
+  LONGS_EQUAL(0, Shard.tick(PlannerUnderTest).size());
+  Shard.carryOut(PlannerUnderTest, Orders.front());
+  // No engine is left for decode: a prefill engine must change, although there
+  // are too few prefill engines.
+  const auto RepairOrders = Shard.tick(PlannerUnderTest);
+  LONGS_EQUAL(1, RepairOrders.size());
+  CHECK(std::get<SetRole>(RepairOrders.front().RequestedChange).NewRole !=
+        Role::Prefill);
 }
 
-// Symptom: the plan waits for ever for an engine that will not come back.
-// Sequence: an engine dies in the middle of its change; no end is reported.
-// Cause: the place of a change under way was never given back.
-TEST(RoleBounds, EngineLostInMidChangeFreesItsPlace) {
+// Guards against a planner that is blocked permanently: an engine fails during
+// its change, so no end is reported, and its change must not count towards the
+// limit on concurrent changes any longer.
+TEST(RoleLimits, LostEngineDoesNotCountAsChanging) {
   offerPrefillOnly();
   Shard.add("p", Role::Prefill);
   for (int I = 0; I < 4; ++I)
     Shard.add("d" + std::to_string(I), Role::Decode);
-  Planner Under;
-  const auto Orders = Shard.tick(Under);
+  Planner PlannerUnderTest;
+  const auto Orders = Shard.tick(PlannerUnderTest);
   LONGS_EQUAL(1, Orders.size());
   Shard.target(Orders.front().Target).Live = false;
-  const auto Next = Shard.tick(Under);
+  const auto Next = Shard.tick(PlannerUnderTest);
   LONGS_EQUAL(1, Next.size());
   CHECK(Next.front().Target != Orders.front().Target);
 }
 
-TEST(RoleBounds, OldReportsAreNotTrusted) {
+TEST(RoleLimits, OutdatedReportsAreIgnored) {
   offerPrefillOnly();
   Shard.add("p", Role::Prefill);
   Shard.add("d1", Role::Decode);
   Shard.add("d2", Role::Decode);
-  Planner Under;
+  Planner PlannerUnderTest;
   Shard.Now += seconds(30);
-  LONGS_EQUAL(0, Under.step(Tick{Shard.Seen}, Shard.Now).size());
-  // Only d1 is heard of: it may be the last that decodes.
+  LONGS_EQUAL(0, PlannerUnderTest.step(Tick{Shard.View}, Shard.Now).size());
+  // Only p and d1 have recent reports, so d1 may be the last decode engine.
   Shard.target("p").ReportedAt = Shard.Now;
   Shard.target("d1").ReportedAt = Shard.Now;
-  LONGS_EQUAL(0, Under.step(Tick{Shard.Seen}, Shard.Now).size());
+  LONGS_EQUAL(0, PlannerUnderTest.step(Tick{Shard.View}, Shard.Now).size());
 }
 
-// Symptom: an engine is ordered to change twice in a row.
-// Sequence: its order ends; the next plan is made before its next report,
-// which still shows the old role.
-// Cause: a report from before the end of the order taken for the present.
-TEST(RoleBounds, ReportFromBeforeTheOrdersEndIsNotTrusted) {
+// Guards against ordering the same change twice: an order ends, and the next
+// plan is made before the next report of the engine, so the last report still
+// shows the old role.
+TEST(RoleLimits, ReportFromBeforeTheOrderEndedIsIgnored) {
   offerPrefillOnly();
   Shard.add("p", Role::Prefill);
   Shard.add("d1", Role::Decode);
   Shard.add("d2", Role::Decode);
-  Planner Under;
-  const auto Orders = Shard.tick(Under);
+  Planner PlannerUnderTest;
+  const auto Orders = Shard.tick(PlannerUnderTest);
   LONGS_EQUAL(1, Orders.size());
   Shard.Now += seconds(1);
-  Under.step(OrderEnded{Orders.front().Target, ResultCode::Success, {}},
-             Shard.Now);
-  LONGS_EQUAL(0, Under.step(Tick{Shard.Seen}, Shard.Now + seconds(1)).size());
+  PlannerUnderTest.step(
+      OrderEnded{Orders.front().Target, ResultCode::Success, {}}, Shard.Now);
+  LONGS_EQUAL(
+      0,
+      PlannerUnderTest.step(Tick{Shard.View}, Shard.Now + seconds(1)).size());
 }
