--- a/Tests/LibAdmission/EngineTrial.h
+++ b/Tests/LibAdmission/EngineSimulation.h
@@ -1,4 +1,4 @@
-//===- EngineTrial.h - Small deterministic engine ---------------*- C++ -*-===//
+//===- EngineSimulation.h - Small deterministic engine ----------*- C++ -*-===//
 //
 // Simulates the steps of one batch: a chunk of prefill, then one token of each
 // decoding sequence. Drives an Admission and carries out its decisions.
@@ -20,13 +20,14 @@
 using std::chrono::milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-class EngineTrial {
+class EngineSimulation {
 public:
   static constexpr double PrefillRate = 20000;
   static constexpr Seconds DecodeStep{0.02};
   static constexpr uint32_t Chunk = 2048;
 
-  explicit EngineTrial(AdmissionSettings Settings) : Controller(Settings) {}
+  explicit EngineSimulation(AdmissionSettings Settings)
+      : Controller(Settings) {}
 
   void arrive(Work Request, milliseconds TimeLimit) {
     Request.Id = std::to_string(m_Next++);
--- a/Tests/LibAdmission/TestEngineTrial.cpp
+++ b/Tests/LibAdmission/TestEngineSimulation.cpp
@@ -1,10 +1,10 @@
-//===- TestEngineTrial.cpp - Admission with a small engine ------*- C++ -*-===//
+//===- TestEngineSimulation.cpp - Admission with a small engine -*- C++ -*-===//
 //
 // Measured speeds under mixed work, and goodput under overload.
 //
 //===----------------------------------------------------------------------===//
 
-#include "EngineTrial.h"
+#include "EngineSimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -28,9 +28,9 @@
 double goodput(bool Deadlines) {
   AdmissionSettings Settings;
   Settings.Classes[1].MaximumQueuedTokens = 400000;
-  EngineTrial Engine(Settings);
+  EngineSimulation Engine(Settings);
   constexpr milliseconds TimeLimit{3000};
-  constexpr double Capacity = EngineTrial::PrefillRate / 4000;
+  constexpr double Capacity = EngineSimulation::PrefillRate / 4000;
   constexpr int Requests = 300;
   for (int I = 0; I < Requests; ++I) {
     Engine.runUntil(Seconds(I / (1.5 * Capacity)));
@@ -46,14 +46,14 @@
 
 } // namespace
 
-TEST_GROUP(EngineTrial){};
+TEST_GROUP(EngineSimulation){};
 
 // Guards against speeds that are too low: prefill and decode share the engine,
 // and if each is timed independently, busy time is counted twice, and the
 // planner considers a half utilized engine overloaded.
-TEST(EngineTrial, MeasuresBothSpeedsUnderMixedWork) {
+TEST(EngineSimulation, MeasuresBothSpeedsUnderMixedWork) {
   for (const uint32_t Prompt : {500u, 1500u, 3000u}) {
-    EngineTrial Engine{AdmissionSettings{}};
+    EngineSimulation Engine{AdmissionSettings{}};
     for (int I = 0; I < 400; ++I) {
       Engine.runUntil(Seconds(I * 0.25));
       // Send bursts, so that the mix of work varies between windows.
@@ -70,8 +70,8 @@
 // send more work than the engine can do in time: if prompts are always at the
 // engine, every measured decode step includes prefill, and must not be
 // subtracted from the prefill time.
-TEST(EngineTrial, PrefillSpeedIsUsableWithoutPureDecodeSteps) {
-  EngineTrial Engine{AdmissionSettings{}};
+TEST(EngineSimulation, PrefillSpeedIsUsableWithoutPureDecodeSteps) {
+  EngineSimulation Engine{AdmissionSettings{}};
   for (int I = 0; I < 100; ++I) {
     Engine.runUntil(Seconds(I * 0.25));
     Engine.arrive(work(6000, 30), milliseconds(60000));
@@ -84,7 +84,7 @@
 // Guards against an engine that is fully utilized while nearly every answer
 // misses its deadline: at 150 % of its capacity, first come first served, every
 // request waits too long unless work that cannot meet its deadline is refused.
-TEST(EngineTrial, DeadlinesPreserveGoodputUnderOverload) {
+TEST(EngineSimulation, DeadlinesPreserveGoodputUnderOverload) {
   CHECK(goodput(true) > 0.9);
   CHECK(goodput(false) < 0.5);
 }
--- a/Tests/LibPlan/PlanTrial.h
+++ b/Tests/LibPlan/PlanSimulation.h
@@ -1,4 +1,4 @@
-//===- PlanTrial.h - Small simulation of a shard ----------------*- C++ -*-===//
+//===- PlanSimulation.h - Small simulation of a shard -----------*- C++ -*-===//
 //
 // Models engines that run prefill and decode according to their roles, one
 // queue for each phase, role changes during which an engine does not serve for
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct PlanTrialSettings {
+struct PlanSimulationSettings {
   unsigned Engines = 8;
   milliseconds ChangeDuration{5000};
   milliseconds Length{600000};
@@ -31,15 +31,15 @@
   record::BackEnd Spec;
 };
 
-struct PlanTrialResult {
+struct PlanSimulationResult {
   unsigned Changes = 0;
   /// Fraction of the offered work that was answered within 10 s.
   double Answered = 0;
 };
 
-class PlanTrial {
+class PlanSimulation {
 public:
-  PlanTrial(PlanPolicy Policy, PlanTrialSettings Settings)
+  PlanSimulation(PlanPolicy Policy, PlanSimulationSettings Settings)
       : m_Settings(std::move(Settings)),
         m_Planner({std::move(Policy), {}, {}}) {
     for (unsigned I = 0; I < m_Settings.Engines; ++I)
@@ -49,7 +49,7 @@
                            {}});
   }
 
-  PlanTrialResult run() {
+  PlanSimulationResult run() {
     constexpr milliseconds Step{100};
     for (milliseconds Now{0}; Now < m_Settings.Length; Now += Step) {
       advance(Now, Step);
@@ -195,7 +195,7 @@
   static constexpr double PrefillRate = 8000;
   static constexpr double DecodeRate = 1000;
 
-  PlanTrialSettings m_Settings;
+  PlanSimulationSettings m_Settings;
   Planner m_Planner;
   DemandEstimator m_Estimator;
   std::vector<Engine> m_Engines;
@@ -205,7 +205,7 @@
   double m_DecodeAfterPrefill = 0, m_PromptsInDecode = 0;
   double m_OfferedPrefill = 0, m_OfferedDecode = 0;
   double m_Answered = 0, m_Offered = 0;
-  PlanTrialResult m_Result;
+  PlanSimulationResult m_Result;
 };
 
 /// Returns the demand that uses the fraction \p Load of the time of \p Engines,
--- a/Tests/LibPlan/TestRoles.cpp
+++ b/Tests/LibPlan/TestRoles.cpp
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "PlanFixture.h"
-#include "PlanTrial.h"
+#include "PlanSimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -16,14 +16,14 @@
 
 namespace {
 
-PlanTrialResult runTrial(PlanPolicy Policy, milliseconds HalfPeriod,
-                         double Load, double ChangeCost = 1,
-                         record::RoleSplit Roles = {}) {
-  PlanTrialSettings Settings;
+PlanSimulationResult runSimulation(PlanPolicy Policy, milliseconds HalfPeriod,
+                                   double Load, double ChangeCost = 1,
+                                   record::RoleSplit Roles = {}) {
+  PlanSimulationSettings Settings;
   Settings.Offered = swing(8, Load, 0.1, 0.9, HalfPeriod);
   Settings.Spec.Weights.RoleChangeCost = ChangeCost;
   Settings.Spec.Roles = Roles;
-  return PlanTrial(std::move(Policy), Settings).run();
+  return PlanSimulation(std::move(Policy), Settings).run();
 }
 
 FigliftPlan withoutPersistence() {
@@ -37,8 +37,9 @@
 TEST_GROUP(RoleChanges){};
 
 TEST(RoleChanges, FollowsLongPhasesBetterThanStaticRoles) {
-  const auto Static = runTrial(StaticPlan{}, seconds(150), 1.2, 1, {4, 4, 0});
-  const auto Figlift = runTrial(FigliftPlan{}, seconds(150), 1.2);
+  const auto Static =
+      runSimulation(StaticPlan{}, seconds(150), 1.2, 1, {4, 4, 0});
+  const auto Figlift = runSimulation(FigliftPlan{}, seconds(150), 1.2);
   LONGS_EQUAL(0, Static.Changes);
   CHECK(Static.Answered < 0.95);
   CHECK(Figlift.Answered > 0.99);
@@ -49,10 +50,10 @@
 // each mix as permanent, or uses a threshold without hysteresis, follows each
 // change when half of the phase is over.
 TEST(RoleChanges, ShortPhasesCauseFewChanges) {
-  const auto Figlift = runTrial(FigliftPlan{}, seconds(20), 1.2);
-  const auto Threshold = runTrial(ThresholdPlan{}, seconds(20), 1.2);
+  const auto Figlift = runSimulation(FigliftPlan{}, seconds(20), 1.2);
+  const auto Threshold = runSimulation(ThresholdPlan{}, seconds(20), 1.2);
   const auto WithoutPersistence =
-      runTrial(withoutPersistence(), seconds(20), 1.2);
+      runSimulation(withoutPersistence(), seconds(20), 1.2);
   CHECK(Figlift.Changes * 3 < Threshold.Changes);
   CHECK(Figlift.Changes * 3 < WithoutPersistence.Changes);
   CHECK(Figlift.Answered >= Threshold.Answered);
@@ -60,15 +61,15 @@
 }
 
 TEST(RoleChanges, NoChangeWithoutGain) {
-  CHECK(runTrial(ThresholdPlan{}, seconds(60), 0.8).Changes > 0);
-  LONGS_EQUAL(0, runTrial(FigliftPlan{}, seconds(60), 0.8).Changes);
+  CHECK(runSimulation(ThresholdPlan{}, seconds(60), 0.8).Changes > 0);
+  LONGS_EQUAL(0, runSimulation(FigliftPlan{}, seconds(60), 0.8).Changes);
 }
 
 TEST(RoleChanges, CostOfAChangeReducesChanges) {
-  const auto Cheap = runTrial(FigliftPlan{}, seconds(60), 1.2, 1);
-  const auto Expensive = runTrial(FigliftPlan{}, seconds(60), 1.2, 100);
+  const auto Cheap = runSimulation(FigliftPlan{}, seconds(60), 1.2, 1);
+  const auto Expensive = runSimulation(FigliftPlan{}, seconds(60), 1.2, 100);
   CHECK(Expensive.Changes < Cheap.Changes);
-  LONGS_EQUAL(0, runTrial(FigliftPlan{}, seconds(60), 1.2, 1e9).Changes);
+  LONGS_EQUAL(0, runSimulation(FigliftPlan{}, seconds(60), 1.2, 1e9).Changes);
 }
 
 TEST_GROUP(RoleLimits) {
--- a/Tests/LibRoute/RoutingTrial.h
+++ b/Tests/LibRoute/RoutingSimulation.h
@@ -1,4 +1,4 @@
-//===- RoutingTrial.h - Small deterministic queue model ---------*- C++ -*-===//
+//===- RoutingSimulation.h - Small deterministic queue model ----*- C++ -*-===//
 //
 // Models engines as single prefill queues with a prefix cache of a few blocks,
 // one entry, and reports that arrive with a delay. This is enough to show
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-struct TrialSettings {
+struct SimulationSettings {
   unsigned Targets = 8;
   double PrefillRate = 8000;
   milliseconds ReportLag{200};
@@ -34,20 +34,20 @@
   size_t CachedPrefixesPerTarget = 4;
 };
 
-struct TrialResult {
+struct SimulationResult {
   Seconds MeanWait{0};
   Seconds WorstWait{0};
   double CachedFraction = 0;
 };
 
-class RoutingTrial {
+class RoutingSimulation {
 public:
-  RoutingTrial(Policy Routing, TrialSettings Settings)
+  RoutingSimulation(Policy Routing, SimulationSettings Settings)
       : m_Policy(std::move(Routing)), m_Settings(Settings),
         m_Engines(Settings.Targets) {}
 
-  TrialResult run() {
-    TrialResult Result;
+  SimulationResult run() {
+    SimulationResult Result;
     rebuild();
     Seconds Now{0}, NextReport = m_Settings.ReportLag;
     for (unsigned I = 0; I < m_Settings.Requests; ++I) {
@@ -102,7 +102,7 @@
     m_Table = RoutingTable(std::move(Views), m_Tracker);
   }
 
-  void serve(unsigned Number, TrialResult &Result) {
+  void serve(unsigned Number, SimulationResult &Result) {
     RequestShape Request;
     Request.BackEnd = "lm-desk";
     Request.PromptTokens = m_Settings.PromptTokens;
@@ -143,7 +143,7 @@
   }
 
   Policy m_Policy;
-  TrialSettings m_Settings;
+  SimulationSettings m_Settings;
   std::vector<Engine> m_Engines;
   InFlightTracker m_Tracker;
   RoutingTable m_Table;
