--- a/Libraries/LibRetry/TargetHealth.cpp
+++ b/Libraries/LibRetry/TargetHealth.cpp
@@ -81,11 +81,11 @@
 }
 
 template <typename Predicate>
-std::vector<std::string> HealthTracker::targets(Predicate IsWanted) const {
+std::vector<std::string> HealthTracker::targets(Predicate Matches) const {
   std::lock_guard Lock(m_Mutex);
   std::vector<std::string> Targets;
   for (const auto &[Target, Health] : m_Health)
-    if (IsWanted(*Health))
+    if (Matches(*Health))
       Targets.push_back(Target);
   return Targets;
 }
--- a/Libraries/LibRetry/TargetHealth.h
+++ b/Libraries/LibRetry/TargetHealth.h
@@ -76,8 +76,8 @@
 public:
   explicit HealthTracker(HealthSettings Settings = {}) : m_Settings(Settings) {}
 
-  /// Returns the health of \p Target, created on first use. Attempts keep the
-  /// pointer, so that they need no further look-up.
+  /// Returns the health of \p Target, created on first use. Callers keep the
+  /// pointer with the attempt.
   std::shared_ptr<TargetHealth> health(const std::string &Target);
   /// Ejected targets, which get no attempts except probes; to be passed to
   /// route::chooseTarget() as exclusions.
@@ -90,7 +90,7 @@
 private:
   HealthSettings m_Settings;
   template <typename Predicate>
-  std::vector<std::string> targets(Predicate IsWanted) const;
+  std::vector<std::string> targets(Predicate Matches) const;
 
   mutable std::mutex m_Mutex;
   std::map<std::string, std::shared_ptr<TargetHealth>> m_Health;
