--- a/Services/figlift-entry/Attempt.cpp
+++ b/Services/figlift-entry/Attempt.cpp
@@ -73,7 +73,7 @@
 
 void Attempt::recordPrefixHit(uint32_t CachedPromptTokens) {
   if (m_ExpectedPrefixTokens > 0)
-    m_Link->gauge().learnHit(m_ExpectedPrefixTokens, CachedPromptTokens);
+    m_Link->gauge().recordCacheHits(m_ExpectedPrefixTokens, CachedPromptTokens);
 }
 
 void Attempt::dispatch(const wire::RunFrame &Frame) {
--- a/Services/figlift-entry/Call.cpp
+++ b/Services/figlift-entry/Call.cpp
@@ -142,14 +142,14 @@
 
 void Call::onAccepted() {
   m_History.AcceptedSeen = true;
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_Accepted.store(true);
 }
 
 bool Call::onTokens(Attempt &Source, const wire::Tokens &Frame) {
   takeOver(Source);
   m_History.AcceptedSeen = true;
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_Accepted.store(true);
   const uint32_t Expected = m_History.TokensDelivered;
   if (Frame.first_index() + Frame.count() <= Expected) {
@@ -186,7 +186,7 @@
                   {{"expected", m_History.TokensDelivered}});
   Source.cancel();
   onAttemptEnd(Source.link(),
-               retry::StreamBroke{wire::StreamEnd::ConnectionLost});
+               retry::StreamInterrupted{wire::StreamEnd::ConnectionLost});
   return false;
 }
 
@@ -197,7 +197,7 @@
     return;
   }
   takeOver(Source);
-  Source.link()->health().succeeded();
+  Source.link()->health().recordSuccess();
   const CompletionEnd End{.FinishReason = Frame.finish_reason(),
                           .PromptTokens = shape().PromptTokens,
                           .TotalTokens = Frame.total_tokens(),
@@ -214,13 +214,13 @@
   auto *Writer = std::get_if<std::unique_ptr<ServiceResponse>>(&*m_Writer);
   if (!Writer)
     return onAttemptEnd(Source.link(), retry::TargetFailed{});
-  Source.link()->health().succeeded();
+  Source.link()->health().recordSuccess();
   (*Writer)->answer(Frame);
   finish(ResultCode::Success);
 }
 
 void Call::onRefusal(Attempt &Source, const wire::Refusal &Frame) {
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_LastMessage = Frame.message();
   retry::AgentRefused End;
   End.Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
@@ -233,7 +233,7 @@
 }
 
 void Call::onFailure(Attempt &Source, const wire::Failure &Frame) {
-  m_History.LinksLost.reset();
+  m_History.LinksLostSince.reset();
   m_LastMessage = Frame.message();
   ResultCode Code = resultCodeFromNumber(static_cast<int>(Frame.code()))
                         .value_or(ResultCode::TargetFailed);
@@ -243,7 +243,7 @@
       timeLeft().count() > 0)
     Code = ResultCode::TargetFailed;
   if (Code == ResultCode::TargetFailed)
-    Source.link()->health().failed(BootClock::now());
+    Source.link()->health().recordFailure(BootClock::now());
   onAttemptEnd(Source.link(), retry::TargetFailed{Code});
 }
 
@@ -251,15 +251,15 @@
   if (End == wire::StreamEnd::ConnectionLost ||
       End == wire::StreamEnd::NeverSent) {
     const BootTime Now = BootClock::now();
-    Source.link()->health().failed(Now);
-    if (!m_History.LinksLost)
-      m_History.LinksLost = Now;
+    Source.link()->health().recordFailure(Now);
+    if (!m_History.LinksLostSince)
+      m_History.LinksLostSince = Now;
   }
   // A stream that finishes without a final frame leaves the outcome as unknown
   // as a reset.
   if (End == wire::StreamEnd::Finished)
     End = wire::StreamEnd::ResetByPeer;
-  onAttemptEnd(Source.link(), retry::StreamBroke{End});
+  onAttemptEnd(Source.link(), retry::StreamInterrupted{End});
 }
 
 void Call::fail(Error Failure) {
--- a/Services/figlift-entry/Call.h
+++ b/Services/figlift-entry/Call.h
@@ -78,7 +78,7 @@
   std::vector<std::string> excludedTargets();
   uint64_t routingSeed() const;
   void logChosenTarget(const route::TargetView &Target,
-                       const std::vector<route::Considered> &Candidates,
+                       const std::vector<route::CandidateScore> &Candidates,
                        const std::vector<std::string> &Excluded) const;
   Result<Destination> chooseHome(const ServingState &Now);
   Result<Destination> makeDestination(const ServingState &Now,
@@ -111,9 +111,9 @@
   void onAttemptEnd(const std::shared_ptr<TargetLink> &Link,
                     const retry::AttemptEnd &End);
   void perform(const retry::RetryElsewhere &Next);
-  void perform(const retry::ResumeSame &Next);
+  void perform(const retry::ResumeAttempt &Next);
   void perform(const retry::ContinueElsewhere &Next);
-  void perform(const retry::AskHomeAgain &Next);
+  void perform(const retry::RetryAtHome &Next);
   void perform(const retry::WaitForBudget &Next);
   void perform(const retry::GiveUp &Next);
   void scheduleNewAttempt(std::chrono::milliseconds Delay);
--- a/Services/figlift-entry/CallAttempts.cpp
+++ b/Services/figlift-entry/CallAttempts.cpp
@@ -150,7 +150,7 @@
                     BootClock::now());
   const bool MayHaveRun = retry::mayHaveRun(m_History, End);
   m_History.EarlierMayHaveRun |= MayHaveRun;
-  const bool IsFinal = !std::holds_alternative<retry::ResumeSame>(Next);
+  const bool IsFinal = !std::holds_alternative<retry::ResumeAttempt>(Next);
   if (IsFinal && MayHaveRun)
     ++m_History.Runs;
   if (Link && IsFinal)
@@ -199,11 +199,11 @@
   scheduleNewAttempt(Next.Delay);
 }
 
-void Call::perform(const retry::AskHomeAgain &Next) {
+void Call::perform(const retry::RetryAtHome &Next) {
   scheduleNewAttempt(Next.Delay);
 }
 
-void Call::perform(const retry::ResumeSame &Next) {
+void Call::perform(const retry::ResumeAttempt &Next) {
   ++m_History.Resumes;
   runAfter(Next.Delay,
            [Self = shared_from_this()] { Self->resume(Self->m_LastLink); });
--- a/Services/figlift-entry/CallRouting.cpp
+++ b/Services/figlift-entry/CallRouting.cpp
@@ -79,7 +79,7 @@
     return makeDestination(Now, *Probe);
   const std::vector<std::string> Excluded = excludedTargets();
   const uint64_t Seed = routingSeed();
-  std::vector<route::Considered> Candidates;
+  std::vector<route::CandidateScore> Candidates;
   auto Choose = [&](std::span<const std::string> ExcludedIds) {
     return route::chooseTarget(
         m_Context.Routing, Now.Table, Shape, ExcludedIds, Seed,
@@ -105,12 +105,12 @@
 }
 
 std::vector<std::string> Call::excludedTargets() {
-  std::vector<std::string> Excluded = m_Context.Health.excluded();
+  std::vector<std::string> Excluded = m_Context.Health.ejectedTargets();
   const BootTime Now = BootClock::now();
   if (!m_Request.Repeatable)
     std::erase_if(Excluded, [&](const std::string &Target) {
       const auto Health = m_Context.Health.health(Target);
-      return Health->probeIsOverdue(Now) && Health->allows(Now);
+      return Health->isProbeOverdue(Now) && Health->allows(Now);
     });
   Excluded.insert(Excluded.end(), m_FailedTargets.begin(),
                   m_FailedTargets.end());
@@ -132,7 +132,7 @@
   if (!m_Request.Repeatable || m_History.Attempts > 1)
     return std::nullopt;
   for (const std::string &Target :
-       m_Context.Health.wantingProbes(BootClock::now())) {
+       m_Context.Health.targetsDueForProbe(BootClock::now())) {
     if (std::ranges::find(NonPreferred, Target) != NonPreferred.end())
       continue;
     route::RequestShape Shape = shape();
@@ -148,12 +148,12 @@
 
 /// Logs the cost of every candidate and the excluded targets at debug level.
 void Call::logChosenTarget(const route::TargetView &Target,
-                           const std::vector<route::Considered> &Candidates,
+                           const std::vector<route::CandidateScore> &Candidates,
                            const std::vector<std::string> &Excluded) const {
   if (!log::isOn(log::Level::Debug))
     return;
   std::string Costs;
-  for (const route::Considered &Candidate : Candidates)
+  for (const route::CandidateScore &Candidate : Candidates)
     Costs += fmt::format(
         "{}{}: cost {} us (wait {}, total {}), {} sequences, {:.0f} prompt and "
         "{:.0f} decode tokens/s{}",
@@ -176,8 +176,8 @@
                    "the chosen target was disconnected");
   const route::RequestShape Shape = shape();
   pinModel(*Chosen.Target);
-  return Destination{Link->second, Chosen.enter(Shape),
-                     Chosen.PrefixTokensBelieved, 0};
+  return Destination{Link->second, Chosen.startTracking(Shape),
+                     Chosen.ExpectedCachedTokens, 0};
 }
 
 Result<Call::Destination> Call::chooseHome(const ServingState &Now) {
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -134,7 +134,7 @@
 void Fleet::perform(const membership::Disconnect &Action) {
   m_Links.erase(Action.Target);
   m_Reports.erase(Action.Target);
-  m_Health.forget(Action.Target);
+  m_Health.remove(Action.Target);
 }
 
 void Fleet::perform(const membership::TellLeaving &Action) {
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -89,7 +89,7 @@
 
   /// Thread-safe.
   std::shared_ptr<const FleetStatus> status() const { return m_Status.load(); }
-  retry::HealthBook &healthBook() { return m_Health; }
+  retry::HealthTracker &healthBook() { return m_Health; }
 
 private:
   void pollList();
@@ -124,8 +124,8 @@
 
   const Dependencies m_Dependencies;
   membership::Membership m_Membership;
-  route::InFlightBook m_InFlight;
-  retry::HealthBook m_Health;
+  route::InFlightTracker m_InFlight;
+  retry::HealthTracker m_Health;
   PeersObserver m_OnPeers;
   RevisionObserver m_OnRevision;
   std::map<std::string, LinkEntry> m_Links;
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -94,7 +94,7 @@
   Next->Homes = m_Homes;
   m_Status.store(std::move(Status));
   m_Dependencies.Published.publish(std::move(Next));
-  m_InFlight.forgetUnused();
+  m_InFlight.removeUnused();
 }
 
 } // namespace figlift::entry
--- a/Services/figlift-entry/PlannerHost.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -87,19 +87,19 @@
     log::logEvent(log::Level::Info, "lease-lost",
                   {{"shard", Shard.toString()}, {"epoch", Epoch}});
   };
-  Observer.OrderGiven = [this](const ShardId &, const plan::GiveOrder &Order,
+  Observer.OrderGiven = [this](const ShardId &, const plan::TargetOrder &Order,
                                const std::string &Id) {
-    if (std::holds_alternative<plan::SetRole>(Order.What))
+    if (std::holds_alternative<plan::SetRole>(Order.RequestedChange))
       m_RoleChanges.add();
     m_Dependencies.Events.record(kinds::OrderSent,
                                  {SubjectType::Target, Order.Target},
                                  {{"order", Id},
-                                  {"change", describe(Order.What)},
+                                  {"change", describe(Order.RequestedChange)},
                                   {"reason", Order.Reason}});
     log::logEvent(log::Level::Info, "order-given",
                   {{"target", Order.Target},
                    {"order", Id},
-                   {"change", describe(Order.What)},
+                   {"change", describe(Order.RequestedChange)},
                    {"reason", Order.Reason}});
   };
   Observer.OrderEnded = [](const ShardId &, const std::string &Target,
--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -75,7 +75,7 @@
   dispatch::TargetTable Targets;
   dispatch::LoadBook Loads;
   dispatch::ServerLimits Limits;
-  retry::FleetBudget Budget;
+  retry::FleetRetryBudget Budget;
   dispatch::PromptPlanner Prompts;
   dispatch::ServicePlanner Services;
   dispatch::RepeatOptions Retries;
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -262,7 +262,7 @@
   m_PreviousTick = std::exchange(m_LastTick, Now);
   m_Shared.ServersKnownAt = m_ServerJournal.knownAt();
   apply(m_Shared.Targets.tick(Now));
-  m_Shared.Budget.setProcesses(m_Peers.sharingGateways(Now), Now);
+  m_Shared.Budget.setProcessCount(m_Peers.sharingGateways(Now), Now);
   limitPools();
   m_Shared.OrderTurnDelay =
       OrderTurnTime * static_cast<int>(m_Peers.liveBefore(Now));
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -109,7 +109,7 @@
     Metrics.readGauge(
         "figlift_gateway_repeat_budget_left", "Repeats that may be sent now",
         [this, Name = Service.Name] {
-          return m_Shared.Budget.left(Name, BootClock::now());
+          return m_Shared.Budget.remaining(Name, BootClock::now());
         },
         Labels);
     if (!Service.Engine)
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -70,7 +70,7 @@
   m_TimeUntilStop = m_Shared.Stop.timeLeft(m_Started);
   if (!mayStart(Milliseconds(0), m_Started))
     return rejectStopping();
-  m_Shared.Budget.requestSent(m_Service, m_Started);
+  m_Shared.Budget.recordRequest(m_Service, m_Started);
   m_Traced = m_Shared.Log.allows(LineKind::Plain, m_Started);
   if (m_Traced)
     logAccepted();
@@ -291,7 +291,7 @@
   bool &Sent =
       Purpose == SendPurpose::Prefill ? m_PrefillArrived : m_ExecutionArrived;
   if (std::exchange(Sent, true))
-    m_Shared.Budget.charge(m_Service, Now);
+    m_Shared.Budget.recordRetry(m_Service, Now);
 }
 
 void RequestFlow::armSendTimeout(Milliseconds Expected) {
@@ -399,7 +399,7 @@
   }
   return Reuse.worthTrying(Now) &&
          timeLeft(Now) >= m_Shared.Retries.MinimumTimeLeft &&
-         m_Shared.Budget.left(m_Service, Now) >= 1;
+         m_Shared.Budget.remaining(m_Service, Now) >= 1;
 }
 
 /// Decodes at another engine from the existing KV cache, as the first
@@ -458,7 +458,7 @@
     const bool NothingArrived =
         std::holds_alternative<dispatch::NotSent>(End) && !m_PrefillArrived &&
         !m_ExecutionArrived;
-    return NothingArrived || m_Shared.Budget.left(m_Service, Now) >= 1;
+    return NothingArrived || m_Shared.Budget.remaining(m_Service, Now) >= 1;
   });
 }
 
--- a/Services/figlift-gateway/RequestLines.cpp
+++ b/Services/figlift-gateway/RequestLines.cpp
@@ -41,7 +41,7 @@
        {"sends", m_Sends},
        {"runs", m_Executions},
        {"eventsBefore", m_Relay.events()},
-       {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
+       {"budgetLeft", m_Shared.Budget.remaining(m_Service, Now)}});
 }
 
 void RequestFlow::logSendEnded(const ServerSend &Send,
@@ -60,7 +60,7 @@
        {"tookMs", Milliseconds(Now - Send.started())},
        {"sends", m_Sends},
        {"runs", m_Executions},
-       {"budgetLeft", m_Shared.Budget.left(m_Service, Now)}});
+       {"budgetLeft", m_Shared.Budget.remaining(m_Service, Now)}});
 }
 
 void RequestFlow::logEnded(std::string_view Outcome, unsigned Status,
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -116,7 +116,7 @@
   void report(const std::string &Id, const route::TargetLoad &Load) {
     m_InFlight.gauge(Id)->report(Load, BootClock::now());
   }
-  retry::HealthBook &health() { return m_Health; }
+  retry::HealthTracker &health() { return m_Health; }
   std::shared_ptr<FakeCaller> call(entry::CallerRequest Request);
 
   entry::CallerRequest completion(uint32_t MaximumTokens,
@@ -136,11 +136,11 @@
   timeline::Timeline m_Events{{}};
   UuidGenerator m_Ids;
   retry::RetryBudget m_Budget;
-  retry::HealthBook m_Health;
+  retry::HealthTracker m_Health;
   entry::WorkspaceTracker m_Workspaces;
   route::Policy m_Routing{route::FigliftPolicy{}};
   retry::RetrySettings m_RetryOptions;
-  route::InFlightBook m_InFlight;
+  route::InFlightTracker m_InFlight;
   entry::ServingStatePointer m_State;
   entry::EventLoop m_Timers;
   std::unique_ptr<wire::Client> m_Client;
--- a/Tests/FigliftEntry/TestCall.cpp
+++ b/Tests/FigliftEntry/TestCall.cpp
@@ -48,9 +48,9 @@
 
   /// Ejects the target by repeated failures that happened \p Ago.
   void ejectTarget(const std::string &Id, std::chrono::seconds Ago) {
-    for (unsigned Index = 0; Index < retry::HealthSettings().FailuresToExclude;
+    for (unsigned Index = 0; Index < retry::HealthSettings().FailuresToEject;
          ++Index)
-      Fixture.health().health(Id)->failed(BootClock::now() - Ago);
+      Fixture.health().health(Id)->recordFailure(BootClock::now() - Ago);
   }
   /// Sends one non-repeatable call while a target ejected \p Ago and a healthy
   /// target are available. Returns the number of calls at the ejected target.
