--- a/Libraries/LibDispatch/CrashSuspects.cpp
+++ b/Libraries/LibDispatch/CrashSuspects.cpp
@@ -1,6 +1,7 @@
-//===- CrashSuspects.cpp - Requests under which servers ended -------------===//
+//===- CrashSuspects.cpp - Requests suspected of crashing servers ---------===//
 //
-// A bounded table of sets of starts; merging two tables is a union.
+// A bounded table with the set of crashed server starts of each request.
+// Merging the tables of two gateways is a set union.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,8 @@
 
 namespace {
 
-/// Several servers ended under the request: what peers must not miss.
+/// Requests with at least this many crashes are retransmitted to peers
+/// regardless of their age.
 constexpr size_t ManyCrashes = 2;
 
 milliseconds rounded(BootClock::duration Time) {
@@ -28,282 +30,307 @@
 
 BootTime CrashSuspects::Entry::lastCrash() const {
   BootTime Last{};
-  for (const auto &[Server, Each] : Crashes)
-    Last = std::max(Last, Each.At);
+  for (const auto &[Server, Crash] : Crashes)
+    Last = std::max(Last, Crash.At);
   return Last;
 }
 
-unsigned CrashSuspects::Entry::rankKnown(BootTime At) const {
+unsigned CrashSuspects::Entry::rankKnownAt(BootTime Time) const {
   return static_cast<unsigned>(
-      std::count_if(RankKnown.begin(), RankKnown.end(),
-                    [&](BootTime Since) { return Since < At; }));
+      std::count_if(RankKnownSince.begin(), RankKnownSince.end(),
+                    [&](BootTime Since) { return Since < Time; }));
 }
 
 CrashSuspects::Entries::value_type &
-CrashSuspects::entry(const RequestFingerprint &What, BootTime Now) {
-  if (const auto Found = m_Entries.find(What); Found != m_Entries.end())
-    return *Found;
+CrashSuspects::findOrCreate(const RequestFingerprint &Request, BootTime Now) {
+  if (const auto Position = m_Entries.find(Request);
+      Position != m_Entries.end())
+    return *Position;
   if (m_Entries.size() >= m_Options.MaximumSuspects)
     evict();
-  Entry Made;
-  Made.Changed = Now;
-  if (const auto Done = m_Completed.find(What); Done != m_Completed.end())
-    Made.Cleared = Done->second;
-  return *m_Entries.emplace(What, std::move(Made)).first;
+  Entry Created;
+  Created.ChangedAt = Now;
+  if (const auto Completion = m_Completed.find(Request);
+      Completion != m_Completed.end())
+    Created.ClearedAt = Completion->second;
+  return *m_Entries.emplace(Request, std::move(Created)).first;
 }
 
-/// Makes room: those with the fewest crashes go, of them the oldest. Several at
-/// once, as each look goes over all.
+/// Evicts the entries with the fewest crashes, the oldest of them first. Evicts
+/// a sixteenth at once, as each call sorts the whole table.
 void CrashSuspects::evict() {
-  std::vector<Entries::iterator> Order;
-  for (auto Each = m_Entries.begin(); Each != m_Entries.end(); ++Each)
-    Order.push_back(Each);
-  const auto Worth = [](const Entries::iterator &Of) {
-    return std::pair(Of->second.Crashes.size(), Of->second.Changed);
+  std::vector<Entries::iterator> Candidates;
+  for (auto Position = m_Entries.begin(); Position != m_Entries.end();
+       ++Position)
+    Candidates.push_back(Position);
+  const auto Priority = [](const Entries::iterator &Candidate) {
+    return std::pair(Candidate->second.Crashes.size(),
+                     Candidate->second.ChangedAt);
   };
-  std::sort(Order.begin(), Order.end(), [&](const auto &One, const auto &Two) {
-    return Worth(One) < Worth(Two);
-  });
-  for (size_t At = 0; At <= Order.size() / 16; ++At)
-    m_Entries.erase(Order[At]);
+  std::sort(Candidates.begin(), Candidates.end(),
+            [&](const auto &Left, const auto &Right) {
+              return Priority(Left) < Priority(Right);
+            });
+  for (size_t i = 0; i <= Candidates.size() / 16; ++i)
+    m_Entries.erase(Candidates[i]);
 }
 
-void CrashSuspects::changed(Entries::value_type &Which, BootTime Now) {
-  Which.second.Changed = Now;
-  m_Fresh.insert(Which.first);
+void CrashSuspects::markChanged(Entries::value_type &Suspect, BootTime Now) {
+  Suspect.second.ChangedAt = Now;
+  m_Changed.insert(Suspect.first);
 }
 
-/// False if nothing is new in it.
-bool CrashSuspects::note(Entry &Of, const ServerStart &Server, Crash What,
-                         BootTime Now) const {
-  if (Of.Cleared && What.At <= *Of.Cleared)
+/// Returns whether the crash adds any information.
+bool CrashSuspects::addCrash(Entry &Suspect, const ServerStart &Server,
+                             Crash Reported, BootTime Now) const {
+  if (Suspect.ClearedAt && Reported.At <= *Suspect.ClearedAt)
     return false;
-  What.Rank = std::min(What.Rank, m_Options.CrashLimit);
-  const auto [Which, IsNew] = Of.Crashes.try_emplace(Server, What);
-  Crash &Known = Which->second;
-  // Of two sends to the server the one that knew more tells more; told over, an
-  // age grows by the way.
-  const bool RanksHigher = What.Rank > Known.Rank;
-  Known = {std::min(Known.At, What.At), std::max(Known.Rank, What.Rank)};
-  // The send that others waited for has ended; one of those before it has not
-  // a higher rank.
-  if (What.Rank > 1 && What.Rank > Of.RankKnown.size())
-    Of.AloneUntil = {};
-  while (Of.RankKnown.size() < What.Rank)
-    Of.RankKnown.push_back(Now);
-  if (Of.Crashes.size() > m_Options.MaximumCrashes)
-    dropOneBetween(Of);
-  return (IsNew && Of.Crashes.contains(Server)) || RanksHigher;
+  Reported.Rank = std::min(Reported.Rank, m_Options.CrashLimit);
+  const auto [Position, IsNew] = Suspect.Crashes.try_emplace(Server, Reported);
+  Crash &Stored = Position->second;
+  // Of two sends to the same server, the one with the higher rank counts. The
+  // earliest time counts, as forwarding only adds to the age of a crash.
+  const bool RanksHigher = Reported.Rank > Stored.Rank;
+  Stored = {std::min(Stored.At, Reported.At),
+            std::max(Stored.Rank, Reported.Rank)};
+  // A rank that was not known before means that the isolated send has ended; a
+  // crash of an earlier send has no such rank.
+  if (Reported.Rank > 1 && Reported.Rank > Suspect.RankKnownSince.size())
+    Suspect.IsolatedUntil = {};
+  while (Suspect.RankKnownSince.size() < Reported.Rank)
+    Suspect.RankKnownSince.push_back(Now);
+  if (Suspect.Crashes.size() > m_Options.MaximumCrashes)
+    dropOneCrash(Suspect);
+  return (IsNew && Suspect.Crashes.contains(Server)) || RanksHigher;
 }
 
-/// The first ones and those after the limit are counted; of the others the
-/// newest goes, everywhere alike.
-void CrashSuspects::dropOneBetween(Entry &Of) const {
-  const BootTime First = *limitReached(Of);
-  auto Between = Of.Crashes.end();
-  for (auto Each = Of.Crashes.begin(); Each != Of.Crashes.end(); ++Each)
-    if (const BootTime At = Each->second.At;
-        At > First && At <= First + m_Options.AfterLimit &&
-        (Between == Of.Crashes.end() || At > Between->second.At))
-      Between = Each;
-  // None: all are at or after the limit, and as many as are ever counted.
-  Of.Crashes.erase(Between != Of.Crashes.end() ? Between
-                                               : std::prev(Of.Crashes.end()));
+/// Drops the newest crash between the limit and the trial delay, as only the
+/// first crashes and the trials are counted. The choice is the same on all
+/// gateways.
+void CrashSuspects::dropOneCrash(Entry &Suspect) const {
+  const BootTime Limit = *limitReachedAt(Suspect);
+  auto Dropped = Suspect.Crashes.end();
+  for (auto Position = Suspect.Crashes.begin();
+       Position != Suspect.Crashes.end(); ++Position)
+    if (const BootTime At = Position->second.At;
+        At > Limit && At <= Limit + m_Options.TrialDelay &&
+        (Dropped == Suspect.Crashes.end() || At > Dropped->second.At))
+      Dropped = Position;
+  // If there is none, the crashes kept are as many as are ever counted.
+  Suspect.Crashes.erase(Dropped != Suspect.Crashes.end()
+                            ? Dropped
+                            : std::prev(Suspect.Crashes.end()));
 }
 
-void CrashSuspects::clear(Entry &Which, BootTime At) {
-  if (Which.Cleared && At <= *Which.Cleared)
+void CrashSuspects::clear(Entry &Suspect, BootTime Time) {
+  if (Suspect.ClearedAt && Time <= *Suspect.ClearedAt)
     return;
-  Which.Cleared = At;
-  // The run that others waited for is over.
-  Which.AloneUntil = {};
-  std::erase_if(Which.Crashes, [&](const auto &Each) {
-    return Each.second.At <= *Which.Cleared;
+  Suspect.ClearedAt = Time;
+  // The isolated send has completed.
+  Suspect.IsolatedUntil = {};
+  std::erase_if(Suspect.Crashes, [&](const auto &Item) {
+    return Item.second.At <= *Suspect.ClearedAt;
   });
-  Which.RankKnown.clear();
+  Suspect.RankKnownSince.clear();
 }
 
-void CrashSuspects::crashed(const RequestFingerprint &What,
-                            const BrokenSend &Send, BootTime Now) {
-  Entries::value_type &Of = entry(What, Now);
-  const unsigned Rank = Of.second.rankKnown(Send.Began) + 1;
-  if (note(Of.second, Send.Server, {Send.BrokeOff, Rank}, Now))
-    changed(Of, Now);
+void CrashSuspects::recordCrash(const RequestFingerprint &Request,
+                                const InterruptedSend &Send, BootTime Now) {
+  Entries::value_type &Suspect = findOrCreate(Request, Now);
+  const unsigned Rank = Suspect.second.rankKnownAt(Send.StartedAt) + 1;
+  if (addCrash(Suspect.second, Send.Server, {Send.InterruptedAt, Rank}, Now))
+    markChanged(Suspect, Now);
 }
 
-void CrashSuspects::completed(const RequestFingerprint &What, BootTime Now) {
-  const auto Found = m_Entries.find(What);
-  if (Found != m_Entries.end() && !Found->second.Crashes.empty()) {
-    clear(Found->second, Now);
-    return changed(*Found, Now);
+void CrashSuspects::recordCompletion(const RequestFingerprint &Request,
+                                     BootTime Now) {
+  const auto Position = m_Entries.find(Request);
+  if (Position != m_Entries.end() && !Position->second.Crashes.empty()) {
+    clear(Position->second, Now);
+    return markChanged(*Position, Now);
   }
   if (m_Completed.size() < m_Options.MaximumCompleted ||
-      m_Completed.contains(What))
-    m_Completed[What] = Now;
-  if (Found != m_Entries.end())
-    clear(Found->second, Now);
+      m_Completed.contains(Request))
+    m_Completed[Request] = Now;
+  if (Position != m_Entries.end())
+    clear(Position->second, Now);
 }
 
-void CrashSuspects::sent(const RequestFingerprint &What, BootTime Now) {
-  const auto Found = m_Entries.find(What);
-  if (Found == m_Entries.end() || Found->second.Crashes.empty())
+void CrashSuspects::recordSend(const RequestFingerprint &Request,
+                               BootTime Now) {
+  const auto Position = m_Entries.find(Request);
+  if (Position == m_Entries.end() || Position->second.Crashes.empty())
     return;
-  Found->second.AloneUntil =
-      Now + (Found->second.Crashes.size() < m_Options.CrashLimit
-                 ? m_Options.RunsAlone
-                 : m_Options.RunsAloneAtLimit);
-  changed(*Found, Now);
+  Position->second.IsolatedUntil =
+      Now + (Position->second.Crashes.size() < m_Options.CrashLimit
+                 ? m_Options.IsolationTime
+                 : m_Options.IsolationTimeAtLimit);
+  markChanged(*Position, Now);
 }
 
-/// Whether enough is known of it to refuse it.
-bool CrashSuspects::isGuilty(const Entry &Which) const {
-  return Which.Crashes.size() >= m_Options.CrashLimit &&
-         (Which.RankKnown.size() >= m_Options.CrashLimit ||
-          sendsAfterLimit(Which) >= m_Options.SendsAfterLimit);
+/// Whether the evidence suffices to reject the request.
+bool CrashSuspects::isRejectable(const Entry &Suspect) const {
+  return Suspect.Crashes.size() >= m_Options.CrashLimit &&
+         (Suspect.RankKnownSince.size() >= m_Options.CrashLimit ||
+          failedTrials(Suspect) >= m_Options.MaximumTrials);
 }
 
-std::optional<BootTime> CrashSuspects::limitReached(const Entry &Which) const {
-  if (Which.Crashes.size() < m_Options.CrashLimit)
+std::optional<BootTime>
+CrashSuspects::limitReachedAt(const Entry &Suspect) const {
+  if (Suspect.Crashes.size() < m_Options.CrashLimit)
     return std::nullopt;
   std::vector<BootTime> Ends;
-  for (const auto &[Server, Each] : Which.Crashes)
-    Ends.push_back(Each.At);
+  for (const auto &[Server, Crash] : Suspect.Crashes)
+    Ends.push_back(Crash.At);
   const auto Limit =
       Ends.begin() + static_cast<std::ptrdiff_t>(m_Options.CrashLimit - 1);
   std::nth_element(Ends.begin(), Limit, Ends.end());
   return *Limit;
 }
 
-size_t CrashSuspects::sendsAfterLimit(const Entry &Which) const {
-  const auto Reached = limitReached(Which);
+size_t CrashSuspects::failedTrials(const Entry &Suspect) const {
+  const auto Reached = limitReachedAt(Suspect);
   if (!Reached)
     return 0;
   return static_cast<size_t>(std::count_if(
-      Which.Crashes.begin(), Which.Crashes.end(), [&](const auto &Each) {
-        return Each.second.At > *Reached + m_Options.AfterLimit;
+      Suspect.Crashes.begin(), Suspect.Crashes.end(), [&](const auto &Crash) {
+        return Crash.second.At > *Reached + m_Options.TrialDelay;
       }));
 }
 
-BootTime CrashSuspects::refusedUntil(const Entry &Which) const {
-  const size_t Sends = sendsAfterLimit(Which);
-  if (Sends >= m_Options.SendsAfterLimit)
-    return Which.lastCrash() + m_Options.RefusedFor;
-  std::chrono::seconds Pause = m_Options.FirstPause;
-  for (size_t Each = 0; Each < Sends; ++Each)
-    Pause *= m_Options.PauseFactor;
-  return Which.lastCrash() + Pause;
+BootTime CrashSuspects::rejectedUntil(const Entry &Suspect) const {
+  const size_t Trials = failedTrials(Suspect);
+  if (Trials >= m_Options.MaximumTrials)
+    return Suspect.lastCrash() + m_Options.RejectionRetention;
+  std::chrono::seconds Pause = m_Options.InitialBackoff;
+  for (size_t i = 0; i < Trials; ++i)
+    Pause *= m_Options.BackoffFactor;
+  return Suspect.lastCrash() + Pause;
 }
 
-std::optional<HeldBack> CrashSuspects::refuses(const RequestFingerprint &What,
-                                               BootTime Now) const {
-  const auto Found = m_Entries.find(What);
-  if (Found == m_Entries.end() || !isGuilty(Found->second))
+std::optional<SuspectRejection>
+CrashSuspects::rejectsAttempt(const RequestFingerprint &Request,
+                              BootTime Now) const {
+  const auto Position = m_Entries.find(Request);
+  if (Position == m_Entries.end() || !isRejectable(Position->second))
     return std::nullopt;
-  const BootTime Until = refusedUntil(Found->second);
+  const BootTime Until = rejectedUntil(Position->second);
   if (Now >= Until)
     return std::nullopt;
-  return HeldBack{"servers crash under it", rounded(Until - Now)};
+  return SuspectRejection{"servers crash while running this request",
+                          rounded(Until - Now)};
 }
 
-std::optional<HeldBack> CrashSuspects::holdsBack(const RequestFingerprint &What,
-                                                 BootTime Now) const {
-  if (auto Refused = refuses(What, Now))
-    return Refused;
-  const auto Found = m_Entries.find(What);
-  if (Found == m_Entries.end() || Now >= Found->second.AloneUntil)
+std::optional<SuspectRejection>
+CrashSuspects::rejectsNewAttempt(const RequestFingerprint &Request,
+                                 BootTime Now) const {
+  if (auto Rejected = rejectsAttempt(Request, Now))
+    return Rejected;
+  const auto Position = m_Entries.find(Request);
+  if (Position == m_Entries.end() || Now >= Position->second.IsolatedUntil)
     return std::nullopt;
-  return HeldBack{"a server crashed under it, and it is being tried",
-                  rounded(Found->second.AloneUntil - Now)};
+  return SuspectRejection{"a server crashed while running this request, and "
+                          "another gateway is trying it",
+                          rounded(Position->second.IsolatedUntil - Now)};
 }
 
-size_t CrashSuspects::crashes(const RequestFingerprint &What) const {
-  const auto Found = m_Entries.find(What);
-  return Found == m_Entries.end() ? 0 : Found->second.Crashes.size();
+size_t CrashSuspects::crashes(const RequestFingerprint &Request) const {
+  const auto Position = m_Entries.find(Request);
+  return Position == m_Entries.end() ? 0 : Position->second.Crashes.size();
 }
 
-size_t CrashSuspects::evidence(const RequestFingerprint &What) const {
-  const auto Found = m_Entries.find(What);
-  return Found == m_Entries.end() ? 0 : Found->second.RankKnown.size();
+size_t CrashSuspects::evidence(const RequestFingerprint &Request) const {
+  const auto Position = m_Entries.find(Request);
+  return Position == m_Entries.end() ? 0
+                                     : Position->second.RankKnownSince.size();
 }
 
-void CrashSuspects::heard(const SuspectNews &News, BootTime Now) {
-  Entry &Of = entry(News.Request, Now).second;
-  if (News.Cleared)
-    clear(Of, Now - *News.Cleared);
+void CrashSuspects::applyUpdate(const SuspectUpdate &Update, BootTime Now) {
+  Entry &Suspect = findOrCreate(Update.Request, Now).second;
+  if (Update.ClearedAge)
+    clear(Suspect, Now - *Update.ClearedAge);
   bool IsNew = false;
-  for (const SuspectNews::Crash &Each : News.Crashes) {
-    const BootTime At = Now - Each.Age;
-    // The teller does not know of a run that came to its end.
-    const bool IsExcused = Of.Cleared && At <= *Of.Cleared;
-    IsNew = note(Of, Each.Server, {At, Each.Rank}, Now) || IsExcused || IsNew;
+  for (const SuspectUpdate::Crash &Crash : Update.Crashes) {
+    const BootTime Time = Now - Crash.Age;
+    // The peer does not know of a run that has completed since.
+    const bool IsExcused = Suspect.ClearedAt && Time <= *Suspect.ClearedAt;
+    IsNew = addCrash(Suspect, Crash.Server, {Time, Crash.Rank}, Now) ||
+            IsExcused || IsNew;
   }
-  if (!Of.Crashes.empty() && News.Alone > milliseconds(0))
-    Of.AloneUntil = std::max(
-        Of.AloneUntil, Now + std::min(News.Alone, m_Options.RunsAloneAtLimit));
-  // Whoever found it tells everybody; here it is only told again later.
+  if (!Suspect.Crashes.empty() && Update.Isolation > milliseconds(0))
+    Suspect.IsolatedUntil = std::max(
+        Suspect.IsolatedUntil,
+        Now + std::min(Update.Isolation, m_Options.IsolationTimeAtLimit));
+  // The gateway that detected the crash sends it to all peers; this one only
+  // retransmits it.
   if (IsNew)
-    Of.Changed = Now;
-  if (over(Of, Now))
-    m_Entries.erase(News.Request);
+    Suspect.ChangedAt = Now;
+  if (isExpired(Suspect, Now))
+    m_Entries.erase(Update.Request);
 }
 
-SuspectNews CrashSuspects::news(const Entries::value_type &Of, BootTime Now) {
-  SuspectNews Told;
-  Told.Request = Of.first;
-  for (const auto &[Server, Each] : Of.second.Crashes)
-    Told.Crashes.push_back({Server, rounded(Now - Each.At), Each.Rank});
-  if (Of.second.Cleared)
-    Told.Cleared = rounded(Now - *Of.second.Cleared);
-  Told.Alone = rounded(Of.second.AloneUntil - Now);
-  return Told;
+SuspectUpdate CrashSuspects::makeUpdate(const Entries::value_type &Suspect,
+                                        BootTime Now) {
+  SuspectUpdate Update;
+  Update.Request = Suspect.first;
+  for (const auto &[Server, Crash] : Suspect.second.Crashes)
+    Update.Crashes.push_back({Server, rounded(Now - Crash.At), Crash.Rank});
+  if (Suspect.second.ClearedAt)
+    Update.ClearedAge = rounded(Now - *Suspect.second.ClearedAt);
+  Update.Isolation = rounded(Suspect.second.IsolatedUntil - Now);
+  return Update;
 }
 
-std::vector<SuspectNews> CrashSuspects::takeFresh(BootTime Now) {
-  std::vector<SuspectNews> Told;
-  for (const RequestFingerprint &Each : std::exchange(m_Fresh, {}))
-    if (const auto Found = m_Entries.find(Each); Found != m_Entries.end())
-      Told.push_back(news(*Found, Now));
-  return Told;
+std::vector<SuspectUpdate> CrashSuspects::takeChanges(BootTime Now) {
+  std::vector<SuspectUpdate> Updates;
+  for (const RequestFingerprint &Request : std::exchange(m_Changed, {}))
+    if (const auto Position = m_Entries.find(Request);
+        Position != m_Entries.end())
+      Updates.push_back(makeUpdate(*Position, Now));
+  return Updates;
 }
 
-std::vector<SuspectNews> CrashSuspects::repeats(size_t Count, BootTime Now) {
-  std::vector<SuspectNews> Told;
-  const auto Take = [&](RequestFingerprint &Last, size_t Most,
-                        auto &&IsWanted) {
-    const auto Tell = [&](const Entries::value_type &Each) {
-      if (Told.size() >= Most || !IsWanted(Each.second))
+std::vector<SuspectUpdate> CrashSuspects::takeRetransmissions(size_t Count,
+                                                              BootTime Now) {
+  std::vector<SuspectUpdate> Updates;
+  const auto TakeMatching = [&](RequestFingerprint &Last, size_t Limit,
+                                auto &&Matches) {
+    const auto Append = [&](const Entries::value_type &Item) {
+      if (Updates.size() >= Limit || !Matches(Item.second))
         return;
-      Told.push_back(news(Each, Now));
-      Last = Each.first;
+      Updates.push_back(makeUpdate(Item, Now));
+      Last = Item.first;
     };
     const auto Next = m_Entries.upper_bound(Last);
-    std::for_each(Next, m_Entries.end(), Tell);
-    std::for_each(m_Entries.begin(), Next, Tell);
+    std::for_each(Next, m_Entries.end(), Append);
+    std::for_each(m_Entries.begin(), Next, Append);
   };
-  const auto HasMany = [](const Entry &Each) {
-    return Each.Crashes.size() >= ManyCrashes;
+  const auto HasManyCrashes = [](const Entry &Item) {
+    return Item.Crashes.size() >= ManyCrashes;
   };
-  Take(m_ManyToldLast, Count / 2, HasMany);
-  Take(m_NewToldLast, Count, [&](const Entry &Each) {
-    return !HasMany(Each) && Now - Each.Changed <= m_Options.Repeated;
+  TakeMatching(m_CrashCursor, Count / 2, HasManyCrashes);
+  TakeMatching(m_ChangeCursor, Count, [&](const Entry &Item) {
+    return !HasManyCrashes(Item) &&
+           Now - Item.ChangedAt <= m_Options.RetransmitTime;
   });
-  return Told;
+  return Updates;
 }
 
-bool CrashSuspects::over(const Entry &Which, BootTime Now) const {
-  if (Which.Crashes.empty() && !Which.Cleared)
+bool CrashSuspects::isExpired(const Entry &Suspect, BootTime Now) const {
+  if (Suspect.Crashes.empty() && !Suspect.ClearedAt)
     return true;
-  if (Which.Crashes.size() >= m_Options.CrashLimit)
-    return Now - Which.lastCrash() > m_Options.RefusedFor;
-  return Now - std::max(Which.lastCrash(), Which.Cleared.value_or(BootTime{})) >
-         m_Options.Remembered;
+  if (Suspect.Crashes.size() >= m_Options.CrashLimit)
+    return Now - Suspect.lastCrash() > m_Options.RejectionRetention;
+  return Now - std::max(Suspect.lastCrash(),
+                        Suspect.ClearedAt.value_or(BootTime{})) >
+         m_Options.SuspectRetention;
 }
 
-void CrashSuspects::tick(BootTime Now) {
+void CrashSuspects::expire(BootTime Now) {
   std::erase_if(m_Entries,
-                [&](const auto &Each) { return over(Each.second, Now); });
-  std::erase_if(m_Completed, [&](const auto &Each) {
-    return Now - Each.second > m_Options.CompletedKept;
+                [&](const auto &Item) { return isExpired(Item.second, Now); });
+  std::erase_if(m_Completed, [&](const auto &Item) {
+    return Now - Item.second > m_Options.CompletionRetention;
   });
 }
 
--- a/Libraries/LibDispatch/CrashSuspects.h
+++ b/Libraries/LibDispatch/CrashSuspects.h
@@ -1,32 +1,35 @@
-//===- CrashSuspects.h - Requests under which servers ended -----*- C++ -*-===//
+//===- CrashSuspects.h - Requests suspected of crashing servers -*- C++ -*-===//
 //
-// Counts the servers that ended while they had a request, over all attempts of
-// it and all gateways, and decides whether it may be sent to one more. Such a
-// request would otherwise end one server after another, and with each all that
-// runs there.
+// Counts, for each request, the servers that ended while they were running it,
+// over all attempts and all gateways, and decides whether the request may be
+// sent to another server. Without this limit a request that crashes its server
+// would end one server after another, together with all other work on them.
 //
-// Whoever was at a server that ended is suspected; one of them is guilty at
-// most, and often nobody. So a suspect goes on, alone in the fleet, until the
-// limit is reached; a run that comes to its end clears it. A request that was
-// refused may be tried again much later, a few times.
+// Every request that was running on a server when it ended becomes a suspect.
+// At most one of them caused the crash, often none. A suspect is therefore
+// still sent, but to one server at a time in the whole fleet, until the crash
+// limit is reached; a run that completes clears it. A rejected request is tried
+// again after long pauses, a limited number of times.
 //
-// Two counts are kept apart. Servers that ended bound what a request may cost.
-// Evidence is less: copies of a request that many callers send alike are at
-// several servers at once, and another request that ends these servers within
-// moments makes it look guilty of each. So a crash has a rank, one more than
-// the highest that its sender knew of when it sent, and sends that were under
-// way together have the same. Only a send that was made in knowledge of a
-// crash, and so alone, adds to the evidence.
+// Crashes and evidence are counted separately. The number of crashes bounds the
+// damage that a request may do. Evidence is a stricter count: when many callers
+// send identical requests, copies run on several servers at once, and another
+// request that ends these servers within moments makes the copies look
+// responsible for each crash. So each crash has a rank, one more than the
+// highest rank that the sender knew when it sent the request; sends that
+// overlap get the same rank. Only a send that was made after an earlier crash
+// was known, and therefore alone, adds to the evidence.
 //
-// Pure: times come in with the events. Gateways tell each other what they know
-// (SuspectNews); the same crash told twice, or by two gateways, counts once.
+// The class reads no clock: times are passed in with the events. Gateways
+// exchange their state as SuspectUpdate; a crash that is reported twice, or by
+// two gateways, counts once.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
 #include "LibCore/Clock.h"
-#include "LibDispatch/SuspectNews.h"
+#include "LibDispatch/SuspectUpdate.h"
 
 #include <chrono>
 #include <cstddef>
@@ -39,41 +42,44 @@
 namespace figlift::dispatch {
 
 struct CrashSuspectOptions {
-  /// A request is refused once so many servers have ended under it, each of
-  /// them after the one before was known.
+  /// A request is rejected once this many servers have crashed while running
+  /// it, each of them after the previous crash was known.
   unsigned CrashLimit = 3;
-  /// How long others of the fleet leave a suspect alone that was sent to a
-  /// server: one that is guilty ends it within this time.
-  std::chrono::milliseconds RunsAlone{500};
-  /// The same once the limit of servers has ended: none is sent before it is
-  /// known how the one before ended, and that may take until the store's list
-  /// drops the server.
-  std::chrono::milliseconds RunsAloneAtLimit{5000};
-  /// A refused request is tried once this long after its last crash; after each
-  /// further crash the pause is PauseFactor times as long.
-  std::chrono::seconds FirstPause{30};
-  int PauseFactor = 6;
-  /// A request is not tried any more after so many sends that ended a server
-  /// later than AfterLimit after the last of the first CrashLimit ones.
-  size_t SendsAfterLimit = 3;
-  std::chrono::milliseconds AfterLimit{2000};
-  /// Crashes kept of one request.
+  /// After a suspect was sent to a server, no other gateway sends it for this
+  /// time. A request that causes crashes ends its server within this time.
+  std::chrono::milliseconds IsolationTime{500};
+  /// The same once the crash limit is reached. The outcome of the previous send
+  /// must be known before the next one, and that may take until the store's
+  /// list drops the server.
+  std::chrono::milliseconds IsolationTimeAtLimit{5000};
+  /// A rejected request is tried again this long after its last crash; each
+  /// further crash multiplies the pause by BackoffFactor.
+  std::chrono::seconds InitialBackoff{30};
+  int BackoffFactor = 6;
+  /// A crash counts as a failed trial if it comes more than TrialDelay after
+  /// the crash that reached CrashLimit. After MaximumTrials of them the request
+  /// is not tried any more.
+  size_t MaximumTrials = 3;
+  std::chrono::milliseconds TrialDelay{2000};
+  /// Maximum number of crashes stored per request.
   size_t MaximumCrashes = 12;
-  /// Runs that came to their end are remembered this long, so that a crash that
-  /// becomes known later excuses their request.
-  std::chrono::milliseconds CompletedKept{6000};
+  /// Completed runs are remembered this long, so that a crash that is detected
+  /// only afterwards does not count against a request that has completed since.
+  std::chrono::milliseconds CompletionRetention{6000};
   size_t MaximumCompleted = 2048;
-  /// Suspects below the limit, and cleared ones, are forgotten after this.
-  std::chrono::minutes Remembered{10};
-  /// Refused ones are forgotten this long after their last crash.
-  std::chrono::hours RefusedFor{24};
+  /// Cleared requests, and suspects below the limit, are dropped after this
+  /// time.
+  std::chrono::minutes SuspectRetention{10};
+  /// Requests at the crash limit are dropped this long after their last crash.
+  std::chrono::hours RejectionRetention{24};
   size_t MaximumSuspects = 1024;
-  /// News that may have been lost are told again for this long.
-  std::chrono::milliseconds Repeated{1000};
+  /// A change is retransmitted to peers for this long, as datagrams may be
+  /// lost.
+  std::chrono::milliseconds RetransmitTime{1000};
 };
 
 /// The request may not be sent to a server now (CrashesTargets).
-struct HeldBack {
+struct SuspectRejection {
   std::string_view Reason;
   std::chrono::milliseconds RetryAfter{0};
 };
@@ -83,47 +89,48 @@
   explicit CrashSuspects(CrashSuspectOptions Options = {})
       : m_Options(Options) {}
 
-  /// A send that broke off, as its server ended.
-  struct BrokenSend {
+  /// A send that was interrupted because its server ended.
+  struct InterruptedSend {
     ServerStart Server;
-    BootTime Began{};
-    BootTime BrokeOff{};
+    BootTime StartedAt{};
+    BootTime InterruptedAt{};
   };
-  void crashed(const RequestFingerprint &What, const BrokenSend &Send,
-               BootTime Now);
-  /// A server has run the request to an end, and goes on. To be told of all
-  /// requests while a crash may still become known.
-  void completed(const RequestFingerprint &What, BootTime Now);
-  /// The request is being sent to a server; nothing unless it is suspected.
-  void sent(const RequestFingerprint &What, BootTime Now);
+  void recordCrash(const RequestFingerprint &Request,
+                   const InterruptedSend &Send, BootTime Now);
+  /// A server has completed the request and is still running. To be called for
+  /// every request, suspected or not, while a crash may still be detected late.
+  void recordCompletion(const RequestFingerprint &Request, BootTime Now);
+  /// The request is being sent to a server. Ignored unless it is suspected.
+  void recordSend(const RequestFingerprint &Request, BootTime Now);
 
-  /// Whether an attempt may begin now.
-  std::optional<HeldBack> holdsBack(const RequestFingerprint &What,
-                                    BootTime Now) const;
-  /// The same of an attempt that has begun: it need not wait for itself.
-  std::optional<HeldBack> refuses(const RequestFingerprint &What,
-                                  BootTime Now) const;
-  /// Whether a send that has just broken off, of which it is not known yet if
-  /// the server ended, may be followed by another one of the same attempt.
-  bool mayRepeat(const RequestFingerprint &What) const {
-    return crashes(What) + 1 < m_Options.CrashLimit;
+  /// Returns a rejection if no new attempt may begin now.
+  std::optional<SuspectRejection>
+  rejectsNewAttempt(const RequestFingerprint &Request, BootTime Now) const;
+  /// The same for an attempt that has already begun: it does not wait for the
+  /// end of its own isolation time.
+  std::optional<SuspectRejection>
+  rejectsAttempt(const RequestFingerprint &Request, BootTime Now) const;
+  /// Whether the same attempt may retry a send that has just been interrupted,
+  /// while it is not yet known if the server ended.
+  bool mayRetry(const RequestFingerprint &Request) const {
+    return crashes(Request) + 1 < m_Options.CrashLimit;
   }
-  /// Servers that ended under the request and were not excused since.
-  size_t crashes(const RequestFingerprint &What) const;
-  /// The highest rank of a crash that is known; 0 of none.
-  size_t evidence(const RequestFingerprint &What) const;
-  /// Nobody is known, and nobody needs to be asked for.
+  /// Number of servers that crashed while running the request, since it was
+  /// last cleared.
+  size_t crashes(const RequestFingerprint &Request) const;
+  /// The highest rank of the known crashes; 0 without any.
+  size_t evidence(const RequestFingerprint &Request) const;
   bool empty() const { return m_Entries.empty(); }
   size_t size() const { return m_Entries.size(); }
 
-  void heard(const SuspectNews &News, BootTime Now);
-  /// What has changed since the last call, for peers.
-  std::vector<SuspectNews> takeFresh(BootTime Now);
-  /// What peers may have missed, by turns: the requests under which several
-  /// servers ended, and the newest changes of others. At most \p Count.
-  std::vector<SuspectNews> repeats(size_t Count, BootTime Now);
-  /// Forgets what is over.
-  void tick(BootTime Now);
+  void applyUpdate(const SuspectUpdate &Update, BootTime Now);
+  /// Returns the changes since the last call, to be sent to peers.
+  std::vector<SuspectUpdate> takeChanges(BootTime Now);
+  /// Returns up to \p Count updates that peers may have missed, round robin:
+  /// requests with several crashes, and recent changes of others.
+  std::vector<SuspectUpdate> takeRetransmissions(size_t Count, BootTime Now);
+  /// Drops expired entries.
+  void expire(BootTime Now);
 
 private:
   struct Crash {
@@ -131,46 +138,49 @@
     unsigned Rank = 1;
   };
   struct Entry {
-    /// By start. All of them later than Cleared.
+    /// By start of the server. All of them are later than ClearedAt.
     std::map<ServerStart, Crash> Crashes;
-    /// Since when a crash of the rank, or of a higher one, is known here. At
-    /// most CrashLimit of them: higher ranks say nothing more.
-    std::vector<BootTime> RankKnown;
-    std::optional<BootTime> Cleared;
-    BootTime AloneUntil{};
-    BootTime Changed{};
+    /// Element i is the time since when a crash of rank i + 1 or higher is
+    /// known here. At most CrashLimit elements: higher ranks add no evidence.
+    std::vector<BootTime> RankKnownSince;
+    std::optional<BootTime> ClearedAt;
+    BootTime IsolatedUntil{};
+    BootTime ChangedAt{};
 
     BootTime lastCrash() const;
-    /// The highest rank that was known here at the time.
-    unsigned rankKnown(BootTime At) const;
+    /// The highest rank that was known here at \p Time.
+    unsigned rankKnownAt(BootTime Time) const;
   };
   using Entries = std::map<RequestFingerprint, Entry>;
 
-  Entries::value_type &entry(const RequestFingerprint &What, BootTime Now);
+  Entries::value_type &findOrCreate(const RequestFingerprint &Request,
+                                    BootTime Now);
   void evict();
-  void changed(Entries::value_type &Which, BootTime Now);
-  bool note(Entry &Of, const ServerStart &Server, Crash What,
-            BootTime Now) const;
-  static void clear(Entry &Which, BootTime At);
-  bool over(const Entry &Which, BootTime Now) const;
-  bool isGuilty(const Entry &Which) const;
-  /// When the last of the first CrashLimit servers ended; absent before.
-  std::optional<BootTime> limitReached(const Entry &Which) const;
-  size_t sendsAfterLimit(const Entry &Which) const;
-  void dropOneBetween(Entry &Of) const;
-  BootTime refusedUntil(const Entry &Which) const;
-  static SuspectNews news(const Entries::value_type &Of, BootTime Now);
+  void markChanged(Entries::value_type &Suspect, BootTime Now);
+  bool addCrash(Entry &Suspect, const ServerStart &Server, Crash Reported,
+                BootTime Now) const;
+  static void clear(Entry &Suspect, BootTime Time);
+  bool isExpired(const Entry &Suspect, BootTime Now) const;
+  bool isRejectable(const Entry &Suspect) const;
+  /// The time of the crash that reached CrashLimit; absent below the limit.
+  std::optional<BootTime> limitReachedAt(const Entry &Suspect) const;
+  size_t failedTrials(const Entry &Suspect) const;
+  void dropOneCrash(Entry &Suspect) const;
+  BootTime rejectedUntil(const Entry &Suspect) const;
+  static SuspectUpdate makeUpdate(const Entries::value_type &Suspect,
+                                  BootTime Now);
 
   CrashSuspectOptions m_Options;
   Entries m_Entries;
-  /// Ends of runs of requests that nobody suspected then.
+  /// Completion times of requests that were not suspected at the time.
   std::map<RequestFingerprint, BootTime> m_Completed;
-  /// Changed since the last call of takeFresh(); some may be gone again.
-  std::set<RequestFingerprint> m_Fresh;
-  /// \name The requests that repeats() told last, as it goes by turns.
+  /// Requests that changed since the last call of takeChanges(). Some may have
+  /// been dropped since.
+  std::set<RequestFingerprint> m_Changed;
+  /// \name Positions of the round robin in takeRetransmissions().
   /// @{
-  RequestFingerprint m_ManyToldLast;
-  RequestFingerprint m_NewToldLast;
+  RequestFingerprint m_CrashCursor;
+  RequestFingerprint m_ChangeCursor;
   /// @}
 };
 
--- /dev/null
+++ b/Libraries/LibDispatch/SuspectUpdate.cpp
@@ -0,0 +1,107 @@
+//===- SuspectUpdate.cpp - Crashes of a suspect request, for peers --------===//
+//
+// Items are encoded as arrays instead of objects to keep datagrams small.
+//
+//===----------------------------------------------------------------------===//
+
+#include "LibDispatch/SuspectUpdate.h"
+
+#include "LibDispatch/StartTimeJson.h"
+
+#include <nlohmann/json.hpp>
+
+#include <algorithm>
+
+namespace figlift::dispatch {
+
+using Json = nlohmann::json;
+using std::chrono::milliseconds;
+
+namespace {
+
+Json encodeCrash(const SuspectUpdate::Crash &Crash) {
+  return {Crash.Server.TargetId, encodeStartTime(Crash.Server.Started),
+          Crash.Age.count(), Crash.Rank};
+}
+
+/// Fails for ages that no sender writes: negative ones, or more than a year.
+Result<milliseconds> decodeAge(const Json &Encoded) {
+  constexpr int64_t MaximumMs = 1000LL * 3600 * 24 * 365;
+  const auto Count = Encoded.get<int64_t>();
+  if (Count < 0 || Count > MaximumMs)
+    return failure(ResultCode::InvalidInput,
+                   "found " + std::to_string(Count) +
+                       " ms; allowed: 0 to a year",
+                   "suspect update");
+  return milliseconds(Count);
+}
+
+Result<SuspectUpdate::Crash> decodeCrash(const Json &Encoded) {
+  SuspectUpdate::Crash Crash;
+  Crash.Server.TargetId = Encoded.at(0).get<std::string>();
+  Crash.Server.Started = decodeStartTime(Encoded.at(1));
+  FIGLIFT_TRY(Age, decodeAge(Encoded.at(2)));
+  Crash.Age = Age;
+  // Earlier versions of the program send no rank.
+  if (Encoded.size() > 3)
+    Crash.Rank = Encoded.at(3).get<unsigned>();
+  if (Crash.Rank == 0)
+    return failure(ResultCode::InvalidInput, "ranks begin with 1",
+                   "suspect update");
+  return Crash;
+}
+
+Result<SuspectUpdate> decodeUpdate(const Json &Encoded) {
+  SuspectUpdate Update;
+  const auto &Bytes = Encoded.at(0).get_binary();
+  if (Bytes.size() != Update.Request.Bytes.size())
+    return failure(ResultCode::InvalidInput, "a fingerprint has 16 bytes",
+                   "suspect update");
+  std::copy(Bytes.begin(), Bytes.end(), Update.Request.Bytes.begin());
+  for (const Json &EncodedCrash : Encoded.at(1)) {
+    FIGLIFT_TRY(Crash, decodeCrash(EncodedCrash));
+    Update.Crashes.push_back(std::move(Crash));
+  }
+  if (!Encoded.at(2).is_null()) {
+    FIGLIFT_TRY(ClearedAge, decodeAge(Encoded.at(2)));
+    Update.ClearedAge = ClearedAge;
+  }
+  FIGLIFT_TRY(Isolation, decodeAge(Encoded.at(3)));
+  Update.Isolation = Isolation;
+  return Update;
+}
+
+} // namespace
+
+std::string encodeSuspectUpdates(const std::vector<SuspectUpdate> &Updates) {
+  Json List = Json::array();
+  for (const SuspectUpdate &Update : Updates) {
+    Json Crashes = Json::array();
+    for (const SuspectUpdate::Crash &Crash : Update.Crashes)
+      Crashes.push_back(encodeCrash(Crash));
+    Json ClearedAge = nullptr;
+    if (Update.ClearedAge)
+      ClearedAge = Update.ClearedAge->count();
+    const auto &Bytes = Update.Request.Bytes;
+    List.push_back(Json::array(
+        {Json::binary(std::vector<uint8_t>(Bytes.begin(), Bytes.end())),
+         Crashes, ClearedAge, Update.Isolation.count()}));
+  }
+  std::string Encoded;
+  Json::to_cbor(List, Encoded);
+  return Encoded;
+}
+
+Result<std::vector<SuspectUpdate>>
+decodeSuspectUpdates(std::string_view Bytes) try {
+  std::vector<SuspectUpdate> Updates;
+  for (const Json &Encoded : Json::from_cbor(Bytes)) {
+    FIGLIFT_TRY(Update, decodeUpdate(Encoded));
+    Updates.push_back(std::move(Update));
+  }
+  return Updates;
+} catch (const Json::exception &Exception) {
+  return failure(ResultCode::InvalidInput, Exception.what(), "suspect update");
+}
+
+} // namespace figlift::dispatch
--- a/Services/figlift-gateway/CrashWatch.cpp
+++ b/Services/figlift-gateway/CrashWatch.cpp
@@ -164,7 +164,7 @@
 
 void CrashWatch::blame(const ServerStart &Server, const Doubt::Broken &Send,
                        BootTime Now) {
-  m_Suspects.crashed(Send.Request, {Server, Send.Began, Send.At}, Now);
+  m_Suspects.recordCrash(Send.Request, {Server, Send.Began, Send.At}, Now);
   const auto Age = [&](BootTime At) {
     return std::chrono::duration_cast<milliseconds>(Now - At).count();
   };
@@ -179,35 +179,35 @@
 }
 
 void CrashWatch::sent(const dispatch::RequestFingerprint &What, BootTime Now) {
-  m_Suspects.sent(What, Now);
+  m_Suspects.recordSend(What, Now);
   tellFresh(Now);
 }
 
 void CrashWatch::completed(const dispatch::RequestFingerprint &What,
                            BootTime Now) {
-  m_Suspects.completed(What, Now);
+  m_Suspects.recordCompletion(What, Now);
   tellFresh(Now);
 }
 
 void CrashWatch::tellFresh(BootTime Now) {
-  const auto Fresh = m_Suspects.takeFresh(Now);
+  const auto Fresh = m_Suspects.takeChanges(Now);
   if (!Fresh.empty() && m_Tell)
     m_Tell(Fresh);
 }
 
-void CrashWatch::heard(const std::vector<dispatch::SuspectNews> &News,
+void CrashWatch::heard(const std::vector<dispatch::SuspectUpdate> &News,
                        BootTime Now) {
-  for (const dispatch::SuspectNews &Each : News) {
-    m_Suspects.heard(Each, Now);
+  for (const dispatch::SuspectUpdate &Each : News) {
+    m_Suspects.applyUpdate(Each, Now);
     // Own sends broke off there, too, about when the peer's did.
-    for (const dispatch::SuspectNews::Crash &Crash : Each.Crashes)
+    for (const dispatch::SuspectUpdate::Crash &Crash : Each.Crashes)
       serverEnded(Crash.Server, "told by a peer",
                   Now - Crash.Age - BrokeWithIt);
   }
 }
 
-std::vector<dispatch::SuspectNews> CrashWatch::repeats(BootTime Now) {
-  return m_Suspects.repeats(MostRepeated, Now);
+std::vector<dispatch::SuspectUpdate> CrashWatch::repeats(BootTime Now) {
+  return m_Suspects.takeRetransmissions(MostRepeated, Now);
 }
 
 void CrashWatch::tick(BootTime Now) {
@@ -220,7 +220,7 @@
   std::erase_if(m_Ended, [&](const auto &Each) {
     return Now - Each.second > DoubtLifetime;
   });
-  m_Suspects.tick(Now);
+  m_Suspects.expire(Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/CrashWatch.h
+++ b/Services/figlift-gateway/CrashWatch.h
@@ -33,7 +33,7 @@
 class CrashWatch {
 public:
   using Teller =
-      std::function<void(const std::vector<dispatch::SuspectNews> &)>;
+      std::function<void(const std::vector<dispatch::SuspectUpdate> &)>;
 
   CrashWatch(boost::asio::io_context &Loop, DecisionLog &Log)
       : m_Loop(Loop), m_Log(Log) {}
@@ -67,9 +67,9 @@
   void targetGone(const std::string &TargetId);
   void tick(BootTime Now);
 
-  void heard(const std::vector<dispatch::SuspectNews> &News, BootTime Now);
+  void heard(const std::vector<dispatch::SuspectUpdate> &News, BootTime Now);
   /// News that peers may have missed.
-  std::vector<dispatch::SuspectNews> repeats(BootTime Now);
+  std::vector<dispatch::SuspectUpdate> repeats(BootTime Now);
 
   /// Servers that have ended under a request.
   uint64_t crashes() const { return m_Crashes; }
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -97,8 +97,8 @@
     repeatSuspects(Now);
 }
 
-void PeerLink::tellSuspects(const std::vector<dispatch::SuspectNews> &What) {
-  sendToAll(SuspectsKind, encodeSuspectNews(What));
+void PeerLink::tellSuspects(const std::vector<dispatch::SuspectUpdate> &What) {
+  sendToAll(SuspectsKind, encodeSuspectUpdates(What));
 }
 
 void PeerLink::repeatSuspects(BootTime Now) {
@@ -108,7 +108,7 @@
 }
 
 void PeerLink::suspectsReceived(std::string_view Body) {
-  const auto Read = dispatch::decodeSuspectNews(Body);
+  const auto Read = dispatch::decodeSuspectUpdates(Body);
   if (!Read)
     return log::logError(log::Level::Warning, "suspect-news-invalid",
                          Read.error());
--- a/Services/figlift-gateway/PeerLink.h
+++ b/Services/figlift-gateway/PeerLink.h
@@ -41,7 +41,7 @@
   void received(std::string_view Bytes);
   void reportReceived(std::string_view Body);
   void newsReceived(std::string_view Body);
-  void tellSuspects(const std::vector<dispatch::SuspectNews> &What);
+  void tellSuspects(const std::vector<dispatch::SuspectUpdate> &What);
   void repeatSuspects(BootTime Now);
   void suspectsReceived(std::string_view Body);
 
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -433,7 +433,7 @@
   Progress.MaximumRuns = m_Route.MaximumAttempts;
   Progress.Repeatable =
       m_Route.repeatable() &&
-      (!isSuspected() || m_Shared.Crashes.suspects().mayRepeat(*m_Fingerprint));
+      (!isSuspected() || m_Shared.Crashes.suspects().mayRetry(*m_Fingerprint));
   Progress.EndsInTime = mayBegin(m_PlannedFirst, Now);
   if (Which.purpose() == SendPurpose::ReadPrompt && m_Runs == 0) {
     // Reading a prompt runs nothing.
--- a/Services/figlift-gateway/RequestSuspicion.cpp
+++ b/Services/figlift-gateway/RequestSuspicion.cpp
@@ -41,8 +41,9 @@
     return false;
   const dispatch::CrashSuspects &Suspects = m_Shared.Crashes.suspects();
   const BootTime Now = BootClock::now();
-  const auto Held = m_Sends == 0 ? Suspects.holdsBack(*m_Fingerprint, Now)
-                                 : Suspects.refuses(*m_Fingerprint, Now);
+  const auto Held = m_Sends == 0
+                        ? Suspects.rejectsNewAttempt(*m_Fingerprint, Now)
+                        : Suspects.rejectsAttempt(*m_Fingerprint, Now);
   if (!Held)
     return false;
   m_Shared.Crashes.countHeldBack();
--- a/Tests/LibDispatch/TestCrashSuspects.cpp
+++ b/Tests/LibDispatch/TestCrashSuspects.cpp
@@ -1,7 +1,7 @@
-//===- TestCrashSuspects.cpp - Requests under which servers ended ---------===//
+//===- TestCrashSuspects.cpp - Requests suspected of crashing servers -----===//
 //
-// Single tables, what they tell each other, and whole fleets before servers
-// that crash by a request, or for reasons of their own.
+// Covers single tables, the exchange of updates between them, and simulated
+// fleets with servers that crash because of a request or for other reasons.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,21 +21,21 @@
 namespace {
 
 RequestFingerprint request(unsigned Number) {
-  RequestFingerprint Made;
+  RequestFingerprint Fingerprint;
   std::copy_n(reinterpret_cast<const uint8_t *>(&Number), sizeof(Number),
-              Made.Bytes.begin());
-  return Made;
+              Fingerprint.Bytes.begin());
+  return Fingerprint;
 }
 
 ServerStart server(unsigned Number) {
   return {"s" + std::to_string(Number), std::nullopt};
 }
 
-/// Longer than any datagram is on its way.
+/// Longer than the delivery of any datagram takes.
 constexpr auto RunTime = 60ms;
 
-/// A send that has just broken off.
-CrashSuspects::BrokenSend brokenNow(unsigned Server, BootTime Now) {
+/// A send that has just been interrupted.
+CrashSuspects::InterruptedSend interruptedNow(unsigned Server, BootTime Now) {
   return {server(Server), Now - RunTime, Now};
 }
 
@@ -46,146 +46,149 @@
   CrashSuspects Table;
   BootTime Now{1h};
 
-  /// One send after another, each in knowledge of how the last one ended.
-  void crash(unsigned Times, unsigned From = 0) {
-    for (unsigned Each = 0; Each < Times; ++Each) {
+  /// Sends the request repeatedly, each time after the previous crash is known.
+  void crash(unsigned Times, unsigned First = 0) {
+    for (unsigned i = 0; i < Times; ++i) {
       Now += RunTime + 1ms;
-      Table.crashed(Guilty, brokenNow(From + Each, Now), Now);
+      Table.recordCrash(Guilty, interruptedNow(First + i, Now), Now);
     }
   }
-  bool refused() { return Table.refuses(Guilty, Now).has_value(); }
-  /// What one table knows goes to the other.
-  void tell(CrashSuspects & From, CrashSuspects & To) {
-    const auto Bytes = encodeSuspectNews(From.takeFresh(Now));
-    const auto News = decodeSuspectNews(Bytes);
-    for (const SuspectNews &Each : News.value())
-      To.heard(Each, Now);
+  bool isRejected() { return Table.rejectsAttempt(Guilty, Now).has_value(); }
+  /// Delivers the changes of one table to the other.
+  void sendChanges(CrashSuspects & From, CrashSuspects & To) {
+    const auto Bytes = encodeSuspectUpdates(From.takeChanges(Now));
+    const auto Updates = decodeSuspectUpdates(Bytes);
+    for (const SuspectUpdate &Update : Updates.value())
+      To.applyUpdate(Update, Now);
   }
 };
 
-TEST(CrashSuspects, RefusesAfterTheThirdServer) {
+TEST(CrashSuspects, RejectsAfterThirdCrash) {
   crash(2);
-  CHECK(!refused());
+  CHECK(!isRejected());
   crash(1, 2);
-  CHECK(refused());
-  CHECK(!Table.refuses(request(2), Now));
+  CHECK(isRejected());
+  CHECK(!Table.rejectsAttempt(request(2), Now));
 }
 
-// Failure: one crash that takes several sends with it is counted for each.
-TEST(CrashSuspects, CountsAStartOfAServerOnce) {
-  for (int Each = 0; Each < 5; ++Each)
+// Guards against: one crash that interrupts several sends counts once per send.
+TEST(CrashSuspects, CountsOneCrashPerServerStart) {
+  for (int i = 0; i < 5; ++i)
     crash(1);
   LONGS_EQUAL(1, Table.crashes(Guilty));
 }
 
-// Failure: a request that many callers send alike is refused, as copies of it
-// were at three servers that another request ended.
-TEST(CrashSuspects, CountSendsThatWereUnderWayTogetherOnce) {
-  const BootTime Began = Now;
-  for (unsigned Each = 0; Each < 6; ++Each) {
+// Guards against: a request that many callers send is rejected because copies
+// of it were running on three servers that another request crashed.
+TEST(CrashSuspects, CountsOverlappingSendsOnceAsEvidence) {
+  const BootTime StartedAt = Now;
+  for (unsigned i = 0; i < 6; ++i) {
     Now += 200ms;
-    Table.crashed(Guilty, {server(Each), Began, Now}, Now);
+    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
   }
   LONGS_EQUAL(6, Table.crashes(Guilty));
   LONGS_EQUAL(1, Table.evidence(Guilty));
-  CHECK(!refused());
+  CHECK(!isRejected());
   crash(1, 10);
   crash(1, 11);
-  CHECK(refused());
+  CHECK(isRejected());
 }
 
-// Failure: a crash that becomes known late is held against a request that has
-// run to its end since.
-TEST(CrashSuspects, ExcuseWhatHasRunToAnEndSinceTheCrash) {
-  const BootTime BrokeOff = Now;
+// Guards against: a crash that is detected late counts against a request that
+// has completed since.
+TEST(CrashSuspects, IgnoresCrashBeforeCompletion) {
+  const BootTime InterruptedAt = Now;
   Now += 5ms;
-  Table.completed(Guilty, Now);
+  Table.recordCompletion(Guilty, Now);
   Now += 1s;
-  Table.crashed(Guilty, {server(1), BrokeOff - RunTime, BrokeOff}, Now);
+  Table.recordCrash(Guilty, {server(1), InterruptedAt - RunTime, InterruptedAt},
+                    Now);
   LONGS_EQUAL(0, Table.crashes(Guilty));
   crash(1, 2);
   LONGS_EQUAL(1, Table.crashes(Guilty));
 }
 
-// Failure: only the gateway that saw the good end knows of it, and its peers
-// hold the crash against the request.
-TEST(CrashSuspects, TellThePeerOfARunThatEndedSince) {
+// Guards against: only the gateway that saw the completion knows of it, and its
+// peers still count the crash.
+TEST(CrashSuspects, SendsCompletionToPeer) {
   CrashSuspects Other;
   crash(1);
   Now += 5ms;
-  Other.completed(Guilty, Now);
+  Other.recordCompletion(Guilty, Now);
   Now += 1s;
-  tell(Table, Other);
-  for (const SuspectNews &Each : Other.repeats(8, Now))
-    Table.heard(Each, Now);
+  sendChanges(Table, Other);
+  for (const SuspectUpdate &Update : Other.takeRetransmissions(8, Now))
+    Table.applyUpdate(Update, Now);
   LONGS_EQUAL(0, Table.crashes(Guilty));
 }
 
-// Failure: with many copies under way at first, sends that show who is guilty
-// and trials add up to more than three after the third server.
-TEST(CrashSuspects, CountSendsAfterTheThirdServerAgainstTheTrials) {
-  const BootTime Began = Now;
-  for (unsigned Each = 0; Each < 3; ++Each)
-    Table.crashed(Guilty, {server(Each), Began, Now}, Now);
+// Guards against: when many copies run at first, the sends that add evidence
+// and the trials add up to more than three after the third crash.
+TEST(CrashSuspects, CountsSendsAfterLimitAsTrials) {
+  const BootTime StartedAt = Now;
+  for (unsigned i = 0; i < 3; ++i)
+    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
   unsigned Sends = 0;
   for (Now += 3s; Now < BootTime{24h}; Now += 4s) {
-    Table.tick(Now);
-    if (Table.holdsBack(Guilty, Now))
+    Table.expire(Now);
+    if (Table.rejectsNewAttempt(Guilty, Now))
       continue;
     ++Sends;
-    Table.sent(Guilty, Now);
+    Table.recordSend(Guilty, Now);
     crash(1, 10 + Sends);
   }
   LONGS_EQUAL(3, Sends);
 }
 
-// Failure: how the last send ended is known late, and others follow meanwhile.
-TEST(CrashSuspects, WaitForTheLastSendAfterTheThirdServer) {
-  const BootTime Began = Now;
-  for (unsigned Each = 0; Each < 3; ++Each)
-    Table.crashed(Guilty, {server(Each), Began, Now}, Now);
-  Table.sent(Guilty, Now);
+// Guards against: the outcome of the last send is known late, and the request
+// is sent again before that.
+TEST(CrashSuspects, IsolatesSendsLongerAtLimit) {
+  const BootTime StartedAt = Now;
+  for (unsigned i = 0; i < 3; ++i)
+    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
+  Table.recordSend(Guilty, Now);
   Now += 4s;
-  CHECK(Table.holdsBack(Guilty, Now).has_value());
+  CHECK(Table.rejectsNewAttempt(Guilty, Now).has_value());
   Now += 2s;
-  CHECK(!Table.holdsBack(Guilty, Now));
+  CHECK(!Table.rejectsNewAttempt(Guilty, Now));
 }
 
-TEST(CrashSuspects, ClearsARequestThatRunsToAnEnd) {
+TEST(CrashSuspects, ClearsCompletedRequest) {
   crash(2);
-  Table.completed(Guilty, Now);
+  Table.recordCompletion(Guilty, Now);
   LONGS_EQUAL(0, Table.crashes(Guilty));
   Now += 1s;
   crash(1, 2);
   LONGS_EQUAL(1, Table.crashes(Guilty));
 }
 
-// Failure: copies of a request at several gateways end a server each while the
-// first crash is being told.
-TEST(CrashSuspects, LetsASuspectRunAlone) {
+// Guards against: copies of a request at several gateways crash a server each
+// before the update about the first crash arrives.
+TEST(CrashSuspects, IsolatesSuspect) {
   CrashSuspects Other;
   crash(1);
-  CHECK(!Table.holdsBack(Guilty, Now));
-  Table.sent(Guilty, Now);
-  tell(Table, Other);
-  CHECK(Other.holdsBack(Guilty, Now).has_value());
+  CHECK(!Table.rejectsNewAttempt(Guilty, Now));
+  Table.recordSend(Guilty, Now);
+  sendChanges(Table, Other);
+  CHECK(Other.rejectsNewAttempt(Guilty, Now).has_value());
   Now += 501ms;
-  CHECK(!Other.holdsBack(Guilty, Now));
+  CHECK(!Other.rejectsNewAttempt(Guilty, Now));
 }
 
-// Failure: an attempt that has its prompt read waits for its own run.
-TEST(CrashSuspects, DoesNotHoldUpTheAttemptThatRunsAlone) {
+// Guards against: an attempt that has finished prefill waits for its own
+// isolation time before it goes on to decode.
+TEST(CrashSuspects, DoesNotBlockIsolatedAttempt) {
   crash(1);
-  Table.sent(Guilty, Now);
-  CHECK(!refused());
+  Table.recordSend(Guilty, Now);
+  CHECK(!isRejected());
 }
 
-TEST(CrashSuspects, TriesARefusedRequestSeldomAndNotForEver) {
+TEST(CrashSuspects, LimitsTrialsOfRejectedRequest) {
   unsigned Trials = 0;
   crash(3);
   for (; Now < BootTime{24h}; Now += 1s) {
-    Table.tick(Now);
-    if (refused())
+    Table.expire(Now);
+    if (isRejected())
       continue;
     ++Trials;
     crash(1, 10 + Trials);
@@ -193,90 +196,93 @@
   LONGS_EQUAL(3, Trials);
 }
 
-TEST(CrashSuspects, TellsWhenToComeBack) {
+TEST(CrashSuspects, ReportsRetryAfter) {
   crash(3);
-  CHECK(Table.refuses(Guilty, Now)->RetryAfter == 30s);
+  CHECK(Table.rejectsAttempt(Guilty, Now)->RetryAfter == 30s);
   Now += 12s;
-  CHECK(Table.refuses(Guilty, Now)->RetryAfter == 18s);
+  CHECK(Table.rejectsAttempt(Guilty, Now)->RetryAfter == 18s);
 }
 
-TEST(CrashSuspects, CountsACrashThatSeveralTellOnce) {
+TEST(CrashSuspects, CountsCrashReportedByTwoPeersOnce) {
   CrashSuspects Other;
   CrashSuspects Third;
   crash(1);
-  Other.crashed(Guilty, brokenNow(0, Now), Now);
-  tell(Table, Third);
-  tell(Other, Third);
+  Other.recordCrash(Guilty, interruptedNow(0, Now), Now);
+  sendChanges(Table, Third);
+  sendChanges(Other, Third);
   LONGS_EQUAL(1, Third.crashes(Guilty));
-  for (unsigned Each = 1; Each < 3; ++Each) {
+  for (unsigned i = 1; i < 3; ++i) {
     Now += RunTime + 1ms;
-    Third.crashed(Guilty, brokenNow(Each, Now), Now);
+    Third.recordCrash(Guilty, interruptedNow(i, Now), Now);
   }
-  tell(Third, Table);
-  CHECK(refused());
+  sendChanges(Third, Table);
+  CHECK(isRejected());
 }
 
-// Failure: a peer that has not heard of a request's good end brings its
-// suspicion back.
-TEST(CrashSuspects, StayClearedThoughAPeerTellsOldCrashes) {
+// Guards against: a peer that has not received the completion of a request
+// makes it a suspect again.
+TEST(CrashSuspects, StaysClearedAfterOutdatedUpdate) {
   CrashSuspects Late;
   crash(2);
-  tell(Table, Late);
+  sendChanges(Table, Late);
   Now += 10ms;
-  Table.completed(Guilty, Now);
-  for (const SuspectNews &Each : Late.repeats(8, Now))
-    Table.heard(Each, Now);
+  Table.recordCompletion(Guilty, Now);
+  for (const SuspectUpdate &Update : Late.takeRetransmissions(8, Now))
+    Table.applyUpdate(Update, Now);
   LONGS_EQUAL(0, Table.crashes(Guilty));
-  tell(Table, Late);
+  sendChanges(Table, Late);
   LONGS_EQUAL(0, Late.crashes(Guilty));
 }
 
-// Failure: a gateway that was cut off, or starts, runs what all others refuse.
-TEST(CrashSuspects, TellAgainWhatManyServersEndedUnder) {
+// Guards against: a gateway that was partitioned or has just started runs a
+// request that all others reject.
+TEST(CrashSuspects, RetransmitsRequestsWithSeveralCrashes) {
   crash(3);
-  Table.takeFresh(Now);
-  for (unsigned Each = 100; Each < 200; ++Each)
-    Table.crashed(request(Each), brokenNow(50, Now), Now);
+  Table.takeChanges(Now);
+  for (unsigned i = 100; i < 200; ++i)
+    Table.recordCrash(request(i), interruptedNow(50, Now), Now);
   CrashSuspects Started;
-  // Long after the telling that was lost, and before the first trial.
+  // Later than RetransmitTime after the lost update, and before the first
+  // trial.
   Now += 10s;
-  for (const SuspectNews &Each : Table.repeats(8, Now))
-    Started.heard(Each, Now);
-  CHECK(Started.refuses(Guilty, Now).has_value());
+  for (const SuspectUpdate &Update : Table.takeRetransmissions(8, Now))
+    Started.applyUpdate(Update, Now);
+  CHECK(Started.rejectsAttempt(Guilty, Now).has_value());
   LONGS_EQUAL(1, Started.size());
 }
 
-TEST(CrashSuspects, KeepTheWorstWhenTheyAreMany) {
+TEST(CrashSuspects, EvictsEntriesWithFewestCrashes) {
   crash(3);
-  for (unsigned Each = 0; Each < 10000; ++Each)
-    Table.crashed(request(100 + Each), brokenNow(50, Now), Now);
+  for (unsigned i = 0; i < 10000; ++i)
+    Table.recordCrash(request(100 + i), interruptedNow(50, Now), Now);
   CHECK(Table.size() <= CrashSuspectOptions{}.MaximumSuspects);
-  CHECK(refused());
+  CHECK(isRejected());
 }
 
-TEST(CrashSuspects, AreForgotten) {
+TEST(CrashSuspects, DropsExpiredEntries) {
   crash(2);
   Now += 11min;
-  Table.tick(Now);
+  Table.expire(Now);
   CHECK(Table.empty());
 }
 
-TEST(CrashSuspects, RefuseNewsThatNobodyWrites) {
-  CHECK(!decodeSuspectNews("no news"));
-  CHECK(!decodeSuspectNews(""));
-  SuspectNews Future;
+TEST(CrashSuspects, RejectsInvalidUpdates) {
+  CHECK(!decodeSuspectUpdates("no update"));
+  CHECK(!decodeSuspectUpdates(""));
+  SuspectUpdate Future;
   Future.Crashes.push_back({server(1), -5ms});
-  CHECK(!decodeSuspectNews(encodeSuspectNews({Future})));
+  CHECK(!decodeSuspectUpdates(encodeSuspectUpdates({Future})));
   Future.Crashes = {{server(1), 5ms, 0}};
-  CHECK(!decodeSuspectNews(encodeSuspectNews({Future})));
+  CHECK(!decodeSuspectUpdates(encodeSuspectUpdates({Future})));
   Future.Crashes.clear();
-  Future.Alone = std::chrono::milliseconds(INT64_MAX);
-  CHECK(!decodeSuspectNews(encodeSuspectNews({Future})));
+  Future.Isolation = std::chrono::milliseconds(INT64_MAX);
+  CHECK(!decodeSuspectUpdates(encodeSuspectUpdates({Future})));
 }
 
 namespace {
 
-/// Gateways before servers; datagrams between them are late and lost.
+/// Gateways that share servers. Datagrams between gateways are delayed and
+/// lost.
 class CrashModel {
 public:
   CrashModel(unsigned Gateways, uint64_t Seed)
@@ -285,171 +291,178 @@
   unsigned draw(unsigned Count) {
     return std::uniform_int_distribution<unsigned>(0, Count - 1)(m_Random);
   }
-  bool chance(double Share) {
-    return std::uniform_real_distribution<double>(0, 1)(m_Random) < Share;
+  bool chance(double Probability) {
+    return std::uniform_real_distribution<double>(0, 1)(m_Random) < Probability;
   }
-  /// A new start ends under these; its gateways tell all others.
+  /// A new server start crashes while running these requests; their gateways
+  /// send updates to all others.
   void crash(const std::vector<std::pair<unsigned, unsigned>> &RequestsAt) {
-    const auto Ended = brokenNow(1000 + ++m_Starts, Now);
+    const auto Ended = interruptedNow(1000 + ++m_LastStart, Now);
     for (const auto &[Request, Gateway] : RequestsAt) {
-      m_Tables[Gateway].crashed(request(Request), Ended, Now);
-      tell(Gateway);
+      m_Tables[Gateway].recordCrash(request(Request), Ended, Now);
+      sendChanges(Gateway);
     }
   }
-  /// Whether the gateway sends the request now; the others hear of it.
-  bool sends(unsigned Request, unsigned Gateway) {
-    if (m_Tables[Gateway].holdsBack(request(Request), Now))
+  /// Sends the request unless the gateway rejects it, and reports that to the
+  /// other gateways. Returns whether it was sent.
+  bool trySend(unsigned Request, unsigned Gateway) {
+    if (m_Tables[Gateway].rejectsNewAttempt(request(Request), Now))
       return false;
-    m_Tables[Gateway].sent(request(Request), Now);
-    tell(Gateway);
+    m_Tables[Gateway].recordSend(request(Request), Now);
+    sendChanges(Gateway);
     return true;
   }
-  bool refuses(unsigned Request, unsigned Gateway) const {
-    return m_Tables[Gateway].refuses(request(Request), Now).has_value();
+  bool rejectsAttempt(unsigned Request, unsigned Gateway) const {
+    return m_Tables[Gateway].rejectsAttempt(request(Request), Now).has_value();
   }
-  void completes(unsigned Request, unsigned Gateway) {
-    m_Tables[Gateway].completed(request(Request), Now);
-    tell(Gateway);
+  void complete(unsigned Request, unsigned Gateway) {
+    m_Tables[Gateway].recordCompletion(request(Request), Now);
+    sendChanges(Gateway);
   }
-  void pass(std::chrono::milliseconds Time) {
+  void advance(std::chrono::milliseconds Time) {
     Now += Time;
-    while (!m_Ways.empty() && m_Ways.front().At <= Now) {
-      for (const SuspectNews &Each : m_Ways.front().News)
-        m_Tables[m_Ways.front().To].heard(Each, Now);
-      m_Ways.pop_front();
+    while (!m_Datagrams.empty() && m_Datagrams.front().At <= Now) {
+      for (const SuspectUpdate &Update : m_Datagrams.front().Updates)
+        m_Tables[m_Datagrams.front().To].applyUpdate(Update, Now);
+      m_Datagrams.pop_front();
     }
-    if (Now - m_Repeated < 100ms * std::max<size_t>(1, m_Tables.size() / 20))
+    if (Now - m_RetransmittedAt <
+        100ms * std::max<size_t>(1, m_Tables.size() / 20))
       return;
-    m_Repeated = Now;
+    m_RetransmittedAt = Now;
     for (unsigned From = 0; From < m_Tables.size(); ++From) {
-      m_Tables[From].tick(Now);
-      send(From, m_Tables[From].repeats(10, Now));
+      m_Tables[From].expire(Now);
+      send(From, m_Tables[From].takeRetransmissions(10, Now));
     }
   }
-  void restart(unsigned Gateway) {
+  void restartGateway(unsigned Gateway) {
     m_Tables[Gateway] = CrashSuspects();
     m_Restarted[Gateway] = Now;
   }
-  /// It has run for as long as the platform's bound for being in touch.
-  bool inTouch(unsigned Gateway) const {
-    const auto Found = m_Restarted.find(Gateway);
-    return Found == m_Restarted.end() || Now - Found->second > 3s;
+  /// Whether the gateway has run for longer than three seconds, the platform's
+  /// limit for a new process to be connected.
+  bool isConnected(unsigned Gateway) const {
+    const auto Position = m_Restarted.find(Gateway);
+    return Position == m_Restarted.end() || Now - Position->second > 3s;
   }
 
   BootTime Now{1h};
-  /// Share of the datagrams that are lost.
-  double Lost = 0.1;
-  std::chrono::milliseconds Way{5};
+  /// Fraction of the datagrams that are lost.
+  double LossRate = 0.1;
+  std::chrono::milliseconds Latency{5};
 
 private:
-  struct OnItsWay {
+  struct Datagram {
     BootTime At{};
     unsigned To = 0;
-    std::vector<SuspectNews> News;
+    std::vector<SuspectUpdate> Updates;
   };
-  void tell(unsigned From) { send(From, m_Tables[From].takeFresh(Now)); }
-  void send(unsigned From, const std::vector<SuspectNews> &News) {
-    if (News.empty())
+  void sendChanges(unsigned From) {
+    send(From, m_Tables[From].takeChanges(Now));
+  }
+  void send(unsigned From, const std::vector<SuspectUpdate> &Updates) {
+    if (Updates.empty())
       return;
     for (unsigned To = 0; To < m_Tables.size(); ++To)
-      if (To != From && !chance(Lost))
-        m_Ways.push_back({Now + Way, To, News});
+      if (To != From && !chance(LossRate))
+        m_Datagrams.push_back({Now + Latency, To, Updates});
   }
 
   std::vector<CrashSuspects> m_Tables;
   std::mt19937_64 m_Random;
-  std::deque<OnItsWay> m_Ways;
+  std::deque<Datagram> m_Datagrams;
   std::map<unsigned, BootTime> m_Restarted;
-  BootTime m_Repeated{};
-  unsigned m_Starts = 0;
+  BootTime m_RetransmittedAt{};
+  unsigned m_LastStart = 0;
 };
 
 } // namespace
 
-TEST_GROUP(CrashSuspectsOfAFleet){};
+TEST_GROUP(CrashSuspectsFleet){};
 
-// Failure: later than three seconds after the third crash the request is sent
-// to more than three servers.
-TEST(CrashSuspectsOfAFleet, SendAGuiltyRequestToNoMoreThanThreeServers) {
+// Guards against: a request is sent to more than three servers later than three
+// seconds after its third crash.
+TEST(CrashSuspectsFleet, LimitsServersCrashedByOneRequest) {
   for (const unsigned Gateways : {1U, 4U, 30U, 103U})
     for (uint64_t Seed = 1; Seed <= (Gateways < 30 ? 5 : 2); ++Seed) {
       CrashModel Fleet(Gateways, Seed);
-      Fleet.Lost = 0.1 * static_cast<double>(Seed);
+      Fleet.LossRate = 0.1 * static_cast<double>(Seed);
       unsigned Crashes = 0;
-      unsigned Later = 0;
-      BootTime Third{};
+      unsigned LateSends = 0;
+      BootTime ThirdCrashAt{};
       struct Run {
-        BootTime Ends{};
+        BootTime EndsAt{};
         unsigned Gateway = 0;
       };
       std::deque<Run> Runs;
       const int Steps = Gateways < 30 ? 6000 : 2000;
       for (int Step = 0; Step < Steps; ++Step) {
-        Fleet.pass(10ms);
-        while (!Runs.empty() && Runs.front().Ends <= Fleet.Now) {
+        Fleet.advance(10ms);
+        while (!Runs.empty() && Runs.front().EndsAt <= Fleet.Now) {
           Fleet.crash({{1, Runs.front().Gateway}});
           Runs.pop_front();
           if (++Crashes == 3)
-            Third = Fleet.Now;
+            ThirdCrashAt = Fleet.Now;
         }
-        // What one that is alone knows ends with it.
+        // The state of a single gateway is lost with it.
         if (Gateways > 1 && Fleet.chance(0.01))
-          Fleet.restart(Fleet.draw(Gateways));
-        // It comes ten times a second, to any gateway.
-        const unsigned At = Fleet.draw(Gateways);
-        if (!Fleet.chance(0.1) || !Fleet.sends(1, At))
+          Fleet.restartGateway(Fleet.draw(Gateways));
+        // The request arrives ten times a second, at a random gateway.
+        const unsigned Gateway = Fleet.draw(Gateways);
+        if (!Fleet.chance(0.1) || !Fleet.trySend(1, Gateway))
           continue;
-        Runs.push_back({Fleet.Now + RunTime, At});
-        if (Third != BootTime{} && Fleet.Now - Third > 3s && Fleet.inTouch(At))
-          ++Later;
+        Runs.push_back({Fleet.Now + RunTime, Gateway});
+        if (ThirdCrashAt != BootTime{} && Fleet.Now - ThirdCrashAt > 3s &&
+            Fleet.isConnected(Gateway))
+          ++LateSends;
       }
       CHECK(Crashes >= 3);
-      CHECK(Later <= 3);
+      CHECK(LateSends <= 3);
     }
 }
 
-// Failure: a request that was at servers which ended for reasons of their own
-// is refused for good, though nothing is wrong with it.
-TEST(CrashSuspectsOfAFleet, RefuseNoInnocentRequestForGood) {
+// Guards against: a harmless request is rejected permanently because the
+// servers that ran it crashed for other reasons.
+TEST(CrashSuspectsFleet, DoesNotRejectHarmlessRequestPermanently) {
   constexpr unsigned Gateways = 4;
   constexpr unsigned Crashes = 10000;
-  constexpr unsigned Busy = 6;
-  /// How often the common one is sent between two crashes.
-  constexpr unsigned Common = 8;
+  constexpr unsigned OtherRequests = 6;
+  /// Sends of the common request between two crashes.
+  constexpr unsigned CommonSends = 8;
   CrashModel Fleet(Gateways, 7);
-  unsigned Refused = 0;
+  unsigned Rejections = 0;
   unsigned NextRequest = 100;
   for (unsigned Crash = 0; Crash < Crashes; ++Crash) {
-    std::vector<std::pair<unsigned, unsigned>> Beside;
-    for (unsigned Each = 0; Each < Busy; ++Each)
-      Beside.emplace_back(NextRequest++, Fleet.draw(Gateways));
-    // One that all callers send alike is at each server that ends.
-    Beside.emplace_back(1, Fleet.draw(Gateways));
-    Fleet.crash(Beside);
-    Fleet.pass(20ms);
-    // Each comes again once.
-    for (const auto &[Request, Gateway] : Beside) {
+    std::vector<std::pair<unsigned, unsigned>> Running;
+    for (unsigned i = 0; i < OtherRequests; ++i)
+      Running.emplace_back(NextRequest++, Fleet.draw(Gateways));
+    // The request that all callers send is running on each server that crashes.
+    Running.emplace_back(1, Fleet.draw(Gateways));
+    Fleet.crash(Running);
+    Fleet.advance(20ms);
+    // Each request is sent once more.
+    for (const auto &[Request, Unused] : Running) {
       if (Request == 1)
         continue;
-      const unsigned At = Fleet.draw(Gateways);
-      Refused += Fleet.refuses(Request, At) ? 1 : 0;
-      if (Fleet.sends(Request, At))
-        Fleet.completes(Request, At);
+      const unsigned Gateway = Fleet.draw(Gateways);
+      Rejections += Fleet.rejectsAttempt(Request, Gateway) ? 1 : 0;
+      if (Fleet.trySend(Request, Gateway))
+        Fleet.complete(Request, Gateway);
     }
-    Fleet.pass(20ms);
-    for (unsigned Each = 0; Each < Common; ++Each) {
-      const unsigned At = Fleet.draw(Gateways);
-      Refused += Fleet.refuses(1, At) ? 1 : 0;
-      if (Fleet.sends(1, At))
-        Fleet.completes(1, At);
-      Fleet.pass(10ms);
+    Fleet.advance(20ms);
+    for (unsigned i = 0; i < CommonSends; ++i) {
+      const unsigned Gateway = Fleet.draw(Gateways);
+      Rejections += Fleet.rejectsAttempt(1, Gateway) ? 1 : 0;
+      if (Fleet.trySend(1, Gateway))
+        Fleet.complete(1, Gateway);
+      Fleet.advance(10ms);
     }
   }
-  Fleet.pass(1s);
-  for (unsigned At = 0; At < Gateways; ++At)
+  Fleet.advance(1s);
+  for (unsigned Gateway = 0; Gateway < Gateways; ++Gateway)
     for (unsigned Request = 1; Request < NextRequest; ++Request)
-      CHECK(!Fleet.refuses(Request, At));
-  // A gateway that missed that the request was cleared may refuse it until it
-  // is told again.
-  CHECK(Refused * 1000 < Crashes * (Busy + Common));
+      CHECK(!Fleet.rejectsAttempt(Request, Gateway));
+  // A gateway that missed the completion may reject the request until the next
+  // retransmission.
+  CHECK(Rejections * 1000 < Crashes * (OtherRequests + CommonSends));
 }
--- a/Tests/LibDispatch/TestCrashedTogether.cpp
+++ b/Tests/LibDispatch/TestCrashedTogether.cpp
@@ -1,9 +1,9 @@
-//===- TestCrashedTogether.cpp - Copies of a request at many servers ------===//
+//===- TestCrashedTogether.cpp - Overlapping copies of a suspect request --===//
 //
-// Gateways before servers that a guilty request ends, again and again, while
-// many callers send another request alike; played by small steps of time. When
-// a gateway learns that a server has ended is a parameter: at once where
-// connections are refused, late where only the store's list tells.
+// Simulates, in small time steps, gateways that send to servers which a harmful
+// request crashes repeatedly, while many callers send another, harmless
+// request. The delay until a gateway detects a crash is a parameter: short
+// where connections are refused, long where only the store's list shows it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,240 +23,244 @@
 namespace {
 
 constexpr unsigned Common = 0;
-/// Two of them: each hides the other.
-constexpr unsigned GuiltyRequests = 2;
+/// Two harmful requests: the crashes of one look like those of the other.
+constexpr unsigned HarmfulRequests = 2;
 constexpr milliseconds Step{1};
-constexpr milliseconds Repeats{100};
-constexpr milliseconds Way{3};
+constexpr milliseconds RetransmitInterval{100};
+constexpr milliseconds Latency{3};
 
 RequestFingerprint request(unsigned Number) {
-  RequestFingerprint Made;
-  Made.Bytes[0] = static_cast<uint8_t>(Number);
-  return Made;
+  RequestFingerprint Fingerprint;
+  Fingerprint.Bytes[0] = static_cast<uint8_t>(Number);
+  return Fingerprint;
 }
 
-struct Scene {
+struct Scenario {
   uint64_t Seed = 1;
-  /// From a server's end until a gateway knows of it, at most.
-  milliseconds KnownWithin{5};
+  /// Maximum delay until a gateway detects the crash of a server.
+  milliseconds DetectionDelay{5};
   unsigned Gateways = 4;
   unsigned Servers = 3;
-  /// Chance of a send in each step.
+  /// Probability of a send in each step.
   double CommonRate = 0.1;
-  double GuiltyRate = 0.01;
-  milliseconds LongestRun{15};
-  double Lost = 0.1;
+  double HarmfulRate = 0.01;
+  milliseconds MaximumRunTime{15};
+  double LossRate = 0.1;
 };
 
 class Fleet {
 public:
-  explicit Fleet(const Scene &What)
-      : m_What(What), m_Random(What.Seed), m_Tables(What.Gateways),
-        m_Servers(What.Servers), m_Ends(GuiltyRequests + 1) {}
+  explicit Fleet(const Scenario &Options)
+      : m_Scenario(Options), m_Random(Options.Seed), m_Tables(Options.Gateways),
+        m_Servers(Options.Servers), m_CrashCounts(HarmfulRequests + 1) {}
 
-  void play(milliseconds Time) {
+  void run(milliseconds Time) {
     for (const BootTime End = m_Now + Time; m_Now < End;) {
       m_Now += Step;
       deliver();
-      learn();
+      detectCrashes();
       endRuns();
-      if (chance(m_What.CommonRate))
-        come(Common);
-      for (unsigned Each = 1; Each <= GuiltyRequests; ++Each)
-        if (chance(m_What.GuiltyRate))
-          come(Each);
-      repeat();
+      if (chance(m_Scenario.CommonRate))
+        arrive(Common);
+      for (unsigned Request = 1; Request <= HarmfulRequests; ++Request)
+        if (chance(m_Scenario.HarmfulRate))
+          arrive(Request);
+      retransmit();
     }
   }
-  /// Counts from here on.
-  void forgetCounts() { Good = Refused = 0; }
+  /// Restarts the counts of the common request.
+  void resetCounts() { Completed = Rejected = 0; }
 
-  /// Of the common request.
-  unsigned Good = 0;
-  unsigned Refused = 0;
-  /// The most sends of a guilty one that came later than three seconds after it
-  /// had ended its third server.
-  unsigned MostLater = 0;
-  unsigned Ends = 0;
+  /// Counts of the common request.
+  unsigned Completed = 0;
+  unsigned Rejected = 0;
+  /// The highest number of sends of one harmful request later than three
+  /// seconds after its third crash.
+  unsigned MaximumLateSends = 0;
+  unsigned Crashes = 0;
 
 private:
   struct Server {
     unsigned Start = 0;
     BootTime BackAt{};
   };
-  struct Run {
+  struct ActiveRun {
     unsigned Request = 0;
     unsigned Gateway = 0;
     unsigned Server = 0;
     unsigned Start = 0;
-    BootTime Began{};
-    BootTime Ends{};
+    BootTime StartedAt{};
+    BootTime EndsAt{};
   };
-  struct Broken {
-    BootTime KnownAt{};
+  struct InterruptedRun {
+    BootTime DetectedAt{};
     unsigned Gateway = 0;
     unsigned Request = 0;
-    CrashSuspects::BrokenSend Send;
+    CrashSuspects::InterruptedSend Send;
   };
   struct Datagram {
     BootTime At{};
     unsigned To = 0;
-    std::vector<SuspectNews> News;
+    std::vector<SuspectUpdate> Updates;
   };
-  struct EndsOf {
+  struct CrashCount {
     unsigned Servers = 0;
-    BootTime Third{};
-    unsigned Later = 0;
+    BootTime ThirdAt{};
+    unsigned LateSends = 0;
   };
 
-  bool chance(double Share) {
-    return std::uniform_real_distribution<double>(0, 1)(m_Random) < Share;
+  bool chance(double Probability) {
+    return std::uniform_real_distribution<double>(0, 1)(m_Random) < Probability;
   }
   unsigned draw(unsigned From, unsigned To) {
     return std::uniform_int_distribution<unsigned>(From, To)(m_Random);
   }
 
-  void come(unsigned Which) {
-    const unsigned At = draw(0, m_What.Gateways - 1);
-    CrashSuspects &Table = m_Tables[At];
-    if (Table.holdsBack(request(Which), m_Now)) {
-      Refused += Which == Common ? 1 : 0;
+  void arrive(unsigned Request) {
+    const unsigned Gateway = draw(0, m_Scenario.Gateways - 1);
+    CrashSuspects &Table = m_Tables[Gateway];
+    if (Table.rejectsNewAttempt(request(Request), m_Now)) {
+      Rejected += Request == Common ? 1 : 0;
       return;
     }
-    std::vector<unsigned> Up;
-    for (unsigned Each = 0; Each < m_Servers.size(); ++Each)
-      if (m_Servers[Each].BackAt <= m_Now)
-        Up.push_back(Each);
-    if (Up.empty())
+    std::vector<unsigned> Available;
+    for (unsigned i = 0; i < m_Servers.size(); ++i)
+      if (m_Servers[i].BackAt <= m_Now)
+        Available.push_back(i);
+    if (Available.empty())
       return;
-    const unsigned To = Up[draw(0, static_cast<unsigned>(Up.size() - 1))];
-    Table.sent(request(Which), m_Now);
-    tell(At);
-    noteSend(Which);
-    m_Runs.push_back(
-        {Which, At, To, m_Servers[To].Start, m_Now,
-         m_Now + milliseconds(draw(
-                     2, static_cast<unsigned>(m_What.LongestRun.count())))});
+    const unsigned Server =
+        Available[draw(0, static_cast<unsigned>(Available.size() - 1))];
+    Table.recordSend(request(Request), m_Now);
+    sendChanges(Gateway);
+    countSend(Request);
+    m_Runs.push_back({Request, Gateway, Server, m_Servers[Server].Start, m_Now,
+                      m_Now + milliseconds(draw(
+                                  2, static_cast<unsigned>(
+                                         m_Scenario.MaximumRunTime.count())))});
   }
 
-  void noteSend(unsigned Which) {
-    EndsOf &Of = m_Ends[Which];
-    if (Of.Servers >= 3 && m_Now - Of.Third > 3s)
-      MostLater = std::max(MostLater, ++Of.Later);
+  void countSend(unsigned Request) {
+    CrashCount &Count = m_CrashCounts[Request];
+    if (Count.Servers >= 3 && m_Now - Count.ThirdAt > 3s)
+      MaximumLateSends = std::max(MaximumLateSends, ++Count.LateSends);
   }
 
   void endRuns() {
-    std::vector<Run> Over;
-    std::erase_if(m_Runs, [&](const Run &Each) {
-      if (Each.Ends > m_Now)
+    std::vector<ActiveRun> Finished;
+    std::erase_if(m_Runs, [&](const ActiveRun &Run) {
+      if (Run.EndsAt > m_Now)
         return false;
-      Over.push_back(Each);
+      Finished.push_back(Run);
       return true;
     });
-    for (const Run &Each : Over) {
-      // It ended with its server.
-      if (m_Servers[Each.Server].Start != Each.Start)
+    for (const ActiveRun &Run : Finished) {
+      // The run was interrupted by a crash of its server.
+      if (m_Servers[Run.Server].Start != Run.Start)
         continue;
-      if (Each.Request != Common) {
-        endServer(Each);
+      if (Run.Request != Common) {
+        crashServer(Run);
         continue;
       }
-      ++Good;
-      m_Tables[Each.Gateway].completed(request(Common), m_Now);
-      tell(Each.Gateway);
+      ++Completed;
+      m_Tables[Run.Gateway].recordCompletion(request(Common), m_Now);
+      sendChanges(Run.Gateway);
     }
   }
 
-  void endServer(const Run &Under) {
-    ++Ends;
-    if (EndsOf &Of = m_Ends[Under.Request]; ++Of.Servers == 3)
-      Of.Third = m_Now;
-    const milliseconds Known = m_What.KnownWithin / 2;
-    const auto Breaks = [&](const Run &Each) {
-      const milliseconds Spread(draw(0, static_cast<unsigned>(Known.count())));
-      m_Broken.push_back({m_Now + Known + Spread,
-                          Each.Gateway,
-                          Each.Request,
-                          {{"s" + std::to_string(Each.Start), std::nullopt},
-                           Each.Began,
-                           m_Now}});
+  void crashServer(const ActiveRun &Cause) {
+    ++Crashes;
+    if (CrashCount &Count = m_CrashCounts[Cause.Request]; ++Count.Servers == 3)
+      Count.ThirdAt = m_Now;
+    const milliseconds Delay = m_Scenario.DetectionDelay / 2;
+    const auto Interrupt = [&](const ActiveRun &Run) {
+      const milliseconds Spread(draw(0, static_cast<unsigned>(Delay.count())));
+      m_Interrupted.push_back({m_Now + Delay + Spread,
+                               Run.Gateway,
+                               Run.Request,
+                               {{"s" + std::to_string(Run.Start), std::nullopt},
+                                Run.StartedAt,
+                                m_Now}});
     };
-    Breaks(Under);
-    std::erase_if(m_Runs, [&](const Run &Each) {
-      if (Each.Server != Under.Server)
+    Interrupt(Cause);
+    std::erase_if(m_Runs, [&](const ActiveRun &Run) {
+      if (Run.Server != Cause.Server)
         return false;
-      Breaks(Each);
+      Interrupt(Run);
       return true;
     });
-    m_Servers[Under.Server] = {++m_Starts,
+    m_Servers[Cause.Server] = {++m_LastStart,
                                m_Now + milliseconds(draw(100, 1300))};
   }
 
-  void learn() {
-    std::vector<Broken> Known;
-    std::erase_if(m_Broken, [&](const Broken &Each) {
-      if (Each.KnownAt > m_Now)
+  void detectCrashes() {
+    std::vector<InterruptedRun> Detected;
+    std::erase_if(m_Interrupted, [&](const InterruptedRun &Run) {
+      if (Run.DetectedAt > m_Now)
         return false;
-      Known.push_back(Each);
+      Detected.push_back(Run);
       return true;
     });
-    for (const Broken &Each : Known) {
-      m_Tables[Each.Gateway].crashed(request(Each.Request), Each.Send, m_Now);
-      tell(Each.Gateway);
+    for (const InterruptedRun &Run : Detected) {
+      m_Tables[Run.Gateway].recordCrash(request(Run.Request), Run.Send, m_Now);
+      sendChanges(Run.Gateway);
     }
   }
 
-  void tell(unsigned From) { send(From, m_Tables[From].takeFresh(m_Now)); }
+  void sendChanges(unsigned From) {
+    send(From, m_Tables[From].takeChanges(m_Now));
+  }
 
-  void send(unsigned From, const std::vector<SuspectNews> &News) {
-    for (unsigned To = 0; To < m_Tables.size() && !News.empty(); ++To)
-      if (To != From && !chance(m_What.Lost))
-        m_Ways.push_back({m_Now + Way, To, News});
+  void send(unsigned From, const std::vector<SuspectUpdate> &Updates) {
+    for (unsigned To = 0; To < m_Tables.size() && !Updates.empty(); ++To)
+      if (To != From && !chance(m_Scenario.LossRate))
+        m_Datagrams.push_back({m_Now + Latency, To, Updates});
   }
 
   void deliver() {
-    for (; !m_Ways.empty() && m_Ways.front().At <= m_Now; m_Ways.pop_front())
-      for (const SuspectNews &Each : m_Ways.front().News)
-        m_Tables[m_Ways.front().To].heard(Each, m_Now);
+    for (; !m_Datagrams.empty() && m_Datagrams.front().At <= m_Now;
+         m_Datagrams.pop_front())
+      for (const SuspectUpdate &Update : m_Datagrams.front().Updates)
+        m_Tables[m_Datagrams.front().To].applyUpdate(Update, m_Now);
   }
 
-  void repeat() {
-    if (m_Now - m_Repeated < Repeats)
+  void retransmit() {
+    if (m_Now - m_RetransmittedAt < RetransmitInterval)
       return;
-    m_Repeated = m_Now;
+    m_RetransmittedAt = m_Now;
     for (unsigned From = 0; From < m_Tables.size(); ++From) {
-      m_Tables[From].tick(m_Now);
-      send(From, m_Tables[From].repeats(10, m_Now));
+      m_Tables[From].expire(m_Now);
+      send(From, m_Tables[From].takeRetransmissions(10, m_Now));
     }
   }
 
-  const Scene m_What;
+  const Scenario m_Scenario;
   std::mt19937_64 m_Random;
   BootTime m_Now{1h};
-  BootTime m_Repeated{};
+  BootTime m_RetransmittedAt{};
   std::vector<CrashSuspects> m_Tables;
   std::vector<Server> m_Servers;
-  unsigned m_Starts = 100;
-  std::vector<Run> m_Runs;
-  std::vector<Broken> m_Broken;
-  std::deque<Datagram> m_Ways;
-  std::vector<EndsOf> m_Ends;
+  unsigned m_LastStart = 100;
+  std::vector<ActiveRun> m_Runs;
+  std::vector<InterruptedRun> m_Interrupted;
+  std::deque<Datagram> m_Datagrams;
+  std::vector<CrashCount> m_CrashCounts;
 };
 
-/// Plays scenes of each kind, with several seeds.
-template <typename Checker> void playAll(Checker Check) {
+/// Runs the simulation with each combination of parameters and several seeds.
+template <typename Checker> void runAll(Checker Check) {
   constexpr uint64_t Seeds = 6;
-  for (const milliseconds Known : {5ms, 50ms, 1000ms, 2000ms})
-    for (const milliseconds LongestRun : {15ms, 800ms})
+  for (const milliseconds Delay : {5ms, 50ms, 1000ms, 2000ms})
+    for (const milliseconds MaximumRunTime : {15ms, 800ms})
       for (const unsigned Servers : {3U, 8U})
-        for (const double GuiltyRate : {0.01, 0.05})
+        for (const double HarmfulRate : {0.01, 0.05})
           for (uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-            Fleet Played({.Seed = Seed,
-                          .KnownWithin = Known,
-                          .Servers = Servers,
-                          .GuiltyRate = GuiltyRate,
-                          .LongestRun = LongestRun});
-            Check(Played);
+            Fleet Simulation({.Seed = Seed,
+                              .DetectionDelay = Delay,
+                              .Servers = Servers,
+                              .HarmfulRate = HarmfulRate,
+                              .MaximumRunTime = MaximumRunTime});
+            Check(Simulation);
           }
 }
 
@@ -264,27 +268,29 @@
 
 TEST_GROUP(CrashedTogether){};
 
-// Failure: a request that many callers send alike was at three servers that
-// others ended, and is refused with them.
-TEST(CrashedTogether, DoNotRefuseWhatManySendAlike) {
-  unsigned Refusing = 0;
-  playAll([&](Fleet &Played) {
-    // Until those that are guilty are known.
-    Played.play(12s);
-    Played.forgetCounts();
-    Played.play(10s);
-    Refusing += Played.Refused * 100 > Played.Good ? 1 : 0;
+// Guards against: a harmless request that many callers send was running on
+// three servers that other requests crashed, and is rejected together with
+// them.
+TEST(CrashedTogether, DoesNotRejectCommonHarmlessRequest) {
+  unsigned RejectingRuns = 0;
+  runAll([&](Fleet &Simulation) {
+    // Time to reject the harmful requests.
+    Simulation.run(12s);
+    Simulation.resetCounts();
+    Simulation.run(10s);
+    RejectingRuns += Simulation.Rejected * 100 > Simulation.Completed ? 1 : 0;
   });
-  LONGS_EQUAL(0, Refusing);
+  LONGS_EQUAL(0, RejectingRuns);
 }
 
-// Failure: a guilty request of which copies are at several servers at once is
-// sent to more than three later than three seconds after the third.
-TEST(CrashedTogether, SendAGuiltyRequestToNoMoreThanThreeServers) {
-  unsigned Most = 0;
-  playAll([&](Fleet &Played) {
-    Played.play(60s);
-    Most = std::max(Most, Played.MostLater);
+// Guards against: a harmful request with copies on several servers at once is
+// sent to more than three servers later than three seconds after the third
+// crash.
+TEST(CrashedTogether, LimitsServersCrashedByOneRequest) {
+  unsigned Maximum = 0;
+  runAll([&](Fleet &Simulation) {
+    Simulation.run(60s);
+    Maximum = std::max(Maximum, Simulation.MaximumLateSends);
   });
-  CHECK(Most <= 3);
+  CHECK(Maximum <= 3);
 }
