--- a/Libraries/LibDispatch/DatagramSeal.cpp
+++ b/Libraries/LibDispatch/DatagramSeal.cpp
@@ -1,6 +1,7 @@
-//===- DatagramSeal.cpp - Proves that a datagram is of this fleet ---------===//
+//===- DatagramSeal.cpp - Authenticates datagrams of the fleet ------------===//
 //
-// SipHash with 128 bits; a microsecond for a datagram of a thousand bytes.
+// Uses SipHash with 128 bits, which takes a microsecond for a datagram of a
+// thousand bytes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,34 +19,33 @@
 static_assert(crypto_shorthash_siphashx24_BYTES == 16);
 
 std::string DatagramSeal::newSecret() {
-  Key Made;
-  randombytes_buf(Made.data(), Made.size());
-  std::string Text(2 * Made.size() + 1, '\0');
-  sodium_bin2hex(Text.data(), Text.size(), Made.data(), Made.size());
+  Key Secret;
+  randombytes_buf(Secret.data(), Secret.size());
+  std::string Text(2 * Secret.size() + 1, '\0');
+  sodium_bin2hex(Text.data(), Text.size(), Secret.data(), Secret.size());
   Text.pop_back();
   return Text;
 }
 
 Result<DatagramSeal> DatagramSeal::fromSecret(const std::string &Secret) {
-  FIGLIFT_TRY(Read, parseFleetSecret(Secret));
-  return DatagramSeal(Read);
+  FIGLIFT_TRY(Parsed, parseFleetSecret(Secret));
+  return DatagramSeal(Parsed);
 }
 
 DatagramSeal::Checksum DatagramSeal::checksum(std::string_view Bytes) const {
-  Checksum Made;
+  Checksum Sum;
   crypto_shorthash_siphashx24(
-      Made.data(), reinterpret_cast<const unsigned char *>(Bytes.data()),
+      Sum.data(), reinterpret_cast<const unsigned char *>(Bytes.data()),
       Bytes.size(), m_Key.data());
-  return Made;
+  return Sum;
 }
 
 std::string DatagramSeal::seal(char Kind, std::string_view Body) const {
   std::string Sealed(ChecksumBytes, '\0');
   Sealed += Kind;
   Sealed += Body;
-  const Checksum Made =
-      checksum(std::string_view(Sealed).substr(ChecksumBytes));
-  std::copy(Made.begin(), Made.end(), Sealed.begin());
+  const Checksum Sum = checksum(std::string_view(Sealed).substr(ChecksumBytes));
+  std::copy(Sum.begin(), Sum.end(), Sealed.begin());
   return Sealed;
 }
 
--- a/Libraries/LibDispatch/DatagramSeal.h
+++ b/Libraries/LibDispatch/DatagramSeal.h
@@ -1,9 +1,10 @@
-//===- DatagramSeal.h - Proves that a datagram is of this fleet -*- C++ -*-===//
+//===- DatagramSeal.h - Authenticates datagrams of the fleet ----*- C++ -*-===//
 //
-// Gateways believe what their peers tell: where servers are, and what work is
-// under way. Whoever could send them datagrams could have prompts sent to an
-// address of his own. So each datagram begins with a checksum keyed by a
-// secret that only the fleet's processes can read in the store.
+// Gateways act on the reports of their peers, for example on the addresses of
+// servers and on work in progress. An attacker who could send them datagrams
+// could redirect prompts to his own address. So each datagram begins with a
+// checksum keyed by a secret that only processes of the fleet can read from the
+// store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,18 +21,18 @@
 
 class DatagramSeal {
 public:
-  /// A new secret, as text.
+  /// Creates a new secret, as hexadecimal text.
   static std::string newSecret();
-  /// Fails with InvalidInput if \p Secret is none that newSecret() made.
+  /// Fails with InvalidInput if \p Secret is not in the format of newSecret().
   static Result<DatagramSeal> fromSecret(const std::string &Secret);
 
-  /// \p Body with its kind and checksum in front.
+  /// Returns \p Body with the checksum and its kind prepended.
   std::string seal(char Kind, std::string_view Body) const;
   struct Opened {
     char Kind = 0;
     std::string_view Body;
   };
-  /// Nothing if it was not sealed with the same secret.
+  /// Returns nothing if the datagram was not sealed with the same secret.
   std::optional<Opened> open(std::string_view Bytes) const;
 
 private:
--- a/Libraries/LibDispatch/FleetSecret.cpp
+++ b/Libraries/LibDispatch/FleetSecret.cpp
@@ -1,4 +1,4 @@
-//===- FleetSecret.cpp - What only the fleet's processes know -------------===//
+//===- FleetSecret.cpp - Secret shared by a fleet -------------------------===//
 //
 // See FleetSecret.h.
 //
@@ -11,14 +11,14 @@
 namespace figlift::dispatch {
 
 Result<FleetSecret> parseFleetSecret(const std::string &Text) {
-  FleetSecret Read;
+  FleetSecret Secret;
   size_t Count = 0;
-  if (sodium_hex2bin(Read.data(), Read.size(), Text.data(), Text.size(),
+  if (sodium_hex2bin(Secret.data(), Secret.size(), Text.data(), Text.size(),
                      nullptr, &Count, nullptr) != 0 ||
-      Count != Read.size())
+      Count != Secret.size())
     return failure(ResultCode::InvalidInput,
                    "not a secret of 16 bytes in hexadecimal", "secret");
-  return Read;
+  return Secret;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/FleetSecret.h
+++ b/Libraries/LibDispatch/FleetSecret.h
@@ -1,6 +1,6 @@
-//===- FleetSecret.h - What only the fleet's processes know -----*- C++ -*-===//
+//===- FleetSecret.h - Secret shared by a fleet -----------------*- C++ -*-===//
 //
-// Sixteen bytes in the store, written as hexadecimal. Keys are made from it.
+// Sixteen bytes, stored as hexadecimal. Keys are derived from it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 using FleetSecret = std::array<unsigned char, 16>;
 
-/// Fails with InvalidInput if \p Text is no such secret.
+/// Fails with InvalidInput if \p Text is not 16 bytes in hexadecimal.
 Result<FleetSecret> parseFleetSecret(const std::string &Text);
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/RequestFingerprint.cpp
+++ b/Libraries/LibDispatch/RequestFingerprint.cpp
@@ -1,7 +1,7 @@
-//===- RequestFingerprint.cpp - Which requests are the same ---------------===//
+//===- RequestFingerprint.cpp - Identifies repeated requests --------------===//
 //
-// SipHash with 128 bits over the parts, each behind its length: a third of the
-// time of BLAKE2b.
+// SipHash with 128 bits over the parts, each prefixed with its length. It takes
+// a third of the time of BLAKE2b.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,18 +18,18 @@
 
 namespace {
 
-constexpr size_t ReservedForTheRest = 256;
+constexpr size_t ReservedForSmallParts = 256;
 constexpr std::string_view KeyPurpose = "figlift request fingerprint";
 
 const uint8_t *bytesOf(std::string_view Text) {
   return reinterpret_cast<const uint8_t *>(Text.data());
 }
 
-/// The length keeps two parts from running into each other.
-void append(std::string &To, std::string_view Part) {
+/// The length prefix separates adjacent parts.
+void append(std::string &Output, std::string_view Part) {
   const uint64_t Length = Part.size();
-  To.append(reinterpret_cast<const char *>(&Length), sizeof(Length));
-  To += Part;
+  Output.append(reinterpret_cast<const char *>(&Length), sizeof(Length));
+  Output += Part;
 }
 
 } // namespace
@@ -42,23 +42,25 @@
 }
 
 Result<Fingerprinter> Fingerprinter::fromSecret(const std::string &Secret) {
-  FIGLIFT_TRY(Read, parseFleetSecret(Secret));
+  FIGLIFT_TRY(Parsed, parseFleetSecret(Secret));
   Key Derived;
   crypto_generichash(Derived.data(), Derived.size(), bytesOf(KeyPurpose),
-                     KeyPurpose.size(), Read.data(), Read.size());
+                     KeyPurpose.size(), Parsed.data(), Parsed.size());
   return Fingerprinter(Derived);
 }
 
-RequestFingerprint Fingerprinter::of(const RequestIdentity &What) const {
+RequestFingerprint Fingerprinter::of(const RequestIdentity &Identity) const {
   std::string Text;
-  Text.reserve(What.Target.size() + What.Body.size() + ReservedForTheRest);
+  Text.reserve(Identity.Target.size() + Identity.Body.size() +
+               ReservedForSmallParts);
   for (const std::string_view Part :
-       {What.Method, What.Host, What.Target, What.Credentials, What.Body})
+       {Identity.Method, Identity.Host, Identity.Target, Identity.Credentials,
+        Identity.Body})
     append(Text, Part);
-  RequestFingerprint Made;
-  crypto_shorthash_siphashx24(Made.Bytes.data(), bytesOf(Text), Text.size(),
-                              m_Key.data());
-  return Made;
+  RequestFingerprint Fingerprint;
+  crypto_shorthash_siphashx24(Fingerprint.Bytes.data(), bytesOf(Text),
+                              Text.size(), m_Key.data());
+  return Fingerprint;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/RequestFingerprint.h
+++ b/Libraries/LibDispatch/RequestFingerprint.h
@@ -1,10 +1,10 @@
-//===- RequestFingerprint.h - Which requests are the same -------*- C++ -*-===//
+//===- RequestFingerprint.h - Identifies repeated requests ------*- C++ -*-===//
 //
-// A request that comes again has another attempt id, and often another gateway.
-// What stays is what its caller asks for: method, host, target, credentials and
-// body. The fingerprint is a hash of these, keyed by the fleet's secret, so
-// that all gateways of a fleet agree on it and nobody else can craft a request
-// that shares another's.
+// A repeated request has another attempt id, and often reaches another gateway.
+// Method, host, target, credentials and body stay the same. The fingerprint is
+// a hash of these, keyed by the fleet's secret: all gateways of a fleet agree
+// on it, and outsiders cannot craft a request with the fingerprint of another
+// one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,37 +24,37 @@
   std::array<uint8_t, 16> Bytes{};
 
   auto operator<=>(const RequestFingerprint &) const = default;
-  /// Hexadecimal.
+  /// Returns the bytes in hexadecimal.
   std::string toString() const;
 };
 
-/// What makes two requests the same one.
+/// The parts that identify a request.
 struct RequestIdentity {
   std::string_view Method;
   std::string_view Host;
   /// Path and query.
   std::string_view Target;
-  /// Empty where the caller shows none.
+  /// Empty if the caller sends none.
   std::string_view Credentials;
   std::string_view Body;
 };
 
 class Fingerprinter {
 public:
-  /// Fails with InvalidInput if \p Secret is none that
-  /// DatagramSeal::newSecret() made.
+  /// Fails with InvalidInput if \p Secret is not in the format of
+  /// DatagramSeal::newSecret().
   static Result<Fingerprinter> fromSecret(const std::string &Secret);
 
-  RequestFingerprint of(const RequestIdentity &What) const;
+  RequestFingerprint of(const RequestIdentity &Identity) const;
 
 private:
   using Key = std::array<uint8_t, 16>;
 
   explicit Fingerprinter(const Key &Derived) : m_Key(Derived) {}
 
-  /// Derived from the secret: log lines show fingerprints of texts that callers
-  /// choose, and with the secret itself as key these would be checksums that
-  /// DatagramSeal takes for the fleet's own.
+  /// Derived from the secret. Log lines show fingerprints of content that
+  /// callers choose; keyed with the secret itself they would be valid checksums
+  /// of a DatagramSeal.
   Key m_Key;
 };
 
--- a/Tests/LibDispatch/TestDatagramSeal.cpp
+++ b/Tests/LibDispatch/TestDatagramSeal.cpp
@@ -1,6 +1,7 @@
-//===- TestDatagramSeal.cpp - Datagrams of this fleet and of others -------===//
+//===- TestDatagramSeal.cpp - Authentication of datagrams -----------------===//
 //
-// Sealed, changed, cut, and sealed by somebody else.
+// Covers datagrams that are valid, changed, truncated, or sealed with another
+// secret.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +16,7 @@
       DatagramSeal::fromSecret(DatagramSeal::newSecret()).value();
 };
 
-TEST(DatagramSeal, OpensWhatItSealed) {
+TEST(DatagramSeal, OpensSealedDatagram) {
   const std::string Bytes = Seal.seal('R', "body");
   const auto Opened = Seal.open(Bytes);
   CHECK(Opened.has_value());
@@ -23,23 +24,22 @@
   CHECK(Opened->Body == "body");
 }
 
-// Symptom: prompts go to an address that is no server's.
-// Sequence: somebody sends a gateway a datagram that names a new server.
-// Cause: whoever sent it was believed.
-TEST(DatagramSeal, RefusesWhatOthersSealedOrChanged) {
+// Guards against: a datagram from outside the fleet names a new server, and
+// prompts are sent to that address.
+TEST(DatagramSeal, RejectsForeignAndChangedDatagrams) {
   const auto Other =
       DatagramSeal::fromSecret(DatagramSeal::newSecret()).value();
   CHECK(!Seal.open(Other.seal('R', "body")));
   const std::string Bytes = Seal.seal('R', "body");
-  for (size_t At = 0; At < Bytes.size(); ++At) {
+  for (size_t i = 0; i < Bytes.size(); ++i) {
     std::string Changed = Bytes;
-    Changed[At] = static_cast<char>(Changed[At] ^ 1);
+    Changed[i] = static_cast<char>(Changed[i] ^ 1);
     CHECK(!Seal.open(Changed));
-    CHECK(!Seal.open(Bytes.substr(0, At)));
+    CHECK(!Seal.open(Bytes.substr(0, i)));
   }
 }
 
-TEST(DatagramSeal, RefusesSecretsThatAreNone) {
+TEST(DatagramSeal, RejectsInvalidSecrets) {
   for (const char *Text :
        {"", "00", "zz", "00112233445566778899aabbccddeeff00"})
     CHECK(!DatagramSeal::fromSecret(Text).has_value());
--- a/Tests/LibDispatch/TestRequestFingerprint.cpp
+++ b/Tests/LibDispatch/TestRequestFingerprint.cpp
@@ -1,6 +1,6 @@
-//===- TestRequestFingerprint.cpp - Which requests are the same -----------===//
+//===- TestRequestFingerprint.cpp - Identifies repeated requests ----------===//
 //
-// What a fingerprint depends on, and what it does not.
+// Covers what a fingerprint depends on.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,50 +13,49 @@
 
 TEST_GROUP(RequestFingerprint) {
   const std::string Secret = DatagramSeal::newSecret();
-  const Fingerprinter One = Fingerprinter::fromSecret(Secret).value();
-  const RequestIdentity What{"POST", "h", "/a/b?c", "", "body"};
+  const Fingerprinter Source = Fingerprinter::fromSecret(Secret).value();
+  const RequestIdentity Request{"POST", "h", "/a/b?c", "", "body"};
 };
 
-TEST(RequestFingerprint, IsTheSameAtAllGatewaysOfAFleet) {
+TEST(RequestFingerprint, IsEqualInOneFleet) {
   const auto Other = Fingerprinter::fromSecret(Secret).value();
-  CHECK(One.of(What) == Other.of(What));
-  LONGS_EQUAL(32, One.of(What).toString().size());
+  CHECK(Source.of(Request) == Other.of(Request));
+  LONGS_EQUAL(32, Source.of(Request).toString().size());
 }
 
 TEST(RequestFingerprint, DiffersBetweenFleets) {
   const auto Other =
       Fingerprinter::fromSecret(DatagramSeal::newSecret()).value();
-  CHECK(One.of(What) != Other.of(What));
+  CHECK(Source.of(Request) != Other.of(Request));
 }
 
-TEST(RequestFingerprint, DiffersWithEachPartOfTheRequest) {
+TEST(RequestFingerprint, DependsOnEachPart) {
   for (const RequestIdentity &Other :
        {RequestIdentity{"GET", "h", "/a/b?c", "", "body"},
         RequestIdentity{"POST", "i", "/a/b?c", "", "body"},
         RequestIdentity{"POST", "h", "/a/b?d", "", "body"},
         RequestIdentity{"POST", "h", "/a/b?c", "Bearer x", "body"},
         RequestIdentity{"POST", "h", "/a/b?c", "", "bodY"}})
-    CHECK(One.of(What) != One.of(Other));
+    CHECK(Source.of(Request) != Source.of(Other));
 }
 
-// Failure: bytes that move from one part to the next make another's
-// fingerprint.
-TEST(RequestFingerprint, KeepsPartsApart) {
-  CHECK(One.of({"POST", "h", "/a", "", "bc"}) !=
-        One.of({"POST", "h", "/ab", "", "c"}));
+// Guards against: requests with the same bytes divided differently between two
+// parts have the same fingerprint.
+TEST(RequestFingerprint, SeparatesParts) {
+  CHECK(Source.of({"POST", "h", "/a", "", "bc"}) !=
+        Source.of({"POST", "h", "/ab", "", "c"}));
 }
 
-// Failure: a line of the log shows a caller a checksum that passes for the
-// fleet's own.
-TEST(RequestFingerprint, IsNoSealOfADatagram) {
+// Guards against: a fingerprint in the log is a valid checksum of a datagram.
+TEST(RequestFingerprint, DiffersFromDatagramChecksum) {
   const auto Seal = DatagramSeal::fromSecret(Secret).value();
   const std::string Sealed = Seal.seal('R', "");
-  const auto Made = One.of({"", "", "", "", "R"});
-  CHECK(Sealed.compare(0, Made.Bytes.size(),
-                       reinterpret_cast<const char *>(Made.Bytes.data()),
-                       Made.Bytes.size()) != 0);
+  const auto Print = Source.of({"", "", "", "", "R"});
+  CHECK(Sealed.compare(0, Print.Bytes.size(),
+                       reinterpret_cast<const char *>(Print.Bytes.data()),
+                       Print.Bytes.size()) != 0);
 }
 
-TEST(RequestFingerprint, RefusesWhatIsNoSecret) {
+TEST(RequestFingerprint, RejectsInvalidSecret) {
   CHECK(!Fingerprinter::fromSecret("secret"));
 }
