--- a/Libraries/LibDispatch/EventRelay.cpp
+++ b/Libraries/LibDispatch/EventRelay.cpp
@@ -1,4 +1,4 @@
-//===- EventRelay.cpp - Forwards whole events of a stream -----------------===//
+//===- EventRelay.cpp - Forwards complete events of a stream --------------===//
 //
 // Splits at blank lines and reads the "id" field of each event.
 //
@@ -13,15 +13,16 @@
 
 namespace {
 
-/// Where the event that begins at \p From ends, its blank line included.
-size_t endOfEvent(std::string_view Text, size_t From) {
-  const size_t Plain = Text.find("\n\n", From);
-  const size_t Returns = Text.find("\r\n\r\n", From);
-  if (Plain == std::string_view::npos && Returns == std::string_view::npos)
+/// The end of the event that begins at \p Begin, including its blank line.
+size_t endOfEvent(std::string_view Text, size_t Begin) {
+  const size_t LineFeeds = Text.find("\n\n", Begin);
+  const size_t CarriageReturns = Text.find("\r\n\r\n", Begin);
+  if (LineFeeds == std::string_view::npos &&
+      CarriageReturns == std::string_view::npos)
     return std::string_view::npos;
-  if (Plain < Returns)
-    return Plain + 2;
-  return Returns + 4;
+  if (LineFeeds < CarriageReturns)
+    return LineFeeds + 2;
+  return CarriageReturns + 4;
 }
 
 std::optional<uint64_t> eventNumber(std::string_view Event) {
@@ -55,21 +56,21 @@
 }
 
 std::string EventRelay::feed(std::string_view Bytes) {
-  m_Rest += Bytes;
-  std::string Whole;
+  m_Incomplete += Bytes;
+  std::string Complete;
   size_t Begin = 0;
-  for (size_t End = endOfEvent(m_Rest, Begin); End != std::string::npos;
-       End = endOfEvent(m_Rest, Begin)) {
+  for (size_t End = endOfEvent(m_Incomplete, Begin); End != std::string::npos;
+       End = endOfEvent(m_Incomplete, Begin)) {
     const std::string_view Event =
-        std::string_view(m_Rest).substr(Begin, End - Begin);
+        std::string_view(m_Incomplete).substr(Begin, End - Begin);
     if (accept(Event))
-      Whole += Event;
+      Complete += Event;
     Begin = End;
   }
-  m_Rest.erase(0, Begin);
-  return Whole;
+  m_Incomplete.erase(0, Begin);
+  return Complete;
 }
 
-std::string EventRelay::finish() { return std::exchange(m_Rest, {}); }
+std::string EventRelay::finish() { return std::exchange(m_Incomplete, {}); }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/EventRelay.h
+++ b/Libraries/LibDispatch/EventRelay.h
@@ -1,10 +1,10 @@
-//===- EventRelay.h - Forwards whole events of a stream ---------*- C++ -*-===//
+//===- EventRelay.h - Forwards complete events of a stream ------*- C++ -*-===//
 //
-// Takes the bytes of a server's event stream and gives back whole events. A
-// server that fails may stop in the middle of an event; only what ends with a
-// blank line goes to the caller, so that another server can go on after it and
-// the caller sees every event once. An event that the caller has already is
-// dropped.
+// Receives the bytes of a server's event stream and returns complete events. A
+// server that fails may stop in the middle of an event; only events that end
+// with a blank line are forwarded, so that another server can resume the stream
+// and the caller gets every event exactly once. Events that the caller already
+// has are dropped.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,16 +19,16 @@
 
 class EventRelay {
 public:
-  /// \p After is the last event that the caller has of an earlier attempt.
+  /// \p After is the last event that the caller received in an earlier attempt.
   explicit EventRelay(std::optional<uint64_t> After = std::nullopt)
       : m_Last(After) {}
 
-  /// Bytes to forward.
+  /// Returns the bytes to forward.
   std::string feed(std::string_view Bytes);
-  /// Another server goes on with the stream: what was left of an event is
-  /// forgotten.
-  void restart() { m_Rest.clear(); }
-  /// The stream ended in order; what stands behind the last blank line.
+  /// Another server resumes the stream: discards the incomplete event.
+  void restart() { m_Incomplete.clear(); }
+  /// The stream has ended normally. Returns the bytes after the last blank
+  /// line.
   std::string finish();
 
   std::optional<uint64_t> lastEvent() const { return m_Last; }
@@ -37,7 +37,7 @@
 private:
   bool accept(std::string_view Event);
 
-  std::string m_Rest;
+  std::string m_Incomplete;
   std::optional<uint64_t> m_Last;
   uint64_t m_Events = 0;
 };
--- a/Libraries/LibDispatch/StartTimeJson.h
+++ b/Libraries/LibDispatch/StartTimeJson.h
@@ -1,6 +1,6 @@
-//===- StartTimeJson.h - The start of a server in datagrams -----*- C++ -*-===//
+//===- StartTimeJson.h - Start time of a server as JSON ---------*- C++ -*-===//
 //
-// Milliseconds since 1970, or null where servers do not tell.
+// Milliseconds since 1970, or null for servers that do not report one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,17 +14,17 @@
 
 namespace figlift::dispatch {
 
-inline nlohmann::json encodeStartTime(const std::optional<StartTime> &What) {
-  if (!What)
+inline nlohmann::json encodeStartTime(const std::optional<StartTime> &Time) {
+  if (!Time)
     return nullptr;
-  return What->time_since_epoch().count();
+  return Time->time_since_epoch().count();
 }
 
-/// Throws nlohmann::json::exception for what is neither.
-inline std::optional<StartTime> decodeStartTime(const nlohmann::json &From) {
-  if (From.is_null())
+/// Throws nlohmann::json::exception for other values.
+inline std::optional<StartTime> decodeStartTime(const nlohmann::json &Encoded) {
+  if (Encoded.is_null())
     return std::nullopt;
-  return StartTime(std::chrono::milliseconds(From.get<int64_t>()));
+  return StartTime(std::chrono::milliseconds(Encoded.get<int64_t>()));
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StoreVersion.h
+++ b/Libraries/LibDispatch/StoreVersion.h
@@ -1,9 +1,9 @@
-//===- StoreVersion.h - A moment in the store's history ---------*- C++ -*-===//
+//===- StoreVersion.h - Version of the store, with its era ------*- C++ -*-===//
 //
-// The store may come back from a copy that is some seconds old: what was
-// written since is gone, and its version numbers are given out again, to other
-// writes. Compared as numbers, the versions of two such histories look alike:
-// a change of the later one is passed over, or one that never was is believed.
+// The store may be restored from a copy that is some seconds old: later writes
+// are lost, and their version numbers are assigned again to other writes. By
+// number alone, versions of the two histories cannot be told apart: a change of
+// the later history is skipped, or a lost one is taken as current.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,11 +14,11 @@
 
 namespace figlift::dispatch {
 
-/// Ordered by era, then by number: all of a later era is newer.
+/// Ordered by era, then by number: every version of a later era is newer.
 struct StoreVersion {
-  /// Rises by one whenever the store comes back from a copy.
+  /// Incremented whenever the store is restored from a copy.
   uint64_t Era = 0;
-  /// Rises with each transaction of its era.
+  /// Increases with each transaction of the era.
   uint64_t Number = 0;
 
   auto operator<=>(const StoreVersion &) const = default;
--- a/Tests/LibDispatch/TestEventRelay.cpp
+++ b/Tests/LibDispatch/TestEventRelay.cpp
@@ -1,6 +1,7 @@
-//===- TestEventRelay.cpp - Forwards whole events of a stream -------------===//
+//===- TestEventRelay.cpp - Forwards complete events of a stream ----------===//
 //
-// Events cut at any byte, servers that stop within one, and second runs.
+// Covers events divided at any byte, servers that stop within an event, and
+// streams that are resumed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,42 +13,43 @@
 
 TEST_GROUP(EventRelay) { EventRelay Relay; };
 
-TEST(EventRelay, ForwardsEventsUnchangedHoweverTheyAreCut) {
+TEST(EventRelay, ForwardsEventsUnchanged) {
   const std::string Text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-  std::string Out;
+  std::string Output;
   for (const char Byte : Text)
-    Out += Relay.feed({&Byte, 1});
-  STRCMP_EQUAL(Text.c_str(), Out.c_str());
+    Output += Relay.feed({&Byte, 1});
+  STRCMP_EQUAL(Text.c_str(), Output.c_str());
   LONGS_EQUAL(2, *Relay.lastEvent());
 }
 
-// Symptom: a caller's stream has a piece that is neither server's.
-// Sequence: the first server stops within event 2, a second goes on after
-// event 1. Cause: the beginning of the broken event had been forwarded.
-TEST(EventRelay, DropsTheBeginningOfABrokenEvent) {
+// Guards against: the first server stops within event 2, its incomplete event
+// is forwarded, and a second server resumes after event 1; the caller gets a
+// mixture of both.
+TEST(EventRelay, DropsIncompleteEvent) {
   STRCMP_EQUAL("id: 1\ndata: a\n\n",
                Relay.feed("id: 1\ndata: a\n\nid: 2\nda").c_str());
   Relay.restart();
   STRCMP_EQUAL("id: 2\ndata: b\n\n", Relay.feed("id: 2\ndata: b\n\n").c_str());
 }
 
-// Symptom: a piece comes twice. Sequence: the second server begins anew.
-TEST(EventRelay, DropsEventsThatTheCallerHas) {
+// Guards against: the second server starts the stream from the beginning, and
+// the caller gets events twice.
+TEST(EventRelay, DropsDuplicateEvents) {
   Relay.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   Relay.restart();
   STRCMP_EQUAL("id: 3\n\n", Relay.feed("id: 2\ndata: b\n\nid: 3\n\n").c_str());
 }
 
-TEST(EventRelay, GoesOnAfterTheCallersLastEvent) {
+TEST(EventRelay, ResumesAfterLastEvent) {
   Relay = EventRelay(7);
   STRCMP_EQUAL("id: 8\n\n", Relay.feed("id: 7\n\nid: 8\n\n").c_str());
 }
 
-TEST(EventRelay, KnowsReturnsAndLineFeeds) {
+TEST(EventRelay, AcceptsCarriageReturns) {
   STRCMP_EQUAL("id: 1\r\n\r\n", Relay.feed("id: 1\r\n\r\n").c_str());
 }
 
-TEST(EventRelay, GivesTheRestOfAWholeStream) {
+TEST(EventRelay, ReturnsBytesAfterLastEvent) {
   Relay.feed("id: 1\n\ntail");
   STRCMP_EQUAL("tail", Relay.finish().c_str());
 }
