--- a/Libraries/LibDispatch/Configuration.cpp
+++ b/Libraries/LibDispatch/Configuration.cpp
@@ -1,7 +1,7 @@
-//===- Configuration.cpp - What operators want served ---------------------===//
+//===- Configuration.cpp - Routes and services of the gateway -------------===//
 //
-// Route lookup. There may be ten thousand routes, and each request asks: each
-// beginning of its path that ends with a slash is looked for by binary search.
+// Route lookup. There may be ten thousand routes and each request needs one, so
+// each prefix of its path that ends with a slash is found by binary search.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,27 +15,27 @@
 
 namespace {
 
-using Place = std::pair<std::string_view, std::string_view>;
+using RouteKey = std::pair<std::string_view, std::string_view>;
 
-Place placeOf(const Route &Which) { return {Which.Host, Which.Prefix}; }
+RouteKey keyOf(const Route &Entry) { return {Entry.Host, Entry.Prefix}; }
 
 } // namespace
 
 const Route *Configuration::match(std::string_view Host,
                                   std::string_view Path) const {
   Host = Host.substr(0, Host.find(':'));
-  // A path of slashes alone must not cost a search for each of them.
+  // Bounds the number of searches for a path that consists of slashes.
   Path = Path.substr(0, m_LongestPrefix);
   while (!Path.empty()) {
     Path = Path.substr(0, Path.rfind('/') + 1);
-    const Place Wanted(Host, Path);
-    const auto Found =
-        std::lower_bound(m_ByPrefix.begin(), m_ByPrefix.end(), Wanted,
-                         [this](uint32_t Index, const Place &Other) {
-                           return placeOf(Routes[Index]) < Other;
+    const RouteKey Key(Host, Path);
+    const auto Position =
+        std::lower_bound(m_ByPrefix.begin(), m_ByPrefix.end(), Key,
+                         [this](uint32_t Index, const RouteKey &Other) {
+                           return keyOf(Routes[Index]) < Other;
                          });
-    if (Found != m_ByPrefix.end() && placeOf(Routes[*Found]) == Wanted)
-      return &Routes[*Found];
+    if (Position != m_ByPrefix.end() && keyOf(Routes[*Position]) == Key)
+      return &Routes[*Position];
     if (!Path.empty())
       Path.remove_suffix(1);
   }
@@ -43,48 +43,48 @@
 }
 
 const Service *Configuration::service(std::string_view Name) const {
-  for (const Service &Each : Services)
-    if (Each.Name == Name)
-      return &Each;
+  for (const Service &Candidate : Services)
+    if (Candidate.Name == Name)
+      return &Candidate;
   return nullptr;
 }
 
-void Configuration::settle() {
-  noteEventGaps();
+void Configuration::finalize() {
+  updateEventGaps();
   m_ByPrefix.resize(Routes.size());
   std::iota(m_ByPrefix.begin(), m_ByPrefix.end(), 0U);
   std::stable_sort(m_ByPrefix.begin(), m_ByPrefix.end(),
                    [this](uint32_t Left, uint32_t Right) {
-                     return placeOf(Routes[Left]) < placeOf(Routes[Right]);
+                     return keyOf(Routes[Left]) < keyOf(Routes[Right]);
                    });
   m_LongestPrefix = 0;
-  for (const Route &Each : Routes)
-    m_LongestPrefix = std::max(m_LongestPrefix, Each.Prefix.size());
+  for (const Route &Entry : Routes)
+    m_LongestPrefix = std::max(m_LongestPrefix, Entry.Prefix.size());
 }
 
-void Configuration::noteEventGaps() {
-  for (Service &Each : Services) {
+void Configuration::updateEventGaps() {
+  for (Service &Candidate : Services) {
     std::optional<std::chrono::milliseconds> Shortest;
-    for (const Route &Way : Routes)
-      for (const WeightedService &To : Way.Services)
-        if (To.Service == Each.Name && Way.EventGapTarget)
-          Shortest = std::min(Shortest.value_or(*Way.EventGapTarget),
-                              *Way.EventGapTarget);
-    Each.ShortestEventGap = Shortest.value_or(DefaultEventGap);
+    for (const Route &Entry : Routes)
+      for (const WeightedService &Weighted : Entry.Services)
+        if (Weighted.Service == Candidate.Name && Entry.EventGapTarget)
+          Shortest = std::min(Shortest.value_or(*Entry.EventGapTarget),
+                              *Entry.EventGapTarget);
+    Candidate.ShortestEventGap = Shortest.value_or(DefaultEventGap);
   }
 }
 
-const std::string &pickService(const Route &Which, double Draw) {
+const std::string &pickService(const Route &Entry, double Draw) {
   double Total = 0;
-  for (const WeightedService &Each : Which.Services)
-    Total += Each.Weight;
+  for (const WeightedService &Weighted : Entry.Services)
+    Total += Weighted.Weight;
   double Left = Draw * Total;
-  for (const WeightedService &Each : Which.Services) {
-    Left -= Each.Weight;
+  for (const WeightedService &Weighted : Entry.Services) {
+    Left -= Weighted.Weight;
     if (Left < 0)
-      return Each.Service;
+      return Weighted.Service;
   }
-  return Which.Services.back().Service;
+  return Entry.Services.back().Service;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/Configuration.h
+++ b/Libraries/LibDispatch/Configuration.h
@@ -1,8 +1,8 @@
-//===- Configuration.h - What operators want served -------------*- C++ -*-===//
+//===- Configuration.h - Routes and services of the gateway -----*- C++ -*-===//
 //
-// Typed configuration of the gateway: routes to services, and the bounds on
-// what callers may send. One value is one version; versions are replaced as a
-// whole.
+// Typed configuration of the gateway: routes to services, and bounds on the
+// requests of callers. A Configuration is one version and is always replaced as
+// a whole.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,17 +17,17 @@
 
 namespace figlift::dispatch {
 
-/// What may happen to a request more than once.
+/// Whether a request may run more than once, and how it is answered.
 enum class RouteKind {
-  /// Idempotent: may run more than once.
+  /// Idempotent; may run more than once.
   Safe,
-  /// Runs once at most.
+  /// Runs at most once.
   Unsafe,
   /// The response is a stream of events.
   Streaming,
 };
 
-/// A share of a route's requests goes to this service.
+/// A service that gets a share of a route's requests.
 struct WeightedService {
   std::string Service;
   double Weight = 1;
@@ -39,19 +39,22 @@
   /// Begins and ends with a slash.
   std::string Prefix;
   RouteKind Kind = RouteKind::Safe;
-  /// Longest time that a request may be kept waiting for its final answer.
+  /// Maximum time until the final answer of a request.
   std::chrono::milliseconds Timeout{0};
-  /// A response (of a stream: its first event) within this time is on time.
+  /// A response counts as on time within this time; a stream counts by its
+  /// first event.
   std::chrono::milliseconds LatencyTarget{0};
-  /// Most servers that one request may be sent to.
+  /// Maximum number of servers that one request is sent to.
   unsigned MaximumAttempts = 1;
   /// 0 is the most urgent.
   unsigned Priority = 0;
-  /// Requests carry a prompt whose parts are worth keeping together.
+  /// Requests carry a prompt, and are routed to engines that have its parts in
+  /// the KV cache.
   bool CarriesPrompts = false;
-  /// A stream may go on at another server after its last event.
+  /// An interrupted stream may be resumed on another server after its last
+  /// event.
   bool Resumable = false;
-  /// Longest pause between events for which a stream is on time.
+  /// Maximum pause between two events for which a stream counts as on time.
   std::optional<std::chrono::milliseconds> EventGapTarget;
   /// At least one; weights are positive.
   std::vector<WeightedService> Services;
@@ -63,32 +66,32 @@
   }
 };
 
-/// What all engines of a service have in common.
+/// Properties common to all engines of a service.
 struct EngineTraits {
-  /// Requests that an engine decodes at once.
+  /// Number of requests that an engine decodes concurrently.
   unsigned Slots = 1;
   uint64_t KvCapacityTokens = 0;
   uint64_t KvBytesPerToken = 0;
   /// Bandwidth between engines, for KV cache.
   double LinkMbps = 0;
-  /// How long an engine keeps a KV cache that nobody has fetched.
+  /// How long an engine keeps a KV cache that is not fetched.
   std::chrono::milliseconds KvHold{0};
-  /// An engine is away this long when its stage changes.
+  /// Time for which an engine is unavailable while it switches its stage.
   std::chrono::milliseconds StageSwitch{0};
 };
 
-/// People notice a pause of a fifth of a second in a text that appears.
+/// People notice a pause of a fifth of a second in text that is being written.
 inline constexpr std::chrono::milliseconds DefaultEventGap{200};
 
 struct Service {
   std::string Name;
   std::string HealthPath;
-  /// Connections that each server accepts from all callers together.
+  /// Maximum number of connections that each server accepts from all callers.
   unsigned MaximumConnections = 0;
   /// Absent for a plain service.
   std::optional<EngineTraits> Engine;
-  /// The shortest pause between events that a route to it allows; routes that
-  /// name none allow DefaultEventGap.
+  /// The shortest EventGapTarget of the routes to this service, or
+  /// DefaultEventGap if none has one.
   std::chrono::milliseconds ShortestEventGap = DefaultEventGap;
 };
 
@@ -100,29 +103,30 @@
 };
 
 struct Configuration {
-  /// Grows with each change, in uneven steps; 0 is no configuration.
+  /// Increases with each change, in irregular steps; 0 means no configuration.
   uint64_t Version = 0;
   std::vector<Route> Routes;
   std::vector<Service> Services;
   CallerBounds Bounds;
 
-  /// The route of \p Host (a port is passed over) with the longest prefix that
-  /// begins \p Path, or null. Valid after settle().
+  /// The route of \p Host (its port is ignored) with the longest prefix of \p
+  /// Path, or null. Valid after finalize().
   const Route *match(std::string_view Host, std::string_view Path) const;
   const Service *service(std::string_view Name) const;
-  /// Derives what follows from the routes; after the last change of them.
-  void settle();
+  /// Computes the data derived from the routes. To be called after the last
+  /// change of them.
+  void finalize();
 
 private:
-  void noteEventGaps();
+  void updateEventGaps();
 
-  /// Indices of Routes, by host and prefix; of equal ones the first comes
-  /// first.
+  /// Indices into Routes, ordered by host and prefix; equal routes keep their
+  /// order.
   std::vector<uint32_t> m_ByPrefix;
   size_t m_LongestPrefix = 0;
 };
 
-/// Picks by weight; \p Draw is uniform in [0, 1).
-const std::string &pickService(const Route &Which, double Draw);
+/// Picks a service by weight; \p Draw is uniform in [0, 1).
+const std::string &pickService(const Route &Entry, double Draw);
 
 } // namespace figlift::dispatch
--- a/Tests/LibDispatch/TestConfiguration.cpp
+++ b/Tests/LibDispatch/TestConfiguration.cpp
@@ -1,6 +1,7 @@
-//===- TestConfiguration.cpp - What operators want served -----------------===//
+//===- TestConfiguration.cpp - Routes and services of the gateway ---------===//
 //
-// Routes by host and longest prefix, and shares of services.
+// Covers route lookup by host and longest prefix, and selection of services by
+// weight.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,59 +15,59 @@
 using namespace figlift::dispatch;
 
 TEST_GROUP(Configuration) {
-  Configuration InForce;
+  Configuration Current;
 
   void setup() override {
-    InForce.Routes.resize(3);
-    InForce.Routes[0].Host = InForce.Routes[1].Host = "h";
-    InForce.Routes[0].Prefix = "/a/";
-    InForce.Routes[1].Prefix = "/a/b/";
-    InForce.Routes[2].Host = "other";
-    InForce.Routes[2].Prefix = "/a/";
-    InForce.settle();
+    Current.Routes.resize(3);
+    Current.Routes[0].Host = Current.Routes[1].Host = "h";
+    Current.Routes[0].Prefix = "/a/";
+    Current.Routes[1].Prefix = "/a/b/";
+    Current.Routes[2].Host = "other";
+    Current.Routes[2].Prefix = "/a/";
+    Current.finalize();
   }
 };
 
-TEST(Configuration, TakesTheLongestPrefixOfTheHost) {
-  CHECK(InForce.match("h", "/a/b/c") == &InForce.Routes[1]);
-  CHECK(InForce.match("h:80", "/a/x") == &InForce.Routes[0]);
-  CHECK(InForce.match("other", "/a/b/c") == &InForce.Routes[2]);
-  CHECK(InForce.match("h", "/b/") == nullptr);
-  CHECK(InForce.match("unknown", "/a/") == nullptr);
+TEST(Configuration, MatchesLongestPrefixOfHost) {
+  CHECK(Current.match("h", "/a/b/c") == &Current.Routes[1]);
+  CHECK(Current.match("h:80", "/a/x") == &Current.Routes[0]);
+  CHECK(Current.match("other", "/a/b/c") == &Current.Routes[2]);
+  CHECK(Current.match("h", "/b/") == nullptr);
+  CHECK(Current.match("unknown", "/a/") == nullptr);
 }
 
-TEST(Configuration, TakesTheFirstOfEqualRoutes) {
-  InForce.Routes.push_back(InForce.Routes[1]);
-  InForce.settle();
-  CHECK(InForce.match("h", "/a/b/") == &InForce.Routes[1]);
-  CHECK(InForce.match("h", "/a/b") == &InForce.Routes[0]);
-  CHECK(InForce.match("h", "") == nullptr);
-  CHECK(InForce.match("h", "a/b/") == nullptr);
+TEST(Configuration, MatchesFirstOfEqualRoutes) {
+  Current.Routes.push_back(Current.Routes[1]);
+  Current.finalize();
+  CHECK(Current.match("h", "/a/b/") == &Current.Routes[1]);
+  CHECK(Current.match("h", "/a/b") == &Current.Routes[0]);
+  CHECK(Current.match("h", "") == nullptr);
+  CHECK(Current.match("h", "a/b/") == nullptr);
 }
 
-// A search by beginnings of the path finds what a look at each route finds.
-TEST(Configuration, FindsWhatALookAtEachRouteFinds) {
+// Compares the lookup with a linear search over random routes.
+TEST(Configuration, MatchesLikeLinearSearch) {
   std::mt19937 Random(1);
   const auto Path = [&] {
     std::string Text = "/";
-    for (unsigned Left = Random() % 5; Left > 0; --Left)
+    for (unsigned Remaining = Random() % 5; Remaining > 0; --Remaining)
       Text += std::string(Random() % 3, 'a') + "/";
     return Text;
   };
-  InForce.Routes.resize(200);
-  for (Route &Each : InForce.Routes) {
-    Each.Host = Random() % 2 == 0 ? "h" : "other";
-    Each.Prefix = Path();
+  Current.Routes.resize(200);
+  for (Route &Candidate : Current.Routes) {
+    Candidate.Host = Random() % 2 == 0 ? "h" : "other";
+    Candidate.Prefix = Path();
   }
-  InForce.settle();
-  for (int Try = 0; Try < 2000; ++Try) {
-    const std::string Wanted = Path() + (Random() % 2 == 0 ? "a" : "");
+  Current.finalize();
+  for (int i = 0; i < 2000; ++i) {
+    const std::string RequestPath = Path() + (Random() % 2 == 0 ? "a" : "");
     const Route *Best = nullptr;
-    for (const Route &Each : InForce.Routes)
-      if (Each.Host == "h" && Wanted.starts_with(Each.Prefix) &&
-          (!Best || Each.Prefix.size() > Best->Prefix.size()))
-        Best = &Each;
-    POINTERS_EQUAL(Best, InForce.match("h", Wanted));
+    for (const Route &Candidate : Current.Routes)
+      if (Candidate.Host == "h" && RequestPath.starts_with(Candidate.Prefix) &&
+          (!Best || Candidate.Prefix.size() > Best->Prefix.size()))
+        Best = &Candidate;
+    POINTERS_EQUAL(Best, Current.match("h", RequestPath));
   }
 }
 
