--- a/Libraries/LibDispatch/ProcessStop.cpp
+++ b/Libraries/LibDispatch/ProcessStop.cpp
@@ -1,6 +1,7 @@
-//===- ProcessStop.cpp - From SIGTERM to the end of a process -------------===//
+//===- ProcessStop.cpp - Graceful stop of a process -----------------------===//
 //
-// Times are counted from the earliest moment at which SIGTERM may have come.
+// Times are counted from the earliest moment at which SIGTERM may have been
+// sent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,51 +16,53 @@
   if (m_Begun)
     return;
   m_Begun = NoEarlierThan;
-  m_AnswersAt = NoEarlierThan + Grace - m_Options.ExitMargin;
+  m_FinalAnswersDue = NoEarlierThan + Grace - m_Options.ExitMargin;
 }
 
-void ProcessStop::graceChanged(std::chrono::milliseconds Grace) {
+void ProcessStop::updateGrace(std::chrono::milliseconds Grace) {
   if (m_Begun)
-    m_AnswersAt = std::min<BootTime>(m_AnswersAt,
-                                     *m_Begun + Grace - m_Options.ExitMargin);
+    m_FinalAnswersDue = std::min<BootTime>(
+        m_FinalAnswersDue, *m_Begun + Grace - m_Options.ExitMargin);
 }
 
 std::optional<Milliseconds> ProcessStop::timeLeft(BootTime Now) const {
   if (!m_Begun)
     return std::nullopt;
-  return Milliseconds(m_AnswersAt - Now);
+  return Milliseconds(m_FinalAnswersDue - Now);
 }
 
-bool ProcessStop::takes(const NewWork &What, BootTime Now) const {
-  const auto Left = timeLeft(Now);
-  if (!Left || What.TimeLeft <= *Left)
+bool ProcessStop::accepts(const NewWork &Work, BootTime Now) const {
+  const auto Remaining = timeLeft(Now);
+  if (!Remaining || Work.TimeLeft <= *Remaining)
     return true;
-  return What.Answer == AnswerForm::Whole &&
-         *Left > m_Options.WholeReserve + What.Expected * m_Options.WholeFactor;
+  return Work.Answer == AnswerForm::Whole &&
+         *Remaining >
+             m_Options.WholeReserve + Work.Expected * m_Options.WholeFactor;
 }
 
-BootTime ProcessStop::share(double Of) const {
+BootTime ProcessStop::timeAtFraction(double Fraction) const {
   return *m_Begun + std::chrono::duration_cast<BootClock::duration>(
-                        (m_AnswersAt - *m_Begun) * Of);
+                        (m_FinalAnswersDue - *m_Begun) * Fraction);
 }
 
 bool ProcessStop::closesIdle(BootTime Now) const {
-  return m_Begun && Now > share(m_Options.IdleCloseShare);
+  return m_Begun && Now > timeAtFraction(m_Options.IdleCloseShare);
 }
 
-bool ProcessStop::answersNow(BootTime Now) {
-  if (!m_Begun || m_Answered || Now < m_AnswersAt)
+bool ProcessStop::startsFinalAnswers(BootTime Now) {
+  if (!m_Begun || m_FinalAnswersSent || Now < m_FinalAnswersDue)
     return false;
-  m_Answered = Now;
+  m_FinalAnswersSent = Now;
   return true;
 }
 
-bool ProcessStop::over(BootTime Now, bool Empty) const {
+bool ProcessStop::mayExit(BootTime Now, bool HasNoCallers) const {
   if (!m_Begun)
     return false;
-  if (Empty && Now > share(m_Options.EmptyShare))
+  if (HasNoCallers && Now > timeAtFraction(m_Options.NoCallersShare))
     return true;
-  return m_Answered && Now >= *m_Answered + m_Options.LastAnswerTime;
+  return m_FinalAnswersSent &&
+         Now >= *m_FinalAnswersSent + m_Options.FinalAnswerTime;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/ProcessStop.h
+++ b/Libraries/LibDispatch/ProcessStop.h
@@ -1,22 +1,23 @@
-//===- ProcessStop.h - From SIGTERM to the end of a process -----*- C++ -*-===//
+//===- ProcessStop.h - Graceful stop of a process ---------------*- C++ -*-===//
 //
-// A process that is told to stop is killed some time later, and callers go on
-// using their connections until then. This says what it still takes, when it
-// closes idle connections, when it gives its last answers and when it ends.
+// A process is killed some time after SIGTERM, and callers keep using their
+// connections until then. This class decides which work the process still
+// accepts, when it closes idle connections, when it sends its final answers and
+// when it exits.
 //
-// What it takes ends before the process does; the rest is turned away at once,
-// as not run, and goes to another process. How long requests usually take
-// cannot promise that: before the first ones have ended nothing is known of it,
-// and a stream of several times the mean is nothing rare. Streams that were
-// taken by it were cut, where 0 to 1.7 s had been expected of up to 10 s. So an
-// answer that reaches its caller in parts is taken only if its deadline, at
-// which it ends in any case, comes first. An answer that is sent whole cannot
-// be cut: a caller that is still waiting at the end gets a final one, so the
-// usual time with a wide margin is enough.
+// Work is accepted only if it ends before the process does; other work is
+// rejected at once, as not run, and the caller turns to another process. The
+// usual duration of requests is no sufficient basis: it is unknown before the
+// first ones have ended, and streams of several times the mean are common.
+// Decisions by the mean cut streams that took up to 10 s where 0 to 1.7 s were
+// expected. So a streamed answer is accepted only if its deadline, at which it
+// ends in any case, comes before the stop. An answer that is sent whole cannot
+// be cut: a caller that is still waiting at the end gets a final answer, so the
+// expected duration with a wide margin suffices.
 //
-//   SIGTERM ... idle connections close ... last answers ... end ... kill
-//   0           0.35 of the time to        grace - 0.7 s    + 0.3 s  grace
-//               the last answers
+//   SIGTERM ... idle connections close ... final answers ... exit ... kill
+//   0           0.35 of the time to        grace - 0.7 s     + 0.3 s  grace
+//               the final answers
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,43 +33,44 @@
 
 using engine::Milliseconds;
 
-/// How an answer reaches its caller.
+/// How an answer is sent to its caller.
 enum class AnswerForm {
-  /// At once, when all of it is there.
+  /// In one piece, once it is complete.
   Whole,
-  /// In parts, as they come.
+  /// In parts, as they are produced.
   Stream,
 };
 
-/// Work that would begin now: a request that came, or a further send of one.
+/// Work that would begin now: a new request, or a retry.
 struct NewWork {
   AnswerForm Answer = AnswerForm::Whole;
-  /// Until its deadline, at which it is answered or ended in any case.
+  /// Time until its deadline, at which it ends in any case.
   Milliseconds TimeLeft{0};
-  /// Until its whole answer, as planned; 0 before there is a plan. Not asked of
-  /// streams.
+  /// Planned time until its complete answer; 0 before it is planned. Not used
+  /// for streams.
   Milliseconds Expected{0};
 };
 
 struct ProcessStopOptions {
-  /// The last answers are given this long before the kill, for ticks that come
-  /// late and for answers on their way.
+  /// Time between the final answers and the kill; covers late ticks and the
+  /// transmission of the answers.
   std::chrono::milliseconds ExitMargin{700};
-  /// From the last answers to the end. A stream that has begun may still end
-  /// by itself.
-  std::chrono::milliseconds LastAnswerTime{300};
+  /// Time between the final answers and the exit. A stream that has begun may
+  /// still complete in it.
+  std::chrono::milliseconds FinalAnswerTime{300};
   /// After SIGTERM the platform takes a process out of rotation within about
-  /// two seconds. Connections that are idle after this share of the time are
-  /// closed: their callers turn to another process, in place of one that turns
-  /// more and more away. The rest is for requests under way.
+  /// two seconds. Idle connections are closed after this fraction of the time
+  /// until the final answers, so that their callers turn to another process
+  /// instead of one that rejects more and more. The remaining time is for
+  /// requests in progress.
   double IdleCloseShare = 0.35;
-  /// A process without callers ends after this share; before, new ones may
-  /// still be sent to it. With these two shares in place of 0.6 and 0.5 the
-  /// share of all requests' value that was earned while a whole fleet was
-  /// restarted three times rose in each of six fleets, by 0.04 on average (one
-  /// run each).
-  double EmptyShare = 0.4;
-  /// A whole answer is expected within this, and several times its plan.
+  /// A process without callers exits after this fraction; before that, the
+  /// platform may still send new ones. In restarts of whole fleets these two
+  /// fractions earn a share of all requests' value that is higher by 0.04 on
+  /// average than 0.6 and 0.5 do, and higher in each of six fleets.
+  double NoCallersShare = 0.4;
+  /// A whole answer is accepted if it fits into this reserve plus WholeFactor
+  /// times its planned time.
   Milliseconds WholeReserve{800};
   double WholeFactor = 3;
 };
@@ -77,38 +79,40 @@
 public:
   explicit ProcessStop(ProcessStopOptions Options = {}) : m_Options(Options) {}
 
-  /// SIGTERM was noticed. It came at \p NoEarlierThan or later: the kill comes
-  /// \p Grace after it was sent, not after it was noticed, and a process that
-  /// stood still notices late.
+  /// SIGTERM was noticed; it was sent at \p NoEarlierThan or later. The kill
+  /// comes \p Grace after SIGTERM was sent, not after it was noticed, and a
+  /// process that was stalled notices it late.
   void begin(BootTime NoEarlierThan, std::chrono::milliseconds Grace);
-  /// The settings were changed. The kill that is due comes at the old time or
-  /// the new one; the earlier one is believed.
-  void graceChanged(std::chrono::milliseconds Grace);
+  /// The settings have changed. The kill may come at the old time or the new
+  /// one, so the earlier one counts.
+  void updateGrace(std::chrono::milliseconds Grace);
 
   bool begun() const { return m_Begun.has_value(); }
-  /// Whether \p What may begin. Always so before SIGTERM.
-  bool takes(const NewWork &What, BootTime Now) const;
-  /// From \p Now until requests get their last answers; none before SIGTERM.
+  /// Whether \p Work may begin. Always true before SIGTERM.
+  bool accepts(const NewWork &Work, BootTime Now) const;
+  /// Time from \p Now until the final answers; none before SIGTERM.
   std::optional<Milliseconds> timeLeft(BootTime Now) const;
 
   bool closesIdle(BootTime Now) const;
-  /// True once, when requests get their last answers.
-  bool answersNow(BootTime Now);
-  /// The process ends. \p Empty: it has no callers.
-  bool over(BootTime Now, bool Empty) const;
+  /// Returns true once, when the final answers are due.
+  bool startsFinalAnswers(BootTime Now);
+  /// Whether the process exits now. \p HasNoCallers: no caller is connected.
+  bool mayExit(BootTime Now, bool HasNoCallers) const;
 
 private:
-  /// This share of the time to the last answers; only while stopping.
-  BootTime share(double Of) const;
+  /// The time after \p Fraction of the time until the final answers. Only valid
+  /// while stopping.
+  BootTime timeAtFraction(double Fraction) const;
 
   ProcessStopOptions m_Options;
-  /// \name Only while stopping.
+  /// \name Only valid while stopping.
   /// @{
   std::optional<BootTime> m_Begun;
-  /// When last answers are due.
-  BootTime m_AnswersAt{};
-  /// When they were given: later than due in a process that stood still.
-  std::optional<BootTime> m_Answered;
+  /// When the final answers are due.
+  BootTime m_FinalAnswersDue{};
+  /// When the final answers were sent: later than due in a process that was
+  /// stalled.
+  std::optional<BootTime> m_FinalAnswersSent;
   /// @}
 };
 
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -316,7 +316,7 @@
     return log::logError(log::Level::Error, "reload-refused", Read.error());
   // Addresses are bound for the life of the process; the rest takes effect.
   m_Shared.Settings.Drain = Read.value().Drain;
-  m_Shared.Stop.graceChanged(grace());
+  m_Shared.Stop.updateGrace(grace());
   m_Shared.Settings.Orders = Read.value().Orders;
   ++m_Reloads;
   log::logEvent(log::Level::Info, "reloaded", {{"grace", grace()}});
@@ -357,10 +357,10 @@
   if (m_Shared.Stop.closesIdle(Now))
     for (proxy::CallerConnection *Each : Callers)
       Each->closeIfIdle();
-  if (m_Shared.Stop.answersNow(Now))
+  if (m_Shared.Stop.startsFinalAnswers(Now))
     for (proxy::CallerConnection *Each : Callers)
       Each->announceEnd();
-  if (!m_Shared.Stop.over(Now, m_Callers.empty()))
+  if (!m_Shared.Stop.mayExit(Now, m_Callers.empty()))
     return;
   log::logEvent(log::Level::Info, "stopped",
                 {{"callers", Callers.size()}, {"cut", busyCallers()}});
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -84,7 +84,7 @@
   const auto Form =
       streaming() ? dispatch::AnswerForm::Stream : dispatch::AnswerForm::Whole;
   return m_AnswerBegun ||
-         m_Shared.Stop.takes({Form, timeLeft(Now), Expected}, Now);
+         m_Shared.Stop.accepts({Form, timeLeft(Now), Expected}, Now);
 }
 
 /// The process ends too soon for it.
