--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -17,7 +17,7 @@
 #include "LibDispatch/PeerReport.h"
 #include "LibDispatch/ProcessStop.h"
 #include "LibDispatch/PromptPlanner.h"
-#include "LibDispatch/RepeatRules.h"
+#include "LibDispatch/RetryRules.h"
 #include "LibDispatch/ServerLimits.h"
 #include "LibDispatch/ServicePlanner.h"
 #include "LibDispatch/StartLag.h"
@@ -76,7 +76,7 @@
   retry::FleetBudget Budget;
   dispatch::PromptPlanner Prompts;
   dispatch::ServicePlanner Services;
-  dispatch::RepeatOptions Repeats;
+  dispatch::RetryOptions Repeats;
   std::map<std::string, std::shared_ptr<upstream::ConnectionPool>> Pools;
   /// What was learned of the engines of each service.
   std::map<std::string, engine::EngineModel> EngineModels;
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -14,7 +14,7 @@
 namespace figlift::gateway {
 
 using dispatch::Milliseconds;
-using dispatch::SendEnd;
+using dispatch::SendOutcome;
 using std::chrono::milliseconds;
 
 namespace {
@@ -313,8 +313,8 @@
   // looked for, requests were failed, and streams cut, that the silent server
   // answered a moment later.
   const auto Late = m_Send;
-  const SendEnd How = dispatch::TookTooLong{};
-  if (!std::holds_alternative<dispatch::SendAgain>(nextStep(How, *Late)) ||
+  const SendOutcome How = dispatch::TimedOut{};
+  if (!std::holds_alternative<dispatch::Retry>(nextStep(How, *Late)) ||
       !findsAnother(Late->targetId(), BootClock::now()))
     return waitForWatch();
   logSendEnded(*Late, How);
@@ -343,7 +343,7 @@
   const auto Read = slopes::decodePromptRead(Which.body());
   const dispatch::Target *Reader = m_Shared.Targets.find(Which.targetId());
   if (!Read || !Reader || Which.targetStartedAgain())
-    return sendEnded(Which, dispatch::BrokeOff{});
+    return sendEnded(Which, dispatch::ConnectionLost{});
   noteComputed(Which.targetId());
   m_ReadTook = BootClock::now() - Which.started();
   learnRead();
@@ -375,7 +375,7 @@
 
 /// A run that reached no engine, or a full one, has not used up the KV cache
 /// that was read for it. After a rejection that is tried once.
-bool RequestFlow::mayUseHandleAgain(const SendEnd &How, BootTime Now) {
+bool RequestFlow::mayUseHandleAgain(const SendOutcome &How, BootTime Now) {
   if (!m_Handle)
     return false;
   if (std::holds_alternative<dispatch::NotSent>(How))
@@ -406,7 +406,7 @@
   return Runner.has_value();
 }
 
-void RequestFlow::sendEnded(ServerSend &Which, SendEnd How) {
+void RequestFlow::sendEnded(ServerSend &Which, SendOutcome How) {
   m_WatchTimer.cancel();
   m_Send = nullptr;
   if (std::holds_alternative<dispatch::NotSent>(How))
@@ -416,13 +416,13 @@
       m_Runs > 0 && Which.started() != BootTime{})
     --m_Runs;
   abandonExpected(Which.targetId());
-  if (std::holds_alternative<dispatch::BrokeOff>(How))
+  if (std::holds_alternative<dispatch::ConnectionLost>(How))
     noteBrokenOff(Which);
   logSendEnded(Which, How);
   settle(How, Which);
 }
 
-dispatch::NextStep RequestFlow::nextStep(const SendEnd &How,
+dispatch::NextStep RequestFlow::nextStep(const SendOutcome &How,
                                          const ServerSend &Which) {
   const BootTime Now = BootClock::now();
   dispatch::RequestProgress Progress;
@@ -434,7 +434,7 @@
   Progress.Repeatable =
       m_Route.repeatable() &&
       (!isSuspected() || m_Shared.Crashes.suspects().mayRetry(*m_Fingerprint));
-  Progress.EndsInTime = mayBegin(m_PlannedFirst, Now);
+  Progress.EndsBeforeStop = mayBegin(m_PlannedFirst, Now);
   if (Which.purpose() == SendPurpose::ReadPrompt && m_Runs == 0) {
     // Reading a prompt runs nothing.
     Progress.Repeatable = true;
@@ -450,17 +450,17 @@
   });
 }
 
-void RequestFlow::settle(const SendEnd &How, ServerSend &Which) {
+void RequestFlow::settle(const SendOutcome &How, ServerSend &Which) {
   const BootTime Now = BootClock::now();
   if (std::holds_alternative<dispatch::Rejected>(How) && engineService())
     m_Shared.StartLags[m_Service].turnedAway(m_Route.LatencyTarget, Now);
   if (mayUseHandleAgain(How, Now) && runsAtAnother(Which, Now))
     return;
   const auto Next = nextStep(How, Which);
-  if (std::holds_alternative<dispatch::SendAgain>(Next))
+  if (std::holds_alternative<dispatch::Retry>(Next))
     return sendAgain(Which);
   releaseHandle();
-  if (std::holds_alternative<dispatch::PassOn>(Next)) {
+  if (std::holds_alternative<dispatch::ForwardFailure>(Next)) {
     noteCompleted();
     return passOn(Which);
   }
--- a/Services/figlift-gateway/RequestFlow.h
+++ b/Services/figlift-gateway/RequestFlow.h
@@ -43,7 +43,7 @@
 
   void sendAnswered(ServerSend &Which) override;
   void sendBody(ServerSend &Which, std::string Bytes) override;
-  void sendEnded(ServerSend &Which, dispatch::SendEnd How) override;
+  void sendEnded(ServerSend &Which, dispatch::SendOutcome How) override;
   void sendCompleted(ServerSend &Which) override;
   bool wantsMore() const override;
 
@@ -67,7 +67,7 @@
   void startRun(const dispatch::RunAt &Plan);
   void readCompleted(ServerSend &Which);
   std::optional<dispatch::RunAt> chooseRunner(BootTime Now);
-  bool mayUseHandleAgain(const dispatch::SendEnd &How, BootTime Now);
+  bool mayUseHandleAgain(const dispatch::SendOutcome &How, BootTime Now);
   bool runsAtAnother(const ServerSend &Than, BootTime Now);
   void send(const std::string &TargetId, const std::string &FetchFrom,
             SendPurpose Purpose, dispatch::Work What);
@@ -95,8 +95,8 @@
   void forwardEvents(const std::string &Events);
   void forwardWhole(ServerSend &Which);
   void passOn(ServerSend &Which);
-  void settle(const dispatch::SendEnd &How, ServerSend &Which);
-  dispatch::NextStep nextStep(const dispatch::SendEnd &How,
+  void settle(const dispatch::SendOutcome &How, ServerSend &Which);
+  dispatch::NextStep nextStep(const dispatch::SendOutcome &How,
                               const ServerSend &Which);
   void sendAgain(const ServerSend &After);
   void giveUp(unsigned Status, std::string_view Reason,
@@ -114,7 +114,7 @@
   void logTaken();
   void logEnded(std::string_view Outcome, unsigned Status,
                 std::string_view Reason);
-  void logSendEnded(const ServerSend &Which, const dispatch::SendEnd &How);
+  void logSendEnded(const ServerSend &Which, const dispatch::SendOutcome &How);
   void logSent(const std::string &TargetId, const std::string &FetchFrom,
                SendPurpose Purpose, dispatch::Milliseconds Expected);
   void armWatch(BootClock::duration After);
--- a/Services/figlift-gateway/RequestLines.cpp
+++ b/Services/figlift-gateway/RequestLines.cpp
@@ -44,7 +44,7 @@
 }
 
 void RequestFlow::logSendEnded(const ServerSend &Which,
-                               const dispatch::SendEnd &How) {
+                               const dispatch::SendOutcome &How) {
   const BootTime Now = BootClock::now();
   if (!m_Shared.Log.allows(LineKind::Notable, Now))
     return;
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -1,6 +1,6 @@
 //===- ServerSend.cpp - One send of a request to a server -----------------===//
 //
-// Classifies what came back; see RepeatRules.h for what follows from it.
+// Classifies what came back; see RetryRules.h for what follows from it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 
 namespace figlift::gateway {
 
-using dispatch::SendEnd;
+using dispatch::SendOutcome;
 using upstream::ExchangeEnd;
 
 namespace {
@@ -79,7 +79,7 @@
   if (!isOwnAnswer() || (Run && isSuccess(Head.Status) && !m_Fields.Signed)) {
     if (const auto Connection = std::exchange(m_Connection, nullptr))
       Connection->abort();
-    return end(dispatch::BrokeOff{});
+    return end(dispatch::ConnectionLost{});
   }
   noteLimit();
   if (Run && isSuccess(Head.Status))
@@ -114,7 +114,7 @@
     return;
   if (const auto Connection = std::exchange(m_Connection, nullptr))
     Connection->abort();
-  end(dispatch::BrokeOff{});
+  end(dispatch::ConnectionLost{});
 }
 
 void ServerSend::onEnd(ExchangeEnd How) {
@@ -124,7 +124,7 @@
   if (How == ExchangeEnd::NotSent)
     return end(dispatch::NotSent{});
   if (How != ExchangeEnd::Complete)
-    return end(dispatch::BrokeOff{});
+    return end(dispatch::ConnectionLost{});
   if (m_Fields.NotRun)
     return end(dispatch::Rejected{});
   if (!isSuccess(m_Head.Status))
@@ -142,7 +142,7 @@
     m_Shared.Loads.turnedAway(m_TargetId, Now);
 }
 
-void ServerSend::judge(const SendEnd &How) {
+void ServerSend::judge(const SendOutcome &How) {
   // The target may have started again since: the end of its earlier start is
   // no verdict on this one.
   if (!m_Shared.Loads.knows(m_TargetId, m_Ticket))
@@ -161,7 +161,7 @@
     m_Shared.Loads.failed(m_TargetId, m_Ticket, Now);
 }
 
-void ServerSend::end(SendEnd How) {
+void ServerSend::end(SendOutcome How) {
   judge(How);
   if (auto *const Owner = std::exchange(m_Owner, nullptr))
     Owner->sendEnded(*this, How);
--- a/Services/figlift-gateway/ServerSend.h
+++ b/Services/figlift-gateway/ServerSend.h
@@ -37,7 +37,7 @@
   virtual void sendBody(ServerSend &Which, std::string Bytes) = 0;
   /// A whole success; its body is in body() unless it went to sendBody.
   virtual void sendCompleted(ServerSend &Which) = 0;
-  virtual void sendEnded(ServerSend &Which, dispatch::SendEnd How) = 0;
+  virtual void sendEnded(ServerSend &Which, dispatch::SendOutcome How) = 0;
   virtual bool wantsMore() const = 0;
 };
 
@@ -79,8 +79,8 @@
   bool isOwnAnswer() const;
   void noteRejection(BootTime Now);
   void noteLimit();
-  void judge(const dispatch::SendEnd &How);
-  void end(dispatch::SendEnd How);
+  void judge(const dispatch::SendOutcome &How);
+  void end(dispatch::SendOutcome How);
 
   /// Longest body that is gathered whole; longer ones are no answer that the
   /// services here give, and would take the memory of all requests.
