--- a/Libraries/LibLease/LeaseKeeper.cpp
+++ b/Libraries/LibLease/LeaseKeeper.cpp
@@ -1,7 +1,7 @@
-//===- LeaseKeeper.cpp - A lease that is a row of the table ---------------===//
+//===- LeaseKeeper.cpp - Holds a lease on a row of the table --------------===//
 //
-// The row is {"holder","epoch","durationMilliseconds"}; its version, which the
-// table keeps, is what observers watch.
+// The row is {"holder","epoch","durationMilliseconds"}. Observers watch its
+// version, which the table maintains.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,34 +15,35 @@
 
 namespace {
 
-/// Content of a row; an unreadable one counts as held by nobody known, so that
-/// its version still has to stand still for a whole duration.
-lease::RowRead parseRow(const platform::Row &Read,
+/// Parses a row. An unreadable one counts as held by an unknown process, so
+/// that it is acquired only after its version has not changed for a whole
+/// duration.
+lease::RowRead parseRow(const platform::Row &Stored,
                         std::chrono::milliseconds DefaultDuration) {
-  lease::RowRead Row;
-  Row.Version = Read.Version;
-  Row.Era = Read.Era;
-  Row.Duration = DefaultDuration;
-  if (Read.Version == 0)
-    return Row;
-  json Value = json::parse(Read.Value, nullptr, /*allow_exceptions=*/false);
+  lease::RowRead Parsed;
+  Parsed.Version = Stored.Version;
+  Parsed.Era = Stored.Era;
+  Parsed.Duration = DefaultDuration;
+  if (Stored.Version == 0)
+    return Parsed;
+  json Value = json::parse(Stored.Value, nullptr, /*allow_exceptions=*/false);
   if (!Value.is_object()) {
-    Row.Holder = "unreadable";
-    return Row;
+    Parsed.Holder = "unreadable";
+    return Parsed;
   }
-  Row.Holder = Value.value("holder", "");
-  Row.Epoch = Value.value("epoch", uint64_t{0});
-  Row.Duration = std::chrono::milliseconds(
+  Parsed.Holder = Value.value("holder", "");
+  Parsed.Epoch = Value.value("epoch", uint64_t{0});
+  Parsed.Duration = std::chrono::milliseconds(
       Value.value("durationMilliseconds", DefaultDuration.count()));
-  return Row;
+  return Parsed;
 }
 
 } // namespace
 
 LeaseKeeper::LeaseKeeper(platform::Table &Store, Post Run, std::string Key,
-                         LeaseOptions Options, Observer Told)
+                         LeaseOptions Options, Observer Notify)
     : m_Store(Store), m_Run(std::move(Run)), m_Key(std::move(Key)),
-      m_Machine(std::move(Options)), m_Told(std::move(Told)) {}
+      m_Machine(std::move(Options)), m_Observer(std::move(Notify)) {}
 
 void LeaseKeeper::tick() { step(lease::Tick{}); }
 
@@ -52,35 +53,35 @@
   return m_Machine.epoch(BootClock::now());
 }
 
-void LeaseKeeper::step(const lease::Event &What) {
-  for (const lease::Action &Each : m_Machine.step(What, BootClock::now()))
-    std::visit([this](const auto &One) { act(One); }, Each);
+void LeaseKeeper::step(const lease::Event &Input) {
+  for (const lease::Action &Action : m_Machine.step(Input, BootClock::now()))
+    std::visit([this](const auto &Selected) { act(Selected); }, Action);
 }
 
 void LeaseKeeper::act(const lease::ReadRow &) {
   m_Store.read(m_Key, [Weak = weak_from_this(),
-                       Run = m_Run](const Result<platform::Row> &Read) {
-    Run([Weak, Read] {
+                       Run = m_Run](const Result<platform::Row> &Row) {
+    Run([Weak, Row] {
       if (auto Self = Weak.lock())
-        Self->rowRead(Read);
+        Self->rowRead(Row);
     });
   });
 }
 
-void LeaseKeeper::rowRead(const Result<platform::Row> &Read) {
+void LeaseKeeper::rowRead(const Result<platform::Row> &Row) {
   constexpr std::chrono::milliseconds DefaultDuration{3000};
-  if (Read)
-    step(parseRow(Read.value(), DefaultDuration));
+  if (Row)
+    step(parseRow(Row.value(), DefaultDuration));
   else
     step(lease::ReadFailed{});
 }
 
-void LeaseKeeper::act(const lease::CommitRow &What) {
-  json Value{{"holder", What.Holder},
-             {"epoch", What.Epoch},
-             {"durationMilliseconds", What.Duration.count()}};
+void LeaseKeeper::act(const lease::CommitRow &Commit) {
+  json Value{{"holder", Commit.Holder},
+             {"epoch", Commit.Epoch},
+             {"durationMilliseconds", Commit.Duration.count()}};
   platform::Transaction Change;
-  Change.Conditions = {{m_Key, What.ExpectedVersion}};
+  Change.Conditions = {{m_Key, Commit.ExpectedVersion}};
   Change.Writes = {{m_Key, Value.dump()}};
   m_Store.commit(Change, [Weak = weak_from_this(),
                           Run = m_Run](const Result<std::monostate> &Done) {
@@ -91,10 +92,10 @@
   });
 }
 
-void LeaseKeeper::committed(const Result<std::monostate> &Done) {
-  if (Done)
+void LeaseKeeper::committed(const Result<std::monostate> &Outcome) {
+  if (Outcome)
     return step(lease::CommitSucceeded{});
-  switch (Done.error().Code) {
+  switch (Outcome.error().Code) {
   case ResultCode::StoreConflict:
     return step(lease::CommitConflicted{});
   case ResultCode::StoreUnavailable:
@@ -104,10 +105,10 @@
   }
 }
 
-void LeaseKeeper::act(const lease::BecomeHolder &What) {
-  m_Told.Gained(What.Epoch);
+void LeaseKeeper::act(const lease::BecomeHolder &Action) {
+  m_Observer.Gained(Action.Epoch);
 }
 
-void LeaseKeeper::act(const lease::LoseAuthority &What) {
-  m_Told.Lost(What.Epoch);
+void LeaseKeeper::act(const lease::LoseAuthority &Action) {
+  m_Observer.Lost(Action.Epoch);
 }
--- a/Libraries/LibLease/LeaseMachine.cpp
+++ b/Libraries/LibLease/LeaseMachine.cpp
@@ -1,4 +1,4 @@
-//===- LeaseMachine.cpp - Authority over one shard ------------------------===//
+//===- LeaseMachine.cpp - Lease of one shard ------------------------------===//
 //
 // See LeaseMachine.h.
 //
@@ -14,11 +14,11 @@
 LeaseMachine::LeaseMachine(LeaseOptions Options)
     : m_Options(std::move(Options)) {}
 
-std::vector<Action> LeaseMachine::step(const Event &What, BootTime Now) {
+std::vector<Action> LeaseMachine::step(const Event &Input, BootTime Now) {
   Actions Out;
   if (m_Phase == Phase::Stopped)
     return Out;
-  std::visit([&](const auto &Event) { on(Event, Now, Out); }, What);
+  std::visit([&](const auto &Event) { on(Event, Now, Out); }, Input);
   return Out;
 }
 
@@ -42,10 +42,10 @@
   return std::min(Third, Valid / 2);
 }
 
-/// Whether the row may be taken. The row's own holder is judged by this
-/// machine's clock alone: its version has not changed here for the duration.
-/// It began to count before its write, and so before this machine saw the
-/// version, and it stops a margin earlier.
+/// Whether the row may be acquired. Another holder is considered expired by
+/// this process's clock alone: the version has not changed here for the
+/// duration. The holder counts its time from before its write, and so from
+/// before this process saw the version, and stops a margin earlier.
 bool LeaseMachine::mayAcquire(BootTime Now) const {
   if (!m_RowKnown || Now < m_QuietUntil)
     return false;
@@ -68,19 +68,20 @@
   }
   if (Now < m_NextCall)
     return;
-  // The row may have expired between two reads: no need to read it again, the
-  // commit fails if its version has changed.
+  // The row may have expired between two reads. It need not be read again, as
+  // the commit fails if its version has changed.
   if (mayAcquire(Now) && !m_InDoubt)
     return acquire(Now, Out);
   read(Now, Out);
 }
 
-void LeaseMachine::on(const StoreCameBack &What, BootTime Now, Actions &Out) {
-  enterEra(What.Era, Now, Out);
+void LeaseMachine::on(const StoreRestored &Restored, BootTime Now,
+                      Actions &Out) {
+  enterEra(Restored.Era, Now, Out);
 }
 
-/// What this machine knew of the row is of another history. The first era that
-/// is seen may have begun a moment ago, unless it is the store's first one.
+/// The known row belongs to another history of the store. The first era that is
+/// seen may have begun a moment ago, unless it is the store's first one.
 void LeaseMachine::enterEra(uint64_t Era, BootTime Now, Actions &Out) {
   if (Era <= m_Era)
     return;
@@ -100,11 +101,13 @@
   bool Changed = !m_RowKnown || Row.Version != m_Row.Version;
   if (Changed)
     m_FirstSeen = Now;
-  // A commit of an earlier era may land in this one, as versions are given out
-  // again; authority that began before the return is over all the same.
+  // A commit of an earlier era may take effect in this one, as versions are
+  // assigned again; authority that began before the restoration has ended all
+  // the same.
   m_InDoubt = m_InDoubt && m_AttemptEra == m_Era;
-  bool Landed = m_InDoubt && Row.Version == m_Attempt.ExpectedVersion + 1 &&
-                Row.Holder == m_Attempt.Holder && Row.Epoch == m_Attempt.Epoch;
+  bool TookEffect = m_InDoubt && Row.Version == m_Attempt.ExpectedVersion + 1 &&
+                    Row.Holder == m_Attempt.Holder &&
+                    Row.Epoch == m_Attempt.Epoch;
   bool StillOpen = m_InDoubt && Row.Version == m_Attempt.ExpectedVersion;
   m_InDoubt = StillOpen;
   m_Row = Row;
@@ -119,13 +122,13 @@
     return finish(true, Out);
   if (m_StopRequested)
     return stop(Now, Out);
-  if (Landed && Row.Holder == m_Options.Self)
+  if (TookEffect && Row.Holder == m_Options.Self)
     return becomeHolder(m_FirstAttempt, Now, Out);
-  if (m_Phase == Phase::Holding && Changed && !Landed)
+  if (m_Phase == Phase::Holding && Changed && !TookEffect)
     loseAuthority(Out);
-  // A commit that is still open can land at any time, or never. The same
-  // content is tried again at the same version: exactly one of the two can
-  // take effect, and either is what this process wants.
+  // A commit that is still open can take effect at any time, or never. The same
+  // content is sent again for the same version: at most one of the two can take
+  // effect, and the result is the same.
   if (m_Phase == Phase::Holding)
     return renew(Now, Out);
   if (mayAcquire(Now))
@@ -139,7 +142,8 @@
 void LeaseMachine::on(const CommitSucceeded &, BootTime Now, Actions &Out) {
   m_Waiting = Waiting::Nothing;
   m_InDoubt = false;
-  // Sent in an earlier era, it was carried out in this one, or forgotten.
+  // The commit was sent in an earlier era, and was either carried out in this
+  // one or lost.
   if (m_AttemptEra != m_Era)
     return read(Now, Out);
   m_Row = RowRead{m_Attempt.ExpectedVersion + 1, m_Attempt.Holder,
@@ -154,8 +158,8 @@
 
 void LeaseMachine::on(const CommitConflicted &, BootTime Now, Actions &Out) {
   m_Waiting = Waiting::Nothing;
-  // Another candidate won, or an earlier commit of ours took effect after its
-  // answer was lost. Only the row tells which.
+  // Another candidate won, or an earlier commit of this process took effect
+  // after its answer was lost. Only the row shows which.
   m_InDoubt = true;
   read(Now, Out);
 }
@@ -181,8 +185,8 @@
     stop(Now, Out);
 }
 
-/// The store did not answer, or did nothing: tries again a few times within
-/// the time that is left to a holder.
+/// The store did not answer, or did nothing: retries a few times within the
+/// time that is left to a holder.
 void LeaseMachine::failed(BootTime Now, Actions &Out) {
   m_Waiting = Waiting::Nothing;
   m_NextCall = Now + renewInterval() / 4;
@@ -196,8 +200,8 @@
   m_HeldSince = CountedFrom;
   m_HeldEpoch = m_Row.Epoch;
   m_NextCall = CountedFrom + renewInterval();
-  // Paused between the sending and the answer: by now another candidate may
-  // have waited long enough to take the row.
+  // If the process was paused between the commit and its answer, another
+  // candidate may have waited long enough to acquire the row.
   if (Now >= validUntil()) {
     if (WasHolder)
       loseAuthority(Out);
@@ -219,14 +223,14 @@
   Out.push_back(ReadRow{});
 }
 
-void LeaseMachine::commit(CommitRow What, BootTime Now, Actions &Out) {
-  if (m_Attempt != What)
+void LeaseMachine::commit(CommitRow Row, BootTime Now, Actions &Out) {
+  if (m_Attempt != Row)
     m_FirstAttempt = Now;
-  m_Attempt = What;
+  m_Attempt = Row;
   m_AttemptEra = m_Era;
   m_CommitSent = Now;
   m_Waiting = Waiting::Commit;
-  Out.push_back(std::move(What));
+  Out.push_back(std::move(Row));
 }
 
 void LeaseMachine::acquire(BootTime Now, Actions &Out) {
@@ -235,7 +239,7 @@
 }
 
 uint64_t LeaseMachine::nextEpoch() const {
-  // Four thousand million tenures in one era.
+  // Leaves room for 2^32 acquisitions in one era.
   constexpr unsigned EraShift = 32;
   const uint64_t First = m_Era > 1 ? m_Era << EraShift : 0;
   return std::max(m_Row.Epoch + 1, First);
@@ -252,7 +256,7 @@
   if (!m_RowKnown || m_Row.Holder != m_Options.Self)
     return finish(true, Out);
   m_Phase = Phase::Releasing;
-  // The epoch stays in the row, so that the next holder's is higher.
+  // The epoch stays in the row, so that the next holder's epoch is higher.
   commit({m_Row.Version, "", m_Row.Epoch, m_Options.Duration}, Now, Out);
 }
 
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -85,7 +85,7 @@
 void StageDirector::storeCameBack(uint64_t Era) {
   for (auto &[Service, Of] : m_Shards)
     if (Of.Lease)
-      Of.Lease->storeCameBack(Era);
+      Of.Lease->storeRestored(Era);
 }
 
 dispatch::EngineDemand StageDirector::demandOn(const std::string &Service,
--- a/Tests/LibLease/TestLeaseExploration.cpp
+++ b/Tests/LibLease/TestLeaseExploration.cpp
@@ -1,11 +1,12 @@
 //===- TestLeaseExploration.cpp - All interleavings of two candidates -----===//
 //
-// Explores LeaseWorld with the mechanisms on, where nothing may be found, and
-// with one of them off, where the exploration has to find what it prevents.
+// Explores LeaseSimulation with all safeguards, where no violation may be
+// found, and without one of them, where the exploration must find the violation
+// that it prevents.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LibLease/LeaseWorld.h"
+#include "LibLease/LeaseSimulation.h"
 
 #include "Exploration/ExplorationGroup.h"
 
@@ -16,8 +17,8 @@
 
 constexpr size_t Limit = 1500000;
 
-void expectNone(const char *Name, const LeaseBounds &Bounds) {
-  Exploration Result = explore(LeaseWorld(Bounds), Limit);
+void expectNoViolation(const char *Name, const LeaseBounds &Bounds) {
+  Exploration Result = explore(LeaseSimulation(Bounds), Limit);
   Result.print(Name);
   CHECK_TRUE(Result.Violation.empty());
   CHECK_TRUE(Result.Complete);
@@ -28,77 +29,78 @@
 TEST_GROUP_BASE(LeaseExploration, ExplorationGroup){};
 
 TEST(LeaseExploration, NoOrderTakesEffectAfterItsLeaseHasPassedOn) {
-  // Symptom: two planners' orders reach one engine in turns. Sequence: holder
-  // paused between mayPlan() and sending, lease lapses, another takes it and
-  // orders, the first resumes. Cause: a lease alone is no fence.
-  expectNone("lease, pauses", LeaseBounds{});
+  // Guards against: a holder is paused between mayPlan() and sending, its lease
+  // expires, another candidate acquires it and sends orders, the first resumes,
+  // and orders of two planners reach one engine alternately. A lease alone is
+  // no fence.
+  expectNoViolation("lease, pauses", LeaseBounds{});
   LeaseBounds Lost;
   Lost.LostAnswers = 1;
   Lost.LastTime = 3;
-  expectNone("lease, pauses and a lost answer", Lost);
+  expectNoViolation("lease, pauses and a lost answer", Lost);
   LeaseBounds Stopped;
   Stopped.Stops = 1;
   Stopped.StoreFailures = 1;
   Stopped.LastTime = 3;
-  expectNone("lease, pauses, a failing store and a stop", Stopped);
+  expectNoViolation("lease, pauses, a failing store and a stop", Stopped);
 }
 
 TEST(LeaseExploration, WithoutTheAgentsCheckOrdersCrossEpochs) {
-  // Symptom: an older epoch's order is accepted after a newer one's.
-  // Sequence: as above. Cause: the agent takes any epoch.
+  // Without a check of epochs the agent accepts an order of an older epoch
+  // after one of a newer epoch.
   LeaseBounds Bounds;
   Bounds.Check = AgentCheck::None;
-  Exploration Result = explore(LeaseWorld(Bounds), Limit);
+  Exploration Result = explore(LeaseSimulation(Bounds), Limit);
   Result.print("lease, agent without a check");
   CHECK_FALSE(Result.Violation.empty());
 }
 
 TEST(LeaseExploration, TheHighestEpochSeenIsNotEnough) {
-  // Symptom: an order takes effect although its planner has lost the lease.
-  // Sequence: another candidate takes the lease and has not ordered yet; the
-  // paused one's order arrives. Cause: the agent has not seen the new epoch.
+  // Another candidate has acquired the lease and sent no order yet when the
+  // order of the paused one arrives. The agent has not seen the new epoch, and
+  // accepts the order of a planner without the lease.
   LeaseBounds Bounds;
   Bounds.Check = AgentCheck::HighestSeen;
-  Exploration Result = explore(LeaseWorld(Bounds), Limit);
+  Exploration Result = explore(LeaseSimulation(Bounds), Limit);
   Result.print("lease, agent with the highest epoch seen");
   CHECK_FALSE(Result.Violation.empty());
 }
 
-TEST(LeaseExploration, AHolderThatCountsTooLongMeetsItsSuccessor) {
-  // Symptom: two candidates may plan at once. Sequence: renewals fail, the
-  // other waits for the duration and takes the row. Cause: the holder's time
-  // is longer than the observers' (a negative margin stands for that).
+TEST(LeaseExploration, AHolderWithTooLongAuthorityOverlapsItsSuccessor) {
+  // Renewals fail, and the other candidate waits for the duration and acquires
+  // the row. If the holder counts a longer time than the observers (as with a
+  // negative margin), both may plan at once.
   LeaseBounds Bounds;
   Bounds.Margin = std::chrono::seconds(-2);
-  Exploration Result = explore(LeaseWorld(Bounds), Limit);
+  Exploration Result = explore(LeaseSimulation(Bounds), Limit);
   Result.print("lease, holder counts two seconds too long");
   CHECK_FALSE(Result.Violation.empty());
 }
 
-// Failure: the store forgets who holds the lease, and another takes it while
-// the holder goes on; or gives an epoch out again.
-TEST(LeaseExploration, HoldersOfTwoErasNeverMeet) {
+// Guards against: the store loses the row of the holder, and another candidate
+// acquires the lease while the holder continues, or an epoch is assigned twice.
+TEST(LeaseExploration, HoldersOfTwoErasNeverOverlap) {
   LeaseBounds Bounds;
-  Bounds.Returns = 1;
+  Bounds.MaximumRestores = 1;
   Bounds.Check = AgentCheck::HighestSeen;
   Bounds.Duration = std::chrono::seconds(2);
   Bounds.LastTime = 3;
-  Bounds.OrdersEach = 0;
-  expectNone("lease, store that comes back from a copy", Bounds);
+  Bounds.OrdersPerCandidate = 0;
+  expectNoViolation("lease, store that comes back from a copy", Bounds);
   Bounds.LastTime = 2;
-  Bounds.OrdersEach = 1;
-  expectNone("lease, the same with orders", Bounds);
-  Bounds.OrdersEach = 0;
+  Bounds.OrdersPerCandidate = 1;
+  expectNoViolation("lease, the same with orders", Bounds);
+  Bounds.OrdersPerCandidate = 0;
   Bounds.LostAnswers = 1;
-  expectNone("lease, store from a copy and a lost answer", Bounds);
+  expectNoViolation("lease, store from a copy and a lost answer", Bounds);
 }
 
-TEST(LeaseExploration, WithoutErasHoldersMeet) {
+TEST(LeaseExploration, WithoutErasHoldersOverlap) {
   LeaseBounds Bounds;
-  Bounds.Returns = 1;
+  Bounds.MaximumRestores = 1;
   Bounds.Check = AgentCheck::HighestSeen;
-  Bounds.TellsEra = false;
-  Exploration Result = explore(LeaseWorld(Bounds), Limit);
+  Bounds.ReportsEra = false;
+  Exploration Result = explore(LeaseSimulation(Bounds), Limit);
   Result.print("lease, store from a copy that tells no era");
   CHECK_FALSE(Result.Violation.empty());
 }
--- a/Tests/LibLease/TestLeaseMachine.cpp
+++ b/Tests/LibLease/TestLeaseMachine.cpp
@@ -1,6 +1,6 @@
 //===- TestLeaseMachine.cpp - Single steps of a candidate -----------------===//
 //
-// The rules of LeaseMachine one by one.
+// Covers the rules of LeaseMachine one by one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,14 +21,14 @@
 }
 
 template <typename Kind> bool contains(const std::vector<Action> &Actions) {
-  return std::ranges::any_of(Actions, [](const Action &One) {
-    return std::holds_alternative<Kind>(One);
+  return std::ranges::any_of(Actions, [](const Action &Candidate) {
+    return std::holds_alternative<Kind>(Candidate);
   });
 }
 
 LeaseMachine candidate() { return LeaseMachine({"self", 3s, 1s}); }
 
-/// A holder of epoch 8 whose commit was sent at 0 ms.
+/// Returns a holder with epoch 8 whose commit was sent at 0 ms.
 LeaseMachine holder() {
   LeaseMachine Machine = candidate();
   Machine.step(Tick{}, at(0ms));
@@ -41,7 +41,7 @@
 
 TEST_GROUP(LeaseMachine){};
 
-TEST(LeaseMachine, TakesAFreeRowWithTheNextEpoch) {
+TEST(LeaseMachine, AcquiresFreeRowWithNextEpoch) {
   LeaseMachine Machine = candidate();
   CHECK_TRUE(contains<ReadRow>(Machine.step(Tick{}, at(0ms))));
   auto Actions = Machine.step(RowRead{4, "", 7, 3s}, at(0ms));
@@ -52,7 +52,7 @@
   CHECK_TRUE(Machine.epoch(at(10ms)) == 8);
 }
 
-TEST(LeaseMachine, CountsFromBeforeTheCommitWasSent) {
+TEST(LeaseMachine, CountsAuthorityFromCommit) {
   LeaseMachine Machine = holder();
   CHECK_TRUE(Machine.mayPlan(at(1999ms)));
   CHECK_FALSE(Machine.mayPlan(at(2000ms)));
@@ -60,7 +60,7 @@
              Action(LoseAuthority{8}));
 }
 
-TEST(LeaseMachine, RenewsAThirdOfTheDurationLater) {
+TEST(LeaseMachine, RenewsAfterThirdOfDuration) {
   LeaseMachine Machine = holder();
   CHECK_TRUE(Machine.step(Tick{}, at(999ms)).empty());
   CHECK_TRUE(Machine.step(Tick{}, at(1000ms)).at(0) ==
@@ -70,7 +70,7 @@
   CHECK_FALSE(Machine.mayPlan(at(3000ms)));
 }
 
-TEST(LeaseMachine, WatchesAnothersRowForItsWholeDuration) {
+TEST(LeaseMachine, WaitsForDurationOfOtherHolder) {
   LeaseMachine Machine = candidate();
   Machine.step(Tick{}, at(0ms));
   CHECK_TRUE(Machine.step(RowRead{4, "other", 7, 5s}, at(0ms)).empty());
@@ -81,7 +81,7 @@
   CHECK_TRUE(contains<CommitRow>(Machine.step(Tick{}, at(5000ms))));
 }
 
-TEST(LeaseMachine, ARenewalOfAnotherStartsTheWaitAgain) {
+TEST(LeaseMachine, RestartsWaitAfterRenewalOfOtherHolder) {
   LeaseMachine Machine = candidate();
   Machine.step(Tick{}, at(0ms));
   Machine.step(RowRead{4, "other", 7, 3s}, at(0ms));
@@ -90,10 +90,10 @@
   CHECK_FALSE(contains<CommitRow>(Machine.step(Tick{}, at(5800ms))));
 }
 
-TEST(LeaseMachine, ALostAnswerIsReadBackBeforeTheLeaseIsUsed) {
-  // Symptom: a process plans under a lease that another holds, or never plans
-  // under its own. Sequence: commit sent, answer lost. Cause: either guess
-  // about the outcome is wrong at times.
+TEST(LeaseMachine, ReadsRowAfterUnknownCommitOutcome) {
+  // Guards against: the answer to a commit is lost, and the process assumes an
+  // outcome. It then plans with a lease that another process holds, or never
+  // plans with its own.
   LeaseMachine Machine = candidate();
   Machine.step(Tick{}, at(0ms));
   Machine.step(RowRead{4, "", 7, 3s}, at(0ms));
@@ -105,18 +105,19 @@
   CHECK_FALSE(Machine.mayPlan(at(2000ms)));
 }
 
-TEST(LeaseMachine, APausedHolderHasNoAuthorityWhenItWakes) {
-  // Symptom: orders of a process that slept. Sequence: suspended right after
-  // the renewal. Cause: authority judged by events instead of by the clock.
+TEST(LeaseMachine, HasNoAuthorityAfterPause) {
+  // Guards against: a process that is suspended right after a renewal has
+  // authority when it resumes, because authority depends on events and not on
+  // the clock.
   LeaseMachine Machine = holder();
   CHECK_FALSE(Machine.mayPlan(at(60000ms)));
   CHECK_TRUE(contains<LoseAuthority>(Machine.step(Tick{}, at(60000ms))));
 }
 
-TEST(LeaseMachine, AnAnswerThatComesTooLateMakesNoHolder) {
-  // Symptom: a holder whose lease another has taken. Sequence: commit sent,
-  // process paused for longer than the duration, answer processed. Cause:
-  // counting from the answer.
+TEST(LeaseMachine, DoesNotBecomeHolderByLateAnswer) {
+  // Guards against: the process is paused between a commit and its answer for
+  // longer than the duration, counts its authority from the answer, and another
+  // candidate has acquired the lease.
   LeaseMachine Machine = candidate();
   Machine.step(Tick{}, at(0ms));
   Machine.step(RowRead{4, "", 7, 3s}, at(0ms));
@@ -124,7 +125,7 @@
   CHECK_FALSE(Machine.mayPlan(at(4000ms)));
 }
 
-TEST(LeaseMachine, LosesAuthorityToANewerRow) {
+TEST(LeaseMachine, LosesAuthorityToNewerRow) {
   LeaseMachine Machine = holder();
   Machine.step(Tick{}, at(1000ms));
   Machine.step(CommitConflicted{}, at(1100ms));
@@ -133,7 +134,7 @@
   CHECK_FALSE(Machine.mayPlan(at(1200ms)));
 }
 
-TEST(LeaseMachine, RetriesWithinTheTimeThatIsLeft) {
+TEST(LeaseMachine, RetriesWithinAuthority) {
   LeaseMachine Machine = holder();
   Machine.step(Tick{}, at(1000ms));
   Machine.step(StoreFailed{}, at(1100ms));
@@ -141,7 +142,7 @@
   CHECK_TRUE(contains<CommitRow>(Machine.step(Tick{}, at(1400ms))));
 }
 
-TEST(LeaseMachine, AStopReleasesAndKeepsTheEpoch) {
+TEST(LeaseMachine, ReleasesAtStopAndKeepsEpoch) {
   LeaseMachine Machine = holder();
   auto Actions = Machine.step(StopRequested{}, at(100ms));
   CHECK_TRUE(Actions.at(0) == Action(LoseAuthority{8}));
@@ -152,24 +153,25 @@
   CHECK_TRUE(Machine.stopped());
 }
 
-TEST(LeaseMachine, AStopDuringAnOutageEnds) {
-  // Symptom: a process that does not exit. Sequence: stop while the store is
-  // down. Cause: waiting for a release that others do not need.
+TEST(LeaseMachine, StopsDuringOutage) {
+  // Guards against: a process that stops while the store is unavailable waits
+  // for the release of its lease and never exits. Others do not need the
+  // release.
   LeaseMachine Machine = holder();
   Machine.step(StopRequested{}, at(100ms));
   CHECK_TRUE(Machine.step(StoreFailed{}, at(200ms)).at(0) ==
              Action(Released{false}));
 }
 
-// Failure: a holder gives orders on while another, who finds no trace of it,
-// takes the lease.
-TEST(LeaseMachine, GivesItsLeaseUpWhenTheStoreComesBackFromACopy) {
+// Guards against: a holder continues to send orders while another candidate
+// acquires the lease, as the restored row does not show the holder.
+TEST(LeaseMachine, LosesLeaseWhenStoreIsRestored) {
   LeaseMachine Machine = holder();
-  const auto Actions = Machine.step(StoreCameBack{2}, at(20ms));
+  const auto Actions = Machine.step(StoreRestored{2}, at(20ms));
   CHECK_TRUE(contains<LoseAuthority>(Actions));
   CHECK_FALSE(Machine.mayPlan(at(21ms)));
-  // Its own row, in the copy, is not taken before any other holder's time is
-  // over, and then with an epoch that no earlier era has given out.
+  // Its own row in the copy is not acquired before the time of any other holder
+  // has passed, and then with an epoch that no earlier era has assigned.
   CHECK_TRUE(contains<ReadRow>(Machine.step(Tick{}, at(30ms))));
   CHECK_FALSE(contains<CommitRow>(
       Machine.step(RowRead{5, "self", 8, 3s, 2}, at(40ms))));
