--- a/Libraries/LibDispatch/CrashSuspects.cpp
+++ b/Libraries/LibDispatch/CrashSuspects.cpp
@@ -230,7 +230,7 @@
   if (Position == m_Entries.end() || Now >= Position->second.IsolatedUntil)
     return std::nullopt;
   return SuspectRejection{"a server crashed while running this request, and "
-                          "another gateway is trying it",
+                          "another attempt is in progress",
                           rounded(Position->second.IsolatedUntil - Now)};
 }
 
--- a/Libraries/LibDispatch/SuspectUpdate.cpp
+++ b/Libraries/LibDispatch/SuspectUpdate.cpp
@@ -1,4 +1,4 @@
-//===- SuspectUpdate.cpp - Crashes of a suspect request, for peers --------===//
+//===- SuspectUpdate.cpp - Crashes of a request, for peers ----------------===//
 //
 // Items are encoded as arrays instead of objects to keep datagrams small.
 //
--- a/Libraries/LibDispatch/SuspectUpdate.h
+++ b/Libraries/LibDispatch/SuspectUpdate.h
@@ -1,5 +1,4 @@
-//===- SuspectUpdate.h - Crashes of a suspect request, for peers --*- C++
-//-*-===//
+//===- SuspectUpdate.h - Crashes of a request, for peers --------*- C++ -*-===//
 //
 // The state of one suspect request as a gateway reports it to its peers. Times
 // are sent as ages, as the clocks of two machines differ.
