--- a/Libraries/LibDispatch/LimitShare.h
+++ b/Libraries/LibDispatch/LimitShare.h
@@ -1,10 +1,10 @@
-//===- LimitShare.h - A gateway's part of a server's limit ------*- C++ -*-===//
+//===- LimitShare.h - A gateway's share of a server's limit -----*- C++ -*-===//
 //
-// Callers are spread unevenly over gateways, so an even share of a limit would
-// leave most of it unused: shares go by demand. Each gateway computes its own
-// from what all have told, so the shares add up to one as far as their views
-// agree. A gateway that misses others takes an even part of all that are
-// listed.
+// Callers are distributed unevenly over gateways, so even shares would leave
+// most of a limit unused; shares are proportional to demand instead. Each
+// gateway computes its own share from the reports of all, so the shares add up
+// to one as far as their views agree. A gateway that misses reports of others
+// takes an even share among all that are listed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,31 +17,33 @@
 namespace figlift::dispatch {
 
 struct LimitFleet {
-  /// This gateway, and the others that were heard lately, by name.
-  std::string Own;
+  /// This gateway, and the others that sent a report recently, by name.
+  std::string Self;
   std::vector<std::string> Others;
-  /// Gateways that may be spending a part, heard or not.
+  /// Gateways that may be using a share, whether or not a report of them
+  /// arrived.
   size_t Sharers = 1;
-  /// \name Demand on the server's service, in any unit; 0 if nobody told.
+  /// \name Demand on the server's service, in any unit; 0 if not reported.
   /// @{
   double OwnDemand = 0;
-  double AllDemand = 0;
+  double TotalDemand = 0;
   /// @}
 };
 
 struct LimitShare {
-  /// Part of the limit, 0 to 1.
-  double Part = 0;
-  /// Requests that may be sent at once.
+  /// Fraction of the limit, 0 to 1.
+  double Fraction = 0;
+  /// Maximum number of requests sent at once.
   double Burst = 0;
 };
 
-/// Requests that the gateways of a fleet may send at once, together: a tenth of
-/// what the limit allows in four seconds, and five.
+/// Number of requests that all gateways of a fleet together may send at once: a
+/// tenth of what the limit allows in four seconds, plus five.
 double fleetBurst(double PerSecond);
 
-/// A limit that is too small for every gateway to save up a request is left to
-/// a few of them, others for each server.
+/// Computes the share of \p Fleet's own gateway. A limit that is too small for
+/// every gateway to save up a whole request is divided among a few gateways,
+/// different ones for each server.
 LimitShare limitShare(const LimitFleet &Fleet, const std::string &TargetId,
                       double PerSecond);
 
--- a/Libraries/LibDispatch/PeerReport.cpp
+++ b/Libraries/LibDispatch/PeerReport.cpp
@@ -1,6 +1,7 @@
-//===- PeerReport.cpp - What gateways tell each other ---------------------===//
+//===- PeerReport.cpp - Periodic report of a gateway to its peers ---------===//
 //
-// Arrays in place of objects keep the datagram within one packet.
+// Items are encoded as arrays instead of objects to keep a report within one
+// packet.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,120 +17,123 @@
 
 namespace {
 
-Json encodeFigures(const ServiceFigures &What) {
-  const engine::EngineFigures &Of = What.Figures;
-  return {What.Service,
-          Of.ReadFixed.count(),
-          Of.ReadThousandTokens.count(),
-          Of.ReadMillionPairs.count(),
-          Of.FetchFixed.count(),
-          Of.ReadWeight,
-          Of.DecodeReadFactor,
-          Of.DecodeReadWeight,
-          Of.StartFixed.count(),
-          Of.TransferFactor,
-          Of.StartWeight};
+Json encodeMeasurements(const ServiceMeasurements &Service) {
+  const engine::EngineFigures &Figures = Service.Figures;
+  return {Service.Service,
+          Figures.ReadFixed.count(),
+          Figures.ReadThousandTokens.count(),
+          Figures.ReadMillionPairs.count(),
+          Figures.FetchFixed.count(),
+          Figures.ReadWeight,
+          Figures.DecodeReadFactor,
+          Figures.DecodeReadWeight,
+          Figures.StartFixed.count(),
+          Figures.TransferFactor,
+          Figures.StartWeight};
 }
 
-ServiceFigures decodeFigures(const Json &From) {
-  const auto Number = [&](size_t At) { return From.at(At).get<double>(); };
-  ServiceFigures Read;
-  Read.Service = From.at(0).get<std::string>();
-  Read.Figures.ReadFixed = Milliseconds(Number(1));
-  Read.Figures.ReadThousandTokens = Milliseconds(Number(2));
-  Read.Figures.ReadMillionPairs = Milliseconds(Number(3));
-  Read.Figures.FetchFixed = Milliseconds(Number(4));
-  Read.Figures.ReadWeight = Number(5);
-  Read.Figures.DecodeReadFactor = Number(6);
-  Read.Figures.DecodeReadWeight = Number(7);
-  Read.Figures.StartFixed = Milliseconds(Number(8));
-  Read.Figures.TransferFactor = Number(9);
-  Read.Figures.StartWeight = Number(10);
-  return Read;
+ServiceMeasurements decodeMeasurements(const Json &Encoded) {
+  const auto Number = [&](size_t Index) {
+    return Encoded.at(Index).get<double>();
+  };
+  ServiceMeasurements Decoded;
+  Decoded.Service = Encoded.at(0).get<std::string>();
+  Decoded.Figures.ReadFixed = Milliseconds(Number(1));
+  Decoded.Figures.ReadThousandTokens = Milliseconds(Number(2));
+  Decoded.Figures.ReadMillionPairs = Milliseconds(Number(3));
+  Decoded.Figures.FetchFixed = Milliseconds(Number(4));
+  Decoded.Figures.ReadWeight = Number(5);
+  Decoded.Figures.DecodeReadFactor = Number(6);
+  Decoded.Figures.DecodeReadWeight = Number(7);
+  Decoded.Figures.StartFixed = Milliseconds(Number(8));
+  Decoded.Figures.TransferFactor = Number(9);
+  Decoded.Figures.StartWeight = Number(10);
+  return Decoded;
 }
 
-Json encodeLimit(const LimitNews &What) {
+Json encodeLimit(const LimitUpdate &Limit) {
   Json PerSecond = nullptr;
-  if (What.PerSecond)
-    PerSecond = *What.PerSecond;
-  return {What.Server.TargetId, encodeStartTime(What.Server.Started), PerSecond,
-          What.Age.count()};
+  if (Limit.PerSecond)
+    PerSecond = *Limit.PerSecond;
+  return {Limit.Server.TargetId, encodeStartTime(Limit.Server.Started),
+          PerSecond, Limit.Age.count()};
 }
 
-LimitNews decodeLimit(const Json &From) {
-  LimitNews Read;
-  Read.Server.TargetId = From.at(0).get<std::string>();
-  Read.Server.Started = decodeStartTime(From.at(1));
-  if (!From.at(2).is_null())
-    Read.PerSecond = From.at(2).get<double>();
-  Read.Age = std::chrono::milliseconds(From.at(3).get<int64_t>());
-  return Read;
+LimitUpdate decodeLimit(const Json &Encoded) {
+  LimitUpdate Limit;
+  Limit.Server.TargetId = Encoded.at(0).get<std::string>();
+  Limit.Server.Started = decodeStartTime(Encoded.at(1));
+  if (!Encoded.at(2).is_null())
+    Limit.PerSecond = Encoded.at(2).get<double>();
+  Limit.Age = std::chrono::milliseconds(Encoded.at(3).get<int64_t>());
+  return Limit;
 }
 
 } // namespace
 
-std::string encodePeerReport(const PeerReport &What) {
+std::string encodePeerReport(const PeerReport &Report) {
   Json Loads = Json::array();
-  for (const PeerLoad &Each : What.Loads)
-    // Hundredths of a millisecond are short in CBOR, and finer than needed.
-    Loads.push_back({Each.TargetId,
-                     static_cast<uint64_t>(Each.Cost.count() * 100), Each.Items,
-                     Each.Turnover,
-                     static_cast<uint64_t>(Each.Reading.count() * 100)});
+  for (const PeerLoad &Load : Report.Loads)
+    // Hundredths of a millisecond are short in CBOR, and precise enough.
+    Loads.push_back({Load.TargetId,
+                     static_cast<uint64_t>(Load.Cost.count() * 100), Load.Items,
+                     Load.Turnover,
+                     static_cast<uint64_t>(Load.Reading.count() * 100)});
   Json Cached = Json::array();
-  for (const CachedPart &Each : What.Cached)
+  for (const CachedPart &Part : Report.Cached)
     Cached.push_back(
-        {Each.TargetId, Each.Part.Id, Each.Part.Tokens, Each.Within.count()});
+        {Part.TargetId, Part.Part.Id, Part.Part.Tokens, Part.Within.count()});
   Json Demands = Json::array();
-  for (const ServiceDemand &Each : What.Demands)
-    Demands.push_back({Each.Service, Each.Demand.Read, Each.Demand.Run});
-  Json Away = Json::array();
-  for (const AwayTarget &Each : What.Away)
-    Away.push_back({Each.TargetId, Each.Left.count()});
+  for (const ServiceDemand &Demand : Report.Demands)
+    Demands.push_back({Demand.Service, Demand.Demand.Read, Demand.Demand.Run});
+  Json Unavailable = Json::array();
+  for (const UnavailableTarget &Target : Report.Unavailable)
+    Unavailable.push_back({Target.TargetId, Target.Remaining.count()});
   Json Engines = Json::array();
-  for (const ServiceFigures &Each : What.Engines)
-    Engines.push_back(encodeFigures(Each));
+  for (const ServiceMeasurements &Service : Report.Engines)
+    Engines.push_back(encodeMeasurements(Service));
   Json Limits = Json::array();
-  for (const LimitNews &Each : What.Limits)
-    Limits.push_back(encodeLimit(Each));
+  for (const LimitUpdate &Limit : Report.Limits)
+    Limits.push_back(encodeLimit(Limit));
   std::string Bytes;
-  Json::to_cbor(
-      Json::array({What.From, Loads, Cached, Demands, Away, Engines, Limits}),
-      Bytes);
+  Json::to_cbor(Json::array({Report.Sender, Loads, Cached, Demands, Unavailable,
+                             Engines, Limits}),
+                Bytes);
   return Bytes;
 }
 
 Result<PeerReport> decodePeerReport(std::string_view Bytes) try {
   const Json Root = Json::from_cbor(Bytes);
-  PeerReport Read;
-  Read.From = Root.at(0).get<std::string>();
-  for (const Json &Each : Root.at(1))
-    Read.Loads.push_back(
-        {Each.at(0).get<std::string>(),
-         Milliseconds(static_cast<double>(Each.at(1).get<uint64_t>()) / 100),
-         Each.at(2).get<uint32_t>(), Each.at(3).get<double>(),
-         Milliseconds(static_cast<double>(Each.at(4).get<uint64_t>()) / 100)});
-  for (const Json &Each : Root.at(2))
-    Read.Cached.push_back(
-        {Each.at(0).get<std::string>(),
-         {Each.at(1).get<uint64_t>(), Each.at(2).get<uint32_t>()},
-         std::chrono::milliseconds(Each.at(3).get<int64_t>())});
-  for (const Json &Each : Root.at(3))
-    Read.Demands.push_back(
-        {Each.at(0).get<std::string>(),
-         {Each.at(1).get<double>(), Each.at(2).get<double>()}});
-  for (const Json &Each : Root.at(4))
-    Read.Away.push_back({Each.at(0).get<std::string>(),
-                         std::chrono::milliseconds(Each.at(1).get<int64_t>())});
-  for (const Json &Each : Root.at(5))
-    Read.Engines.push_back(decodeFigures(Each));
-  // Earlier processes tell no limits.
+  PeerReport Report;
+  Report.Sender = Root.at(0).get<std::string>();
+  for (const Json &Item : Root.at(1))
+    Report.Loads.push_back(
+        {Item.at(0).get<std::string>(),
+         Milliseconds(static_cast<double>(Item.at(1).get<uint64_t>()) / 100),
+         Item.at(2).get<uint32_t>(), Item.at(3).get<double>(),
+         Milliseconds(static_cast<double>(Item.at(4).get<uint64_t>()) / 100)});
+  for (const Json &Item : Root.at(2))
+    Report.Cached.push_back(
+        {Item.at(0).get<std::string>(),
+         {Item.at(1).get<uint64_t>(), Item.at(2).get<uint32_t>()},
+         std::chrono::milliseconds(Item.at(3).get<int64_t>())});
+  for (const Json &Item : Root.at(3))
+    Report.Demands.push_back(
+        {Item.at(0).get<std::string>(),
+         {Item.at(1).get<double>(), Item.at(2).get<double>()}});
+  for (const Json &Item : Root.at(4))
+    Report.Unavailable.push_back(
+        {Item.at(0).get<std::string>(),
+         std::chrono::milliseconds(Item.at(1).get<int64_t>())});
+  for (const Json &Item : Root.at(5))
+    Report.Engines.push_back(decodeMeasurements(Item));
+  // Earlier versions of the program send no limits.
   if (Root.size() > 6)
-    for (const Json &Each : Root.at(6))
-      Read.Limits.push_back(decodeLimit(Each));
-  return Read;
-} catch (const Json::exception &Thrown) {
-  return failure(ResultCode::InvalidInput, Thrown.what(), "peer report");
+    for (const Json &Item : Root.at(6))
+      Report.Limits.push_back(decodeLimit(Item));
+  return Report;
+} catch (const Json::exception &Exception) {
+  return failure(ResultCode::InvalidInput, Exception.what(), "peer report");
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/PeerReport.h
+++ b/Libraries/LibDispatch/PeerReport.h
@@ -1,8 +1,8 @@
-//===- PeerReport.h - What gateways tell each other -------------*- C++ -*-===//
+//===- PeerReport.h - Periodic report of a gateway to its peers -*- C++ -*-===//
 //
-// A datagram with a gateway's outstanding work at each target and the prompt
-// parts that it had computed lately. A lost one is made up for by the next;
-// nothing is decided together by them.
+// A datagram with a gateway's outstanding work on each target and the prompt
+// parts that it had computed recently. A lost datagram is compensated by the
+// next one; the reports are not used to reach agreement.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,42 +24,42 @@
 struct CachedPart {
   std::string TargetId;
   PromptPart Part;
-  /// 0: it is there now; otherwise it is expected within this time.
+  /// 0 if the part is in the cache; otherwise it is expected within this time.
   std::chrono::milliseconds Within{0};
 };
 
-/// Demand that callers made on one service through one gateway.
+/// Demand of callers on one service through one gateway.
 struct ServiceDemand {
   std::string Service;
   EngineDemand Demand;
 };
 
-/// An engine that changes its stage and takes no work meanwhile.
-struct AwayTarget {
+/// An engine that is switching its stage and accepts no work meanwhile.
+struct UnavailableTarget {
   std::string TargetId;
-  std::chrono::milliseconds Left{0};
+  std::chrono::milliseconds Remaining{0};
 };
 
-/// What a process measured of the engines of one service.
-struct ServiceFigures {
+/// Measurements of the engines of one service by one process.
+struct ServiceMeasurements {
   std::string Service;
   engine::EngineFigures Figures;
 };
 
 struct PeerReport {
-  std::string From;
+  std::string Sender;
   std::vector<PeerLoad> Loads;
   std::vector<CachedPart> Cached;
   std::vector<ServiceDemand> Demands;
-  std::vector<AwayTarget> Away;
-  /// Empty in most reports: they change slowly.
-  std::vector<ServiceFigures> Engines;
+  std::vector<UnavailableTarget> Unavailable;
+  /// Empty in most reports, as measurements change slowly.
+  std::vector<ServiceMeasurements> Engines;
   /// Empty in most reports.
-  std::vector<LimitNews> Limits;
+  std::vector<LimitUpdate> Limits;
 };
 
-/// CBOR.
-std::string encodePeerReport(const PeerReport &What);
+/// Encodes as CBOR.
+std::string encodePeerReport(const PeerReport &Report);
 /// Fails with InvalidInput.
 Result<PeerReport> decodePeerReport(std::string_view Bytes);
 
--- a/Libraries/LibDispatch/ServerJournal.cpp
+++ b/Libraries/LibDispatch/ServerJournal.cpp
@@ -1,6 +1,6 @@
-//===- ServerJournal.cpp - Changes of the list of servers, in order -------===//
+//===- ServerJournal.cpp - Recent changes of the server list --------------===//
 //
-// A window of versions that slides with time.
+// Keeps a sliding window of versions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,31 +15,32 @@
   m_KnownAt = std::max(m_KnownAt, KnownAt);
 }
 
-void ServerJournal::wholeRead(StoreVersion Version, BootTime AskedAt) {
+void ServerJournal::recordFullRead(StoreVersion Version, BootTime RequestedAt) {
   if (Version < m_Version)
     return;
-  advance(Version, AskedAt);
+  advance(Version, RequestedAt);
   m_After = Version;
   m_Changes.clear();
-  m_Marks.clear();
+  m_Checkpoints.clear();
 }
 
-void ServerJournal::changesRead(StoreVersion Version, BootTime AskedAt,
-                                std::vector<ServerChange> Changes) {
+void ServerJournal::recordChanges(StoreVersion Version, BootTime RequestedAt,
+                                  std::vector<ServerChange> Changes) {
   if (Version.Era != m_Version.Era)
-    return wholeRead(Version, AskedAt);
-  for (ServerChange &Each : Changes)
-    if (Each.Version > m_Version)
-      m_Changes.push_back(std::move(Each));
-  advance(Version, AskedAt);
-  m_Marks.push_back({AskedAt, m_Version});
-  forgetOld(AskedAt);
+    return recordFullRead(Version, RequestedAt);
+  for (ServerChange &Change : Changes)
+    if (Change.Version > m_Version)
+      m_Changes.push_back(std::move(Change));
+  advance(Version, RequestedAt);
+  m_Checkpoints.push_back({RequestedAt, m_Version});
+  dropExpired(RequestedAt);
 }
 
-void ServerJournal::forgetOld(BootTime Now) {
-  while (!m_Marks.empty() && Now - m_Marks.front().At > KeepTime) {
-    m_After = std::max(m_After, m_Marks.front().Version);
-    m_Marks.pop_front();
+void ServerJournal::dropExpired(BootTime Now) {
+  while (!m_Checkpoints.empty() &&
+         Now - m_Checkpoints.front().At > RetentionTime) {
+    m_After = std::max(m_After, m_Checkpoints.front().Version);
+    m_Checkpoints.pop_front();
   }
   while (m_Changes.size() > MaximumChanges)
     m_After = std::max(
@@ -49,31 +50,31 @@
     m_Changes.pop_front();
 }
 
-NewsVerdict ServerJournal::heard(const ServerNews &News, BootTime Now) {
-  // Old news that come late, or twice, say nothing of now; nor do those of an
-  // era that is over.
-  if (News.UpTo < m_Version || News.After > News.UpTo)
-    return NothingNew{};
-  if (News.After > m_Version)
-    return MissingPart{};
-  NewChanges Told;
-  for (const ServerChange &Each : News.Changes)
-    if (Each.Version > m_Version && Each.Version <= News.UpTo)
-      Told.Changes.push_back(Each);
-  changesRead(News.UpTo, Now - News.Age, Told.Changes);
-  if (Told.Changes.empty())
-    return NothingNew{};
-  return Told;
+UpdateResult ServerJournal::applyUpdate(const ServerUpdate &Update,
+                                        BootTime Now) {
+  // Ignores updates that are outdated, duplicated, or of an earlier era.
+  if (Update.UpTo < m_Version || Update.After > Update.UpTo)
+    return NoChanges{};
+  if (Update.After > m_Version)
+    return MissingVersions{};
+  ServerChanges Accepted;
+  for (const ServerChange &Change : Update.Changes)
+    if (Change.Version > m_Version && Change.Version <= Update.UpTo)
+      Accepted.Changes.push_back(Change);
+  recordChanges(Update.UpTo, Now - Update.Age, Accepted.Changes);
+  if (Accepted.Changes.empty())
+    return NoChanges{};
+  return Accepted;
 }
 
-ServerNews ServerJournal::news(BootTime Now) const {
-  ServerNews Told;
-  Told.After = m_After;
-  Told.UpTo = m_Version;
-  Told.Age = std::chrono::ceil<std::chrono::milliseconds>(
+ServerUpdate ServerJournal::makeUpdate(BootTime Now) const {
+  ServerUpdate Update;
+  Update.After = m_After;
+  Update.UpTo = m_Version;
+  Update.Age = std::chrono::ceil<std::chrono::milliseconds>(
       std::max(BootClock::duration::zero(), Now - m_KnownAt));
-  Told.Changes.assign(m_Changes.begin(), m_Changes.end());
-  return Told;
+  Update.Changes.assign(m_Changes.begin(), m_Changes.end());
+  return Update;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/ServerJournal.h
+++ b/Libraries/LibDispatch/ServerJournal.h
@@ -1,18 +1,16 @@
-//===- ServerJournal.h - Changes of the list of servers, in order -*- C++
-//-*-===//
+//===- ServerJournal.h - Recent changes of the server list ------*- C++ -*-===//
 //
-// Keeps the last changes that this process read or was told, by versions of
-// the store, so that it can tell its peers all of a span of versions. A span
-// is told only as far as it is known without a gap: a peer that took one with
-// a gap would send work to a server that has left, and nothing would ever
-// correct it.
+// Keeps the recent changes that this process read or received, ordered by the
+// version of the store, to report them to its peers. Only spans of versions
+// without a gap are reported: a peer that accepted a span with a gap would send
+// work to a removed server, and nothing would ever correct it.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
 #include "LibCore/Clock.h"
-#include "LibDispatch/StoreNews.h"
+#include "LibDispatch/StoreUpdate.h"
 
 #include <chrono>
 #include <cstdint>
@@ -22,59 +20,62 @@
 
 namespace figlift::dispatch {
 
-/// \name What news of a peer mean here.
+/// \name Results of applying an update of a peer.
 /// @{
-/// This process knows as much, or more.
-struct NothingNew {};
-/// Something between what is known and what was told is missing.
-struct MissingPart {};
-struct NewChanges {
+/// The update contains nothing that is not known here.
+struct NoChanges {};
+/// The update begins after the version known here; the changes between are
+/// missing.
+struct MissingVersions {};
+struct ServerChanges {
   std::vector<ServerChange> Changes;
 };
 /// @}
-using NewsVerdict = std::variant<NothingNew, MissingPart, NewChanges>;
+using UpdateResult = std::variant<NoChanges, MissingVersions, ServerChanges>;
 
 class ServerJournal {
 public:
-  /// The whole list was read as of \p Version, asked for at \p AskedAt; what
-  /// changed since the version before is not known in order.
-  void wholeRead(StoreVersion Version, BootTime AskedAt);
-  /// All changes from the known version up to \p Version were read. In another
-  /// era nothing goes on from what was known: it counts as a whole list.
-  void changesRead(StoreVersion Version, BootTime AskedAt,
-                   std::vector<ServerChange> Changes);
-  /// Takes what a peer tells, if it goes on from what is known.
-  NewsVerdict heard(const ServerNews &News, BootTime Now);
+  /// The whole list was read as of \p Version, with a request sent at \p
+  /// RequestedAt. The order of the changes since the previous version is
+  /// unknown.
+  void recordFullRead(StoreVersion Version, BootTime RequestedAt);
+  /// All changes after the known version up to \p Version were read. Changes of
+  /// another era do not continue those known here; they count as a whole list.
+  void recordChanges(StoreVersion Version, BootTime RequestedAt,
+                     std::vector<ServerChange> Changes);
+  /// Applies an update of a peer if it continues the changes known here.
+  UpdateResult applyUpdate(const ServerUpdate &Update, BootTime Now);
 
-  /// What is known, for peers.
-  ServerNews news(BootTime Now) const;
+  /// Returns the known changes, to be sent to peers.
+  ServerUpdate makeUpdate(BootTime Now) const;
   StoreVersion version() const { return m_Version; }
-  /// What the store says later than this is not known.
+  /// The time as of which the list is known.
   BootTime knownAt() const { return m_KnownAt; }
 
 private:
-  /// Peers that were told nothing for longer read for themselves.
-  static constexpr std::chrono::milliseconds KeepTime{3000};
-  /// So that news fit into one datagram, at some 150 bytes a change.
+  /// Peers that received no update for longer than this read the store
+  /// themselves.
+  static constexpr std::chrono::milliseconds RetentionTime{3000};
+  /// Lets an update fit into one datagram, at about 150 bytes per change.
   static constexpr size_t MaximumChanges = 200;
 
-  struct Mark {
+  struct Checkpoint {
     BootTime At{};
     StoreVersion Version;
   };
 
   void advance(StoreVersion Version, BootTime KnownAt);
-  void forgetOld(BootTime Now);
+  void dropExpired(BootTime Now);
 
   StoreVersion m_Version;
   BootTime m_KnownAt{};
-  /// m_Changes has all changes after this version, up to m_Version, and of its
-  /// era.
+  /// m_Changes has all changes after this version up to m_Version. Both are of
+  /// the same era.
   StoreVersion m_After;
-  /// By version, oldest first.
+  /// Ordered by version, oldest first.
   std::deque<ServerChange> m_Changes;
-  /// Versions that were reached, oldest first.
-  std::deque<Mark> m_Marks;
+  /// Versions that were reached, and when, oldest first.
+  std::deque<Checkpoint> m_Checkpoints;
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/ServerLimits.cpp
+++ b/Libraries/LibDispatch/ServerLimits.cpp
@@ -1,6 +1,6 @@
-//===- ServerLimits.cpp - How many requests servers take ------------------===//
+//===- ServerLimits.cpp - Request rate limits of servers ------------------===//
 //
-// Token buckets that are counted when they are asked.
+// Token buckets that are refilled when they are used.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,91 +15,94 @@
 
 namespace {
 
-/// A server that takes nothing is still asked this often, by the whole fleet:
-/// only an answer tells that it takes requests again.
-constexpr double LeastPerSecond = 0.25;
+/// Requests per second that the whole fleet still sends to a server with a
+/// limit of zero: only an answer shows that it accepts requests again.
+constexpr double MinimumPerSecond = 0.25;
 
 } // namespace
 
-bool ServerLimits::told(const ServerStart &Server,
-                        std::optional<double> PerSecond, BootTime SentAt,
-                        BootTime Now) {
+bool ServerLimits::recordAnswer(const ServerStart &Server,
+                                std::optional<double> PerSecond,
+                                BootTime SentAt, BootTime Now) {
   if (!PerSecond && !m_Entries.contains(Server.TargetId))
     return false;
-  Entry &Of = m_Entries[Server.TargetId];
-  if (SentAt < Of.SentAt)
+  Entry &Limit = m_Entries[Server.TargetId];
+  if (SentAt < Limit.SentAt)
     return false;
-  if (Of.Server != Server)
-    Of = {Server, std::nullopt, SentAt, Of.Share, 0, Now};
-  count(Of, Now);
-  Of.SentAt = SentAt;
-  return std::exchange(Of.PerSecond, PerSecond) != PerSecond;
+  if (Limit.Server != Server)
+    Limit = {Server, std::nullopt, SentAt, Limit.Share, 0, Now};
+  refill(Limit, Now);
+  Limit.SentAt = SentAt;
+  return std::exchange(Limit.PerSecond, PerSecond) != PerSecond;
 }
 
-void ServerLimits::heard(const LimitNews &News, BootTime Now) {
-  told(News.Server, News.PerSecond, Now - News.Age, Now);
+void ServerLimits::applyUpdate(const LimitUpdate &Update, BootTime Now) {
+  recordAnswer(Update.Server, Update.PerSecond, Now - Update.Age, Now);
 }
 
-void ServerLimits::share(const std::string &TargetId, LimitShare Share,
-                         BootTime Now) {
-  const auto Found = m_Entries.find(TargetId);
-  if (Found == m_Entries.end())
+void ServerLimits::setShare(const std::string &TargetId, LimitShare Share,
+                            BootTime Now) {
+  const auto Position = m_Entries.find(TargetId);
+  if (Position == m_Entries.end())
     return;
-  count(Found->second, Now);
-  Found->second.Share = Share;
+  refill(Position->second, Now);
+  Position->second.Share = Share;
 }
 
-double ServerLimits::tokens(const Entry &Of, BootTime Now) {
-  if (!Of.PerSecond)
+double ServerLimits::tokens(const Entry &Limit, BootTime Now) {
+  if (!Limit.PerSecond)
     return 0;
   const double Seconds =
-      std::chrono::duration<double>(Now - Of.CountedAt).count();
-  const double Rate = std::max(*Of.PerSecond, LeastPerSecond) * Of.Share.Part;
-  return std::min(Of.Tokens + std::max(0.0, Seconds) * Rate, Of.Share.Burst);
+      std::chrono::duration<double>(Now - Limit.CountedAt).count();
+  const double Rate =
+      std::max(*Limit.PerSecond, MinimumPerSecond) * Limit.Share.Fraction;
+  return std::min(Limit.Tokens + std::max(0.0, Seconds) * Rate,
+                  Limit.Share.Burst);
 }
 
-void ServerLimits::count(Entry &Of, BootTime Now) {
-  Of.Tokens = tokens(Of, Now);
-  Of.CountedAt = Now;
+void ServerLimits::refill(Entry &Limit, BootTime Now) {
+  Limit.Tokens = tokens(Limit, Now);
+  Limit.CountedAt = Now;
 }
 
-void ServerLimits::sent(const std::string &TargetId, BootTime Now) {
-  const auto Found = m_Entries.find(TargetId);
-  if (Found == m_Entries.end() || !Found->second.PerSecond)
+void ServerLimits::recordSend(const std::string &TargetId, BootTime Now) {
+  const auto Position = m_Entries.find(TargetId);
+  if (Position == m_Entries.end() || !Position->second.PerSecond)
     return;
-  count(Found->second, Now);
-  Found->second.Tokens -= 1;
+  refill(Position->second, Now);
+  Position->second.Tokens -= 1;
 }
 
-bool ServerLimits::hasRoom(const std::string &TargetId, BootTime Now) const {
-  const auto Found = m_Entries.find(TargetId);
-  return Found == m_Entries.end() || !Found->second.PerSecond ||
-         tokens(Found->second, Now) >= 1;
+bool ServerLimits::hasCapacity(const std::string &TargetId,
+                               BootTime Now) const {
+  const auto Position = m_Entries.find(TargetId);
+  return Position == m_Entries.end() || !Position->second.PerSecond ||
+         tokens(Position->second, Now) >= 1;
 }
 
 std::vector<std::string> ServerLimits::exhausted(BootTime Now) const {
   std::vector<std::string> Full;
-  for (const auto &[Id, Each] : m_Entries)
-    if (Each.PerSecond && tokens(Each, Now) < 1)
+  for (const auto &[Id, Limit] : m_Entries)
+    if (Limit.PerSecond && tokens(Limit, Now) < 1)
       Full.push_back(Id);
   return Full;
 }
 
-std::map<std::string, double> ServerLimits::inForce() const {
+std::map<std::string, double> ServerLimits::activeLimits() const {
   std::map<std::string, double> Limits;
-  for (const auto &[Id, Each] : m_Entries)
-    if (Each.PerSecond)
-      Limits[Id] = *Each.PerSecond;
+  for (const auto &[Id, Limit] : m_Entries)
+    if (Limit.PerSecond)
+      Limits[Id] = *Limit.PerSecond;
   return Limits;
 }
 
-std::vector<LimitNews> ServerLimits::news(BootTime Now) const {
-  std::vector<LimitNews> Told;
-  for (const auto &[Id, Each] : m_Entries)
-    Told.push_back({Each.Server, Each.PerSecond,
-                    std::chrono::ceil<milliseconds>(std::max(
-                        Now - Each.SentAt, BootClock::duration::zero()))});
-  return Told;
+std::vector<LimitUpdate> ServerLimits::makeUpdates(BootTime Now) const {
+  std::vector<LimitUpdate> Updates;
+  for (const auto &[Id, Limit] : m_Entries)
+    Updates.push_back({Limit.Server, Limit.PerSecond,
+                       std::chrono::ceil<milliseconds>(std::max(
+                           Now - Limit.SentAt, BootClock::duration::zero()))});
+  return Updates;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/ServerLimits.h
+++ b/Libraries/LibDispatch/ServerLimits.h
@@ -1,12 +1,13 @@
-//===- ServerLimits.h - How many requests servers take ----------*- C++ -*-===//
+//===- ServerLimits.h - Request rate limits of servers ----------*- C++ -*-===//
 //
-// A server in need names how many requests a second it takes from all gateways
-// together, in each answer for as long as that holds. Every gateway keeps to a
-// share of it, by a token bucket for each such server; the shares of a fleet
-// add up to one (LimitShare.h), and so do the bursts that the buckets allow.
+// An overloaded server states in each answer how many requests per second it
+// accepts from all gateways together, for as long as the limit holds. Every
+// gateway keeps to a share of it with a token bucket per server; the shares and
+// bursts of all gateways add up to the whole (LimitShare.h).
 //
-// Pure: times come in with the events. Answers overtake each other; the one to
-// the request that was sent last holds, whoever got it.
+// The class reads no clock: times are passed in with the events. Answers may
+// overtake each other; the answer to the request that was sent last counts,
+// whichever gateway received it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,52 +25,53 @@
 
 namespace figlift::dispatch {
 
-/// What a gateway knows of one server's limit, for its peers.
-struct LimitNews {
+/// The limit of one server as a gateway reports it to its peers.
+struct LimitUpdate {
   ServerStart Server;
-  /// Requests a second; absent when the server names none any more.
+  /// Requests per second; absent if the server states no limit any more.
   std::optional<double> PerSecond;
-  /// Since the request was sent whose answer said so.
+  /// Time since the request was sent whose answer stated the limit.
   std::chrono::milliseconds Age{0};
 };
 
 class ServerLimits {
 public:
-  /// An answer to a request that was sent at \p SentAt. True if another limit
-  /// holds from now on.
-  bool told(const ServerStart &Server, std::optional<double> PerSecond,
-            BootTime SentAt, BootTime Now);
-  void heard(const LimitNews &News, BootTime Now);
-  /// What of the server's limit is this gateway's; nothing at first.
-  void share(const std::string &TargetId, LimitShare Share, BootTime Now);
-  /// A request, of whatever kind, has been sent.
-  void sent(const std::string &TargetId, BootTime Now);
-  void targetGone(const std::string &TargetId) { m_Entries.erase(TargetId); }
+  /// Records the limit in an answer to a request that was sent at \p SentAt.
+  /// Returns whether the limit has changed.
+  bool recordAnswer(const ServerStart &Server, std::optional<double> PerSecond,
+                    BootTime SentAt, BootTime Now);
+  void applyUpdate(const LimitUpdate &Update, BootTime Now);
+  /// Sets this gateway's share of the limit, which is zero at first.
+  void setShare(const std::string &TargetId, LimitShare Share, BootTime Now);
+  /// Records that a request of any kind was sent.
+  void recordSend(const std::string &TargetId, BootTime Now);
+  void removeTarget(const std::string &TargetId) { m_Entries.erase(TargetId); }
 
-  /// Whether the server may get a request now.
-  bool hasRoom(const std::string &TargetId, BootTime Now) const;
-  /// Servers that may get none now.
+  /// Whether a request may be sent to the server now.
+  bool hasCapacity(const std::string &TargetId, BootTime Now) const;
+  /// Servers that may not be sent a request now.
   std::vector<std::string> exhausted(BootTime Now) const;
-  /// Limits in force, by target.
-  std::map<std::string, double> inForce() const;
-  std::vector<LimitNews> news(BootTime Now) const;
+  /// Limits in force, by target id.
+  std::map<std::string, double> activeLimits() const;
+  std::vector<LimitUpdate> makeUpdates(BootTime Now) const;
 
 private:
   struct Entry {
     ServerStart Server;
     std::optional<double> PerSecond;
-    /// When the request was sent whose answer said so.
+    /// When the request was sent whose answer stated the limit.
     BootTime SentAt{};
     LimitShare Share;
-    /// As of CountedAt; at most the share's burst.
+    /// As of CountedAt. At most the burst of the share.
     double Tokens = 0;
     BootTime CountedAt{};
   };
 
-  static double tokens(const Entry &Of, BootTime Now);
-  static void count(Entry &Of, BootTime Now);
+  static double tokens(const Entry &Limit, BootTime Now);
+  static void refill(Entry &Limit, BootTime Now);
 
-  /// Also of servers that name none any more: older answers may still come.
+  /// Includes servers that state no limit any more, as older answers may still
+  /// arrive.
   std::map<std::string, Entry> m_Entries;
 };
 
--- /dev/null
+++ b/Libraries/LibDispatch/StoreUpdate.cpp
@@ -0,0 +1,106 @@
+//===- StoreUpdate.cpp - Store contents, for peers ------------------------===//
+//
+// Items are encoded as arrays instead of objects to keep datagrams small.
+//
+//===----------------------------------------------------------------------===//
+
+#include "LibDispatch/StoreUpdate.h"
+
+#include "LibDispatch/StartTimeJson.h"
+
+#include <nlohmann/json.hpp>
+
+namespace figlift::dispatch {
+
+using Json = nlohmann::json;
+using std::chrono::milliseconds;
+
+namespace {
+
+Json encodeEntry(const std::optional<Target> &Entry) {
+  if (!Entry)
+    return nullptr;
+  return {encodeStartTime(Entry->Started),
+          Entry->Heartbeat,
+          Entry->Service,
+          Entry->Address.Address,
+          Entry->Address.Port,
+          Entry->Zone,
+          Entry->Slots,
+          Entry->Draining,
+          static_cast<int>(Entry->Does)};
+}
+
+Result<Stage> decodeStage(int Number) {
+  for (const Stage Candidate : {Stage::None, Stage::Prefill, Stage::Decode})
+    if (static_cast<int>(Candidate) == Number)
+      return Candidate;
+  return failure(ResultCode::InvalidInput, "no stage has this number",
+                 "store update");
+}
+
+Result<ServerChange> decodeChange(const Json &Encoded, uint64_t Era) {
+  ServerChange Change{{Era, Encoded.at(0).get<uint64_t>()},
+                      Encoded.at(1).get<std::string>(),
+                      {}};
+  const Json &EncodedEntry = Encoded.at(2);
+  if (EncodedEntry.is_null())
+    return Change;
+  Target Server;
+  Server.Id = Change.Id;
+  Server.Started = decodeStartTime(EncodedEntry.at(0));
+  Server.Heartbeat = EncodedEntry.at(1).get<uint64_t>();
+  Server.Service = EncodedEntry.at(2).get<std::string>();
+  Server.Address = {EncodedEntry.at(3).get<std::string>(),
+                    EncodedEntry.at(4).get<uint16_t>()};
+  Server.Zone = EncodedEntry.at(5).get<std::string>();
+  Server.Slots = EncodedEntry.at(6).get<unsigned>();
+  Server.Draining = EncodedEntry.at(7).get<bool>();
+  auto DecodedStage = decodeStage(EncodedEntry.at(8).get<int>());
+  if (!DecodedStage)
+    return outcome::failure(DecodedStage.error());
+  Server.Does = DecodedStage.value();
+  Change.Entry = std::move(Server);
+  return Change;
+}
+
+} // namespace
+
+std::string encodeStoreUpdate(const StoreUpdate &Update) {
+  Json Changes = Json::array();
+  for (const ServerChange &Change : Update.Servers.Changes)
+    Changes.push_back(Json::array(
+        {Change.Version.Number, Change.Id, encodeEntry(Change.Entry)}));
+  std::string Bytes;
+  Json::to_cbor(
+      Json::array({Update.Sender, Update.Servers.After.Number,
+                   Update.Servers.UpTo.Number, Update.Servers.Age.count(),
+                   Changes, Update.Configuration.Version,
+                   Update.Configuration.Age.count(), Update.Servers.UpTo.Era}),
+      Bytes);
+  return Bytes;
+}
+
+Result<StoreUpdate> decodeStoreUpdate(std::string_view Bytes) try {
+  const Json Root = Json::from_cbor(Bytes);
+  StoreUpdate Update;
+  Update.Sender = Root.at(0).get<std::string>();
+  // Earlier versions of the program send no era. Era 0 is older than any other.
+  const uint64_t Era = Root.size() > 7 ? Root.at(7).get<uint64_t>() : 0;
+  Update.Servers.After = {Era, Root.at(1).get<uint64_t>()};
+  Update.Servers.UpTo = {Era, Root.at(2).get<uint64_t>()};
+  Update.Servers.Age = milliseconds(Root.at(3).get<int64_t>());
+  for (const Json &Encoded : Root.at(4)) {
+    auto Change = decodeChange(Encoded, Era);
+    if (!Change)
+      return outcome::failure(Change.error());
+    Update.Servers.Changes.push_back(std::move(Change.value()));
+  }
+  Update.Configuration.Version = Root.at(5).get<uint64_t>();
+  Update.Configuration.Age = milliseconds(Root.at(6).get<int64_t>());
+  return Update;
+} catch (const Json::exception &Exception) {
+  return failure(ResultCode::InvalidInput, Exception.what(), "store update");
+}
+
+} // namespace figlift::dispatch
--- a/Services/figlift-gateway/EngineCall.cpp
+++ b/Services/figlift-gateway/EngineCall.cpp
@@ -80,7 +80,7 @@
   auto Connection = Pool->second->take(BootClock::now());
   if (!Connection)
     return false;
-  Shared.Limits.sent(TargetId, BootClock::now());
+  Shared.Limits.recordSend(TargetId, BootClock::now());
   std::make_shared<Call>(Shared.Loop, std::move(Done))
       ->start(std::move(Connection),
               slopes::targetedCallBytes(Method, Path, *Engine, Body));
--- a/Services/figlift-gateway/EngineHousekeeping.cpp
+++ b/Services/figlift-gateway/EngineHousekeeping.cpp
@@ -42,7 +42,7 @@
     return;
   const BootTime Now = BootClock::now();
   if (const auto Connection = Pool->second->take(Now)) {
-    Shared.Limits.sent(Engine, Now);
+    Shared.Limits.recordSend(Engine, Now);
     Connection->exchange(slopes::callBytes("DELETE",
                                            slopes::releaseHandleTarget(Handle),
                                            Which->Address.toString(), ""),
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -205,7 +205,7 @@
   log::logEvent(log::Level::Info, "target-gone", {{"target", Id}});
   m_Shared.Away.erase(Id);
   m_Shared.Crashes.targetGone(Id);
-  m_Shared.Limits.targetGone(Id);
+  m_Shared.Limits.removeTarget(Id);
   if (const auto Found = m_Shared.Pools.find(Id);
       Found != m_Shared.Pools.end()) {
     Found->second->retire();
@@ -274,8 +274,8 @@
 }
 
 void Gateway::shareLimits(BootTime Now) {
-  for (const auto &[Id, PerSecond] : m_Shared.Limits.inForce())
-    m_Shared.Limits.share(
+  for (const auto &[Id, PerSecond] : m_Shared.Limits.activeLimits())
+    m_Shared.Limits.setShare(
         Id, dispatch::limitShare(m_Peers.limitFleet(Id, Now), Id, PerSecond),
         Now);
 }
--- a/Services/figlift-gateway/Gateway.h
+++ b/Services/figlift-gateway/Gateway.h
@@ -70,7 +70,7 @@
   /// Tells the peers what was just read in the store, unless one of them has
   /// told as much.
   void tellStoreNews();
-  void storeNewsHeard(const dispatch::StoreNews &News);
+  void storeNewsHeard(const dispatch::StoreUpdate &News);
   void apply(const std::vector<dispatch::TargetEvent> &Events);
   void targetCame(const dispatch::Target &Which);
   void targetGone(const std::string &Id);
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -76,7 +76,7 @@
                       [this] { return double(m_Shared.Crashes.heldBack()); });
   Metrics.readGauge("figlift_gateway_limited_servers",
                     "Servers that name how many requests they take", [this] {
-                      return double(m_Shared.Limits.inForce().size());
+                      return double(m_Shared.Limits.activeLimits().size());
                     });
   Metrics.readGauge("figlift_gateway_store_era",
                     "Rises whenever the store comes back from a copy",
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -2,13 +2,13 @@
 //
 // The configuration and the list of servers, as read here or told by a peer.
 // What a peer tells moves the time at which this process has to read itself;
-// see ReadTurn.h.
+// see StoreReadSchedule.h.
 //
 //===----------------------------------------------------------------------===//
 
 #include "Gateway.h"
 
-#include "LibDispatch/ReadTurn.h"
+#include "LibDispatch/StoreReadSchedule.h"
 #include "LibLog/Log.h"
 #include "platform/Rows.h"
 
@@ -35,7 +35,7 @@
   };
   return {Take, Take, [] {},
           [this](bool WasQuiet) {
-            return dispatch::ConfigurationReadTurn.due(
+            return dispatch::ConfigurationReadSchedule.due(
                 m_Peers.liveBefore(BootClock::now()), m_ConfigurationKnownAt,
                 WasQuiet);
           }};
@@ -50,7 +50,7 @@
           },
           [this] { m_Shared.Targets.storeLost(BootClock::now()); },
           [this](bool WasQuiet) {
-            return dispatch::ServerReadTurn.due(
+            return dispatch::ServerReadSchedule.due(
                 m_Peers.liveBefore(BootClock::now()), m_ServerJournal.knownAt(),
                 WasQuiet);
           }};
@@ -166,9 +166,9 @@
   // peers have to read in which order it came. One that lacks a server which is
   // kept here for a while has a removal that peers must not pass over.
   if (Events.empty() && !m_Shared.Targets.keepsMissing())
-    m_ServerJournal.changesRead(Read.Version, KnownAt, {});
+    m_ServerJournal.recordChanges(Read.Version, KnownAt, {});
   else
-    m_ServerJournal.wholeRead(Read.Version, KnownAt);
+    m_ServerJournal.recordFullRead(Read.Version, KnownAt);
   apply(Events);
   tellStoreNews();
 }
@@ -185,7 +185,7 @@
       Changes.push_back({Row.Version, Row.Key, Entry});
     apply(Events);
   }
-  m_ServerJournal.changesRead(Read.Version, KnownAt, std::move(Changes));
+  m_ServerJournal.recordChanges(Read.Version, KnownAt, std::move(Changes));
   tellStoreNews();
 }
 
@@ -210,16 +210,16 @@
   if (!m_ServersKnown || WasTold)
     return;
   const BootTime Now = BootClock::now();
-  dispatch::StoreNews News;
-  News.From = m_Shared.Settings.Process.Id;
-  News.Servers = m_ServerJournal.news(Now);
+  dispatch::StoreUpdate News;
+  News.Sender = m_Shared.Settings.Process.Id;
+  News.Servers = m_ServerJournal.makeUpdate(Now);
   News.Configuration = {
       InForce, std::chrono::ceil<milliseconds>(Now - m_ConfigurationKnownAt)};
   m_ConfigurationTold = InForce;
   m_PeerLink.tell(News);
 }
 
-void Gateway::storeNewsHeard(const dispatch::StoreNews &News) {
+void Gateway::storeNewsHeard(const dispatch::StoreUpdate &News) {
   const BootTime Now = BootClock::now();
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
@@ -232,16 +232,16 @@
   // Changes say nothing to a process that has not read the whole list.
   if (!m_ServersKnown)
     return;
-  const auto Verdict = m_ServerJournal.heard(News.Servers, Now);
+  const auto Verdict = m_ServerJournal.applyUpdate(News.Servers, Now);
   m_ServerFollower.advance(m_ServerJournal.version());
   m_ConfigurationTold =
       std::max(m_ConfigurationTold, News.Configuration.Version);
   m_ServersToldAt = std::max(m_ServersToldAt, Now - News.Servers.Age);
   m_ConfigurationToldAt =
       std::max(m_ConfigurationToldAt, Now - News.Configuration.Age);
-  if (std::holds_alternative<dispatch::MissingPart>(Verdict))
+  if (std::holds_alternative<dispatch::MissingVersions>(Verdict))
     return m_ServerFollower.readNow();
-  if (const auto *Told = std::get_if<dispatch::NewChanges>(&Verdict))
+  if (const auto *Told = std::get_if<dispatch::ServerChanges>(&Verdict))
     for (const dispatch::ServerChange &Each : Told->Changes)
       apply(Each.Entry ? m_Shared.Targets.update(*Each.Entry, Now)
                        : m_Shared.Targets.remove(Each.Id, Now));
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -72,7 +72,7 @@
 
 void PeerLink::report() {
   dispatch::PeerReport What;
-  What.From = m_Shared.Settings.Process.Id;
+  What.Sender = m_Shared.Settings.Process.Id;
   What.Loads = m_Shared.Loads.ownLoads();
   auto &Parts = m_Shared.NewlyCached;
   const size_t Count = std::min(Parts.size(), MaximumParts);
@@ -84,13 +84,13 @@
     What.Demands.push_back({Service, Meter.demand(Now)});
   for (const auto &[Id, Until] : m_Shared.Away)
     if (Now < Until)
-      What.Away.push_back(
+      What.Unavailable.push_back(
           {Id, std::chrono::duration_cast<milliseconds>(Until - Now)});
   if (Now - m_FiguresTold >= FiguresInterval) {
     m_FiguresTold = Now;
     for (const auto &[Service, Model] : m_Shared.EngineModels)
       What.Engines.push_back({Service, Model.own()});
-    What.Limits = m_Shared.Limits.news(Now);
+    What.Limits = m_Shared.Limits.makeUpdates(Now);
   }
   sendToAll(ReportKind, encodePeerReport(What));
   if (++m_ReportsSinceRepeat >= ReportsPerRepeat)
@@ -115,8 +115,8 @@
   m_Shared.Crashes.heard(Read.value(), BootClock::now());
 }
 
-void PeerLink::tell(const dispatch::StoreNews &What) {
-  sendToAll(NewsKind, encodeStoreNews(What));
+void PeerLink::tell(const dispatch::StoreUpdate &What) {
+  sendToAll(NewsKind, encodeStoreUpdate(What));
 }
 
 void PeerLink::sendToAll(char Kind, const std::string &Body) {
@@ -160,7 +160,7 @@
 }
 
 void PeerLink::newsReceived(std::string_view Body) {
-  const auto Read = dispatch::decodeStoreNews(Body);
+  const auto Read = dispatch::decodeStoreUpdate(Body);
   if (!Read)
     return log::logError(log::Level::Warning, "store-news-invalid",
                          Read.error());
@@ -175,16 +175,17 @@
   }
   const BootTime Now = BootClock::now();
   const dispatch::PeerReport &What = Read.value();
-  m_Peers.heard(What.From, m_Sender, Now);
-  m_Shared.Loads.peerReported(What.From, What.Loads, Now);
-  m_Shared.PeerDemands[What.From] = What.Demands;
-  for (const dispatch::ServiceFigures &Each : What.Engines)
-    m_Shared.EngineModels[Each.Service].peerTold(What.From, Each.Figures, Now);
-  for (const dispatch::LimitNews &Each : What.Limits)
+  m_Peers.heard(What.Sender, m_Sender, Now);
+  m_Shared.Loads.peerReported(What.Sender, What.Loads, Now);
+  m_Shared.PeerDemands[What.Sender] = What.Demands;
+  for (const dispatch::ServiceMeasurements &Each : What.Engines)
+    m_Shared.EngineModels[Each.Service].peerTold(What.Sender, Each.Figures,
+                                                 Now);
+  for (const dispatch::LimitUpdate &Each : What.Limits)
     if (m_Shared.Targets.find(Each.Server.TargetId))
-      m_Shared.Limits.heard(Each, Now);
-  for (const dispatch::AwayTarget &Each : What.Away)
-    m_Shared.Loads.avoid(Each.TargetId, Now + Each.Left);
+      m_Shared.Limits.applyUpdate(Each, Now);
+  for (const dispatch::UnavailableTarget &Each : What.Unavailable)
+    m_Shared.Loads.avoid(Each.TargetId, Now + Each.Remaining);
   for (const dispatch::CachedPart &Each : What.Cached)
     if (!m_Shared.Targets.find(Each.TargetId))
       continue;
--- a/Services/figlift-gateway/PeerLink.h
+++ b/Services/figlift-gateway/PeerLink.h
@@ -10,7 +10,7 @@
 #include "Context.h"
 #include "PeerList.h"
 
-#include "LibDispatch/StoreNews.h"
+#include "LibDispatch/StoreUpdate.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -23,13 +23,13 @@
 
 class PeerLink {
 public:
-  using NewsHandler = std::function<void(const dispatch::StoreNews &)>;
+  using NewsHandler = std::function<void(const dispatch::StoreUpdate &)>;
 
   PeerLink(Context &Shared, PeerList &Peers, NewsHandler News);
 
   Result<void> start();
   /// Tells all peers what was read in the store.
-  void tell(const dispatch::StoreNews &What);
+  void tell(const dispatch::StoreUpdate &What);
   /// Datagrams that were not sealed by this fleet.
   uint64_t refused() const { return m_Refused; }
 
--- a/Services/figlift-gateway/PeerList.cpp
+++ b/Services/figlift-gateway/PeerList.cpp
@@ -221,14 +221,14 @@
 dispatch::LimitFleet PeerList::limitFleet(const std::string &TargetId,
                                           BootTime Now) const {
   dispatch::LimitFleet Fleet;
-  Fleet.Own = m_Shared.Settings.Process.Id;
+  Fleet.Self = m_Shared.Settings.Process.Id;
   Fleet.Sharers = sharers(Now);
   const dispatch::Target *Which = m_Shared.Targets.find(TargetId);
   const std::string Service = Which ? Which->Service : std::string();
   if (const auto Own = m_Shared.Demands.find(Service);
       Own != m_Shared.Demands.end())
     Fleet.OwnDemand = Own->second.demand(Now).sum();
-  Fleet.AllDemand = Fleet.OwnDemand;
+  Fleet.TotalDemand = Fleet.OwnDemand;
   for (const auto &[Id, Each] : m_Peers) {
     if (!isLive(Each, Now))
       continue;
@@ -237,7 +237,7 @@
         Told != m_Shared.PeerDemands.end())
       for (const dispatch::ServiceDemand &Of : Told->second)
         if (Of.Service == Service)
-          Fleet.AllDemand += Of.Demand.sum();
+          Fleet.TotalDemand += Of.Demand.sum();
   }
   return Fleet;
 }
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -37,7 +37,7 @@
   m_Ticket = m_Shared.Loads.started(m_TargetId, What);
   if (const dispatch::Target *Which = m_Shared.Targets.find(m_TargetId))
     m_Target = *Which;
-  m_Shared.Limits.sent(m_TargetId, m_Started);
+  m_Shared.Limits.recordSend(m_TargetId, m_Started);
   m_Connection->exchange(std::move(Bytes), true, shared_from_this());
   return true;
 }
@@ -96,7 +96,8 @@
                     {{"target", m_TargetId}});
     return;
   }
-  if (m_Shared.Limits.told(m_Target->start(), m_Fields.Limit, m_Started, Now) &&
+  if (m_Shared.Limits.recordAnswer(m_Target->start(), m_Fields.Limit, m_Started,
+                                   Now) &&
       m_Shared.Log.allows(LineKind::Belief, Now))
     log::logEvent(log::Level::Info, "server-limit",
                   {{"target", m_TargetId},
--- a/Tests/FigliftGateway/TestStoreNewsOfPeers.cpp
+++ b/Tests/FigliftGateway/TestStoreNewsOfPeers.cpp
@@ -9,7 +9,7 @@
 
 #include "LibDispatch/DatagramSeal.h"
 #include "LibDispatch/PeerReport.h"
-#include "LibDispatch/StoreNews.h"
+#include "LibDispatch/StoreUpdate.h"
 
 #include <boost/asio/ip/udp.hpp>
 
@@ -45,35 +45,35 @@
                  {boost::asio::ip::make_address_v4(To.Address), To.Port});
   }
   /// News that the gateway has sent to the peer.
-  std::vector<dispatch::StoreNews> heard() {
-    std::vector<dispatch::StoreNews> All;
+  std::vector<dispatch::StoreUpdate> heard() {
+    std::vector<dispatch::StoreUpdate> All;
     std::array<char, 65536> Bytes;
     boost::system::error_code Code;
     while (const size_t Count =
                Peer.receive(boost::asio::buffer(Bytes), 0, Code))
       if (const auto Opened = Seal.open({Bytes.data(), Count});
           Opened && Opened->Kind == 'N')
-        All.push_back(dispatch::decodeStoreNews(Opened->Body).value());
+        All.push_back(dispatch::decodeStoreUpdate(Opened->Body).value());
     return All;
   }
   /// The peer's name comes before the gateway's, so reading is its turn.
   void tell(std::vector<dispatch::ServerChange> Changes,
             uint64_t Configuration = 0) {
     dispatch::PeerReport Report;
-    Report.From = "a";
+    Report.Sender = "a";
     send('R', encodePeerReport(Report));
     // As if the store had written them.
     for (dispatch::ServerChange &Each : Changes) {
       Scene.Store.put("elsewhere", "row", "");
       Each.Version = {Scene.Store.era(), Scene.Store.version()};
     }
-    send('N',
-         dispatch::encodeStoreNews({"a",
-                                    {{Scene.Store.era(), 0},
-                                     {Scene.Store.era(), Scene.Store.version()},
-                                     milliseconds(0),
-                                     Changes},
-                                    {Configuration, milliseconds(0)}}));
+    send('N', dispatch::encodeStoreUpdate(
+                  {"a",
+                   {{Scene.Store.era(), 0},
+                    {Scene.Store.era(), Scene.Store.version()},
+                    milliseconds(0),
+                    Changes},
+                   {Configuration, milliseconds(0)}}));
   }
   static dispatch::ServerChange came(const std::string &Id) {
     dispatch::Target Which;
@@ -98,7 +98,7 @@
   bool isHeard(GatewayScene & Where) {
     const Endpoint To = Where.Settings.Listen.Peers;
     dispatch::PeerReport Report;
-    Report.From = "a";
+    Report.Sender = "a";
     return Where.until([&] {
       Peer.send_to(
           boost::asio::buffer(Seal.seal('R', encodePeerReport(Report))),
@@ -191,7 +191,7 @@
 TEST(StoreNewsOfPeers, TellANewerConfigurationAtOnce) {
   Peer.non_blocking(true);
   dispatch::PeerReport Report;
-  Report.From = "z";
+  Report.Sender = "z";
   const dispatch::StoreVersion At{Scene.Store.era(), Scene.Store.version()};
   std::optional<std::chrono::steady_clock::time_point> Changed;
   const auto Age = [&] {
@@ -204,9 +204,9 @@
   const auto TellsOfTwo = [&] {
     send('R', encodePeerReport(Report));
     send('N',
-         dispatch::encodeStoreNews({"z", {At, At, Age(), {}}, {1, Age()}}));
+         dispatch::encodeStoreUpdate({"z", {At, At, Age(), {}}, {1, Age()}}));
     Scene.Loop.run_for(milliseconds(20));
-    for (const dispatch::StoreNews &Each : heard())
+    for (const dispatch::StoreUpdate &Each : heard())
       Found = Found || Each.Configuration.Version == 2;
     return Found;
   };
@@ -226,7 +226,7 @@
 TEST(StoreNewsOfPeers, DoNotCoverAnEntryThatIsMissing) {
   Peer.non_blocking(true);
   dispatch::PeerReport Report;
-  Report.From = "z";
+  Report.Sender = "z";
   Scene.server("e2", "plain", answersWith("two"));
   CHECK(Scene.until([&] { return hasTargets(2); }));
   Scene.Store.Away = true;
@@ -240,7 +240,7 @@
   CHECK(Scene.until([&] {
     send('R', encodePeerReport(Report));
     Scene.Loop.run_for(milliseconds(20));
-    for (const dispatch::StoreNews &Each : heard())
+    for (const dispatch::StoreUpdate &Each : heard())
       if (Each.Servers.UpTo >= Removal) {
         Tells = true;
         const bool TellsRemoval = std::any_of(
--- a/Tests/LibDispatch/TestPeerReport.cpp
+++ b/Tests/LibDispatch/TestPeerReport.cpp
@@ -1,6 +1,6 @@
-//===- TestPeerReport.cpp - What gateways tell each other -----------------===//
+//===- TestPeerReport.cpp - Periodic report of a gateway to its peers -----===//
 //
-// There and back, and bytes that are no report.
+// Covers a round trip and invalid input.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +13,7 @@
 
 TEST_GROUP(PeerReport){};
 
-TEST(PeerReport, ComesBackAsItWas) {
+TEST(PeerReport, RoundTrips) {
   engine::EngineFigures Figures;
   Figures.ReadThousandTokens = Milliseconds(27.2);
   Figures.StartWeight = 12;
@@ -28,28 +28,30 @@
         2.5,
         std::chrono::milliseconds(7)},
        {{"u", std::nullopt}, std::nullopt, std::chrono::milliseconds(8)}}};
-  const auto Read = decodePeerReport(encodePeerReport(Sent));
-  CHECK(Read.has_value());
-  STRCMP_EQUAL("g1", Read.value().From.c_str());
-  DOUBLES_EQUAL(12.34, Read.value().Loads[0].Cost.count(), 0.01);
-  LONGS_EQUAL(3, Read.value().Loads[0].Items);
-  DOUBLES_EQUAL(0.25, Read.value().Loads[0].Turnover, 0);
-  CHECK(Read.value().Cached[0].Part == (PromptPart{0xffffffffffffffffULL, 7}));
-  LONGS_EQUAL(250, Read.value().Cached[0].Within.count());
-  DOUBLES_EQUAL(2.5, Read.value().Demands[0].Demand.Run, 0);
-  LONGS_EQUAL(900, Read.value().Away[0].Left.count());
-  DOUBLES_EQUAL(5.5, Read.value().Loads[0].Reading.count(), 0.01);
-  STRCMP_EQUAL("s", Read.value().Engines[0].Service.c_str());
-  const engine::EngineFigures &Told = Read.value().Engines[0].Figures;
-  DOUBLES_EQUAL(27.2, Told.ReadThousandTokens.count(), 0.001);
-  DOUBLES_EQUAL(12, Told.StartWeight, 0.001);
-  CHECK(Read.value().Limits[0].Server == Sent.Limits[0].Server);
-  DOUBLES_EQUAL(2.5, *Read.value().Limits[0].PerSecond, 0);
-  LONGS_EQUAL(7, Read.value().Limits[0].Age.count());
-  CHECK(!Read.value().Limits[1].PerSecond);
+  const auto Decoded = decodePeerReport(encodePeerReport(Sent));
+  CHECK(Decoded.has_value());
+  STRCMP_EQUAL("g1", Decoded.value().Sender.c_str());
+  DOUBLES_EQUAL(12.34, Decoded.value().Loads[0].Cost.count(), 0.01);
+  LONGS_EQUAL(3, Decoded.value().Loads[0].Items);
+  DOUBLES_EQUAL(0.25, Decoded.value().Loads[0].Turnover, 0);
+  CHECK(Decoded.value().Cached[0].Part ==
+        (PromptPart{0xffffffffffffffffULL, 7}));
+  LONGS_EQUAL(250, Decoded.value().Cached[0].Within.count());
+  DOUBLES_EQUAL(2.5, Decoded.value().Demands[0].Demand.Run, 0);
+  LONGS_EQUAL(900, Decoded.value().Unavailable[0].Remaining.count());
+  DOUBLES_EQUAL(5.5, Decoded.value().Loads[0].Reading.count(), 0.01);
+  STRCMP_EQUAL("s", Decoded.value().Engines[0].Service.c_str());
+  const engine::EngineFigures &DecodedFigures =
+      Decoded.value().Engines[0].Figures;
+  DOUBLES_EQUAL(27.2, DecodedFigures.ReadThousandTokens.count(), 0.001);
+  DOUBLES_EQUAL(12, DecodedFigures.StartWeight, 0.001);
+  CHECK(Decoded.value().Limits[0].Server == Sent.Limits[0].Server);
+  DOUBLES_EQUAL(2.5, *Decoded.value().Limits[0].PerSecond, 0);
+  LONGS_EQUAL(7, Decoded.value().Limits[0].Age.count());
+  CHECK(!Decoded.value().Limits[1].PerSecond);
 }
 
-TEST(PeerReport, RefusesOtherBytes) {
+TEST(PeerReport, RejectsInvalidInput) {
   for (const char *Bytes : {"", "x", "\x83\x01\x02\x03", "\xa1"})
     CHECK(!decodePeerReport(Bytes).has_value());
 }
--- a/Tests/LibDispatch/TestServerLimits.cpp
+++ b/Tests/LibDispatch/TestServerLimits.cpp
@@ -1,6 +1,7 @@
-//===- TestServerLimits.cpp - How many requests servers take --------------===//
+//===- TestServerLimits.cpp - Request rate limits of servers --------------===//
 //
-// Single gateways, and whole fleets that share a limit under uneven load.
+// Covers single gateways, and simulated fleets that share a limit under uneven
+// load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,122 +19,125 @@
 
 TEST_GROUP(ServerLimits) {
   const ServerStart Server{"s", std::nullopt};
-  const LimitShare All{1, 3};
+  const LimitShare FullShare{1, 3};
   ServerLimits Limits;
   BootTime Now{1h};
 
-  void name(std::optional<double> PerSecond, BootTime SentAt) {
-    Limits.told(Server, PerSecond, SentAt, Now);
-    Limits.share("s", All, Now);
+  void setLimit(std::optional<double> PerSecond, BootTime SentAt) {
+    Limits.recordAnswer(Server, PerSecond, SentAt, Now);
+    Limits.setShare("s", FullShare, Now);
   }
-  /// Requests that are sent as soon as there is room.
-  unsigned sends(std::chrono::milliseconds For) {
+  /// Sends requests whenever the limit allows. Returns their number.
+  unsigned countSends(std::chrono::milliseconds Duration) {
     unsigned Sent = 0;
-    for (const BootTime End = Now + For; Now < End; Now += 1ms)
-      if (Limits.hasRoom("s", Now)) {
-        Limits.sent("s", Now);
+    for (const BootTime End = Now + Duration; Now < End; Now += 1ms)
+      if (Limits.hasCapacity("s", Now)) {
+        Limits.recordSend("s", Now);
         ++Sent;
       }
     return Sent;
   }
 };
 
-TEST(ServerLimits, BoundNobodyWhoNamesNone) {
-  LONGS_EQUAL(1000, sends(1s));
-  name(std::nullopt, Now);
-  LONGS_EQUAL(1000, sends(1s));
+TEST(ServerLimits, DoNotApplyWithoutLimit) {
+  LONGS_EQUAL(1000, countSends(1s));
+  setLimit(std::nullopt, Now);
+  LONGS_EQUAL(1000, countSends(1s));
 }
 
-TEST(ServerLimits, AreKept) {
-  name(20, Now);
-  const unsigned Sent = sends(10s);
+TEST(ServerLimits, LimitRequestRate) {
+  setLimit(20, Now);
+  const unsigned Sent = countSends(10s);
   CHECK(Sent <= 200);
   CHECK(Sent >= 195);
 }
 
-TEST(ServerLimits, EndWithAnAnswerThatNamesNone) {
-  name(1, Now);
-  sends(100ms);
-  name(std::nullopt, Now);
-  LONGS_EQUAL(100, sends(100ms));
+TEST(ServerLimits, EndWithAnswerWithoutLimit) {
+  setLimit(1, Now);
+  countSends(100ms);
+  setLimit(std::nullopt, Now);
+  LONGS_EQUAL(100, countSends(100ms));
 }
 
-// Failure: an answer that was held up on its way lifts a limit, or brings back
-// one that is over.
-TEST(ServerLimits, GoByTheRequestThatWasSentLast) {
-  name(10, Now);
-  name(std::nullopt, Now - 1ms);
-  LONGS_EQUAL(1, Limits.inForce().size());
-  name(std::nullopt, Now + 1ms);
-  name(10, Now);
-  CHECK(Limits.inForce().empty());
+// Guards against: a delayed answer lifts a limit, or brings an expired one
+// back.
+TEST(ServerLimits, UseAnswerToLatestRequest) {
+  setLimit(10, Now);
+  setLimit(std::nullopt, Now - 1ms);
+  LONGS_EQUAL(1, Limits.activeLimits().size());
+  setLimit(std::nullopt, Now + 1ms);
+  setLimit(10, Now);
+  CHECK(Limits.activeLimits().empty());
 }
 
-TEST(ServerLimits, EndWithTheStartThatNamedThem) {
-  name(10, Now);
-  Limits.told({"s", StartTime(5ms)}, std::nullopt, Now + 1s, Now + 1s);
-  CHECK(Limits.inForce().empty());
+TEST(ServerLimits, EndWithServerRestart) {
+  setLimit(10, Now);
+  Limits.recordAnswer({"s", StartTime(5ms)}, std::nullopt, Now + 1s, Now + 1s);
+  CHECK(Limits.activeLimits().empty());
 }
 
-// Failure: a server that took nothing for a moment never gets a request again.
-TEST(ServerLimits, OfNothingAreTriedNowAndThen) {
-  name(0, Now);
-  LONGS_EQUAL(2, sends(9s));
+// Guards against: a server that accepted nothing for a moment never gets a
+// request again.
+TEST(ServerLimits, ProbeServerWithZeroLimit) {
+  setLimit(0, Now);
+  LONGS_EQUAL(2, countSends(9s));
 }
 
-TEST(ServerLimits, AreHeardFromPeers) {
-  name(10, Now);
+TEST(ServerLimits, ApplyUpdatesOfPeers) {
+  setLimit(10, Now);
   ServerLimits Peer;
-  for (const LimitNews &Each : Limits.news(Now))
-    Peer.heard(Each, Now);
-  CHECK(!Peer.hasRoom("s", Now));
+  for (const LimitUpdate &Update : Limits.makeUpdates(Now))
+    Peer.applyUpdate(Update, Now);
+  CHECK(!Peer.hasCapacity("s", Now));
 }
 
 namespace {
 
-/// Gateways with uneven load before one server; shares go by demand that was
-/// told some time ago.
+/// Gateways with uneven load and one server. Shares depend on demand that was
+/// reported some time ago.
 class LimitModel {
 public:
   LimitModel(unsigned Gateways, uint64_t Seed)
       : m_Gateways(Gateways), m_Random(Seed) {
     double Sum = 0;
-    for (unsigned Each = 0; Each < Gateways; ++Each)
+    for (unsigned i = 0; i < Gateways; ++i)
       Sum += m_Load.emplace_back(0.1 + draw() * draw() * 3);
-    for (double &Each : m_Load)
-      Each /= Sum;
+    for (double &Load : m_Load)
+      Load /= Sum;
   }
 
   double draw() {
     return std::uniform_real_distribution<double>(0, 1)(m_Random);
   }
-  /// Each gateway has its own view of the others' demand, off by a tenth.
+  /// Computes the shares. Each gateway sees the demand of the others with an
+  /// error of up to ten percent.
   void share(const std::string &TargetId, double PerSecond) {
-    for (unsigned Each = 0; Each < m_Gateways.size(); ++Each) {
+    for (unsigned i = 0; i < m_Gateways.size(); ++i) {
       LimitFleet Fleet;
-      Fleet.Own = name(Each);
+      Fleet.Self = name(i);
       Fleet.Sharers = m_Gateways.size();
       for (unsigned Other = 0; Other < m_Gateways.size(); ++Other) {
-        if (Other != Each)
+        if (Other != i)
           Fleet.Others.push_back(name(Other));
-        Fleet.AllDemand += m_Load[Other] * (0.9 + 0.2 * draw());
+        Fleet.TotalDemand += m_Load[Other] * (0.9 + 0.2 * draw());
       }
-      Fleet.OwnDemand = m_Load[Each];
-      m_Gateways[Each].share(TargetId, limitShare(Fleet, TargetId, PerSecond),
+      Fleet.OwnDemand = m_Load[i];
+      m_Gateways[i].setShare(TargetId, limitShare(Fleet, TargetId, PerSecond),
                              Now);
     }
   }
-  void named(std::optional<double> PerSecond) {
-    for (ServerLimits &Each : m_Gateways)
-      Each.told({"s", std::nullopt}, PerSecond, Now, Now);
+  void setLimit(std::optional<double> PerSecond) {
+    for (ServerLimits &Gateway : m_Gateways)
+      Gateway.recordAnswer({"s", std::nullopt}, PerSecond, Now, Now);
   }
-  /// Requests that reach the server in a millisecond, of \p Demand a second.
+  /// Runs one millisecond. Returns the number of requests that reach the server
+  /// out of \p Demand per second.
   unsigned step(double Demand) {
     unsigned Sent = 0;
-    for (unsigned Each = 0; Each < m_Gateways.size(); ++Each)
-      if (draw() < Demand / 1000 * m_Load[Each] &&
-          m_Gateways[Each].hasRoom("s", Now)) {
-        m_Gateways[Each].sent("s", Now);
+    for (unsigned i = 0; i < m_Gateways.size(); ++i)
+      if (draw() < Demand / 1000 * m_Load[i] &&
+          m_Gateways[i].hasCapacity("s", Now)) {
+        m_Gateways[i].recordSend("s", Now);
         ++Sent;
       }
     Now += 1ms;
@@ -143,7 +147,9 @@
   BootTime Now{1h};
 
 private:
-  static std::string name(unsigned Each) { return "g" + std::to_string(Each); }
+  static std::string name(unsigned Index) {
+    return "g" + std::to_string(Index);
+  }
 
   std::vector<ServerLimits> m_Gateways;
   std::mt19937_64 m_Random;
@@ -152,45 +158,46 @@
 
 } // namespace
 
-TEST_GROUP(LimitsOfAFleet) {
-  /// Most requests in any four seconds, and all of them.
-  struct Played {
-    size_t Most = 0;
-    size_t All = 0;
+TEST_GROUP(ServerLimitsFleet) {
+  /// The highest number of requests in any four seconds, and their total.
+  struct LoadResult {
+    size_t Maximum = 0;
+    size_t Total = 0;
   };
-  static Played play(unsigned Gateways, double PerSecond, double Demand) {
+  static LoadResult simulate(unsigned Gateways, double PerSecond,
+                             double Demand) {
     LimitModel Fleet(Gateways, Gateways + static_cast<uint64_t>(PerSecond));
-    Fleet.named(PerSecond);
+    Fleet.setLimit(PerSecond);
     std::deque<BootTime> Window;
-    Played Result;
+    LoadResult Result;
     for (unsigned Step = 0; Step < 20000; ++Step) {
       if (Step % 100 == 0)
         Fleet.share("s", PerSecond);
       for (unsigned Sent = Fleet.step(Demand); Sent > 0; --Sent) {
         Window.push_back(Fleet.Now);
-        ++Result.All;
+        ++Result.Total;
       }
       while (!Window.empty() && Fleet.Now - Window.front() > 4s)
         Window.pop_front();
-      Result.Most = std::max(Result.Most, Window.size());
+      Result.Maximum = std::max(Result.Maximum, Window.size());
     }
     return Result;
   }
 };
 
-// Failure: gateways that each keep to their part send more than the limit
-// together, or leave most of it unused as their callers are unevenly spread.
-TEST(LimitsOfAFleet, AreKeptAndUsed) {
+// Guards against: gateways that keep to their shares exceed the limit together,
+// or leave most of it unused because their callers are unevenly distributed.
+TEST(ServerLimitsFleet, KeepsLimitAndUsesIt) {
   for (const unsigned Gateways : {1U, 4U, 30U, 103U})
     for (const double PerSecond : {3.7, 25.9, 200.0}) {
-      // Of a whole service that has many such servers.
+      // The demand on a service with many such servers.
       const double Demand = 10 * PerSecond * std::max(1.0, Gateways / 10.0);
-      const Played Busy = play(Gateways, PerSecond, Demand);
-      CHECK(static_cast<double>(Busy.Most) <= PerSecond * 4 * 1.1 + 5);
-      // Three of a hundred gateways share the smallest limit, whether they
-      // have demand or not: see docs/CAPACITY.md.
+      const LoadResult Busy = simulate(Gateways, PerSecond, Demand);
+      CHECK(static_cast<double>(Busy.Maximum) <= PerSecond * 4 * 1.1 + 5);
+      // Three of a hundred gateways share the smallest limit, whether they have
+      // demand or not: see docs/CAPACITY.md.
       if (Gateways < 100 || PerSecond > 10)
-        // Twenty seconds.
-        CHECK(static_cast<double>(Busy.All) >= 0.85 * PerSecond * 20);
+        // The simulation runs for twenty seconds.
+        CHECK(static_cast<double>(Busy.Total) >= 0.85 * PerSecond * 20);
     }
 }
