--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -17,14 +17,14 @@
 #include "LibDispatch/PeerReport.h"
 #include "LibDispatch/ProcessStop.h"
 #include "LibDispatch/PromptPlanner.h"
-#include "LibDispatch/RepeatRules.h"
+#include "LibDispatch/RetryRules.h"
 #include "LibDispatch/ServerLimits.h"
 #include "LibDispatch/ServicePlanner.h"
 #include "LibDispatch/StartLag.h"
 #include "LibDispatch/StreamTimes.h"
 #include "LibDispatch/TargetTable.h"
 #include "LibMetrics/Registry.h"
-#include "LibRetry/FleetBudget.h"
+#include "LibRetry/FleetRetryBudget.h"
 #include "LibSettings/GatewaySettings.h"
 #include "LibUpstream/ConnectionPool.h"
 
@@ -78,7 +78,7 @@
   retry::FleetRetryBudget Budget;
   dispatch::PromptPlanner Prompts;
   dispatch::ServicePlanner Services;
-  dispatch::RepeatOptions Retries;
+  dispatch::RetryOptions Retries;
   std::map<std::string, std::shared_ptr<upstream::ConnectionPool>> Pools;
   /// Learned cost model of the engines, by service.
   std::map<std::string, engine::EngineModel> EngineModels;
--- a/Services/figlift-gateway/CrashWatch.cpp
+++ b/Services/figlift-gateway/CrashWatch.cpp
@@ -176,7 +176,7 @@
 
 void CrashWatch::suspect(const ServerStart &Start,
                          const Suspicion::LostSend &Loss, BootTime Now) {
-  m_Suspects.crashed(Loss.Request, {Start, Loss.SentAt, Loss.LostAt}, Now);
+  m_Suspects.recordCrash(Loss.Request, {Start, Loss.SentAt, Loss.LostAt}, Now);
   const auto Age = [&](BootTime Time) {
     return std::chrono::duration_cast<milliseconds>(Now - Time).count();
   };
@@ -192,36 +192,36 @@
 
 void CrashWatch::sent(const dispatch::RequestFingerprint &Request,
                       BootTime Now) {
-  m_Suspects.sent(Request, Now);
+  m_Suspects.recordSend(Request, Now);
   announceNew(Now);
 }
 
 void CrashWatch::completed(const dispatch::RequestFingerprint &Request,
                            BootTime Now) {
-  m_Suspects.completed(Request, Now);
+  m_Suspects.recordCompletion(Request, Now);
   announceNew(Now);
 }
 
 void CrashWatch::announceNew(BootTime Now) {
-  const auto Updates = m_Suspects.takeFresh(Now);
+  const auto Updates = m_Suspects.takeChanges(Now);
   if (!Updates.empty() && m_Announce)
     m_Announce(Updates);
 }
 
-void CrashWatch::peerReported(const std::vector<dispatch::SuspectNews> &Updates,
-                              BootTime Now) {
-  for (const dispatch::SuspectNews &Update : Updates) {
-    m_Suspects.heard(Update, Now);
+void CrashWatch::peerReported(
+    const std::vector<dispatch::SuspectUpdate> &Updates, BootTime Now) {
+  for (const dispatch::SuspectUpdate &Update : Updates) {
+    m_Suspects.applyUpdate(Update, Now);
     // This gateway lost its connections to the server at about the same time
     // as the peer.
-    for (const dispatch::SuspectNews::Crash &Crash : Update.Crashes)
+    for (const dispatch::SuspectUpdate::Crash &Crash : Update.Crashes)
       serverEnded(Crash.Server, "reported by a peer",
                   Now - Crash.Age - CrashLossWindow);
   }
 }
 
-std::vector<dispatch::SuspectNews> CrashWatch::reannouncements(BootTime Now) {
-  return m_Suspects.repeats(MaximumReannounced, Now);
+std::vector<dispatch::SuspectUpdate> CrashWatch::reannouncements(BootTime Now) {
+  return m_Suspects.takeRetransmissions(MaximumReannounced, Now);
 }
 
 void CrashWatch::tick(BootTime Now) {
@@ -234,7 +234,7 @@
   std::erase_if(m_Ended, [&](const auto &Entry) {
     return Now - Entry.second > SuspicionLifetime;
   });
-  m_Suspects.tick(Now);
+  m_Suspects.expire(Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/CrashWatch.h
+++ b/Services/figlift-gateway/CrashWatch.h
@@ -34,7 +34,7 @@
 class CrashWatch {
 public:
   using Announcer =
-      std::function<void(const std::vector<dispatch::SuspectNews> &)>;
+      std::function<void(const std::vector<dispatch::SuspectUpdate> &)>;
 
   CrashWatch(boost::asio::io_context &Loop, DecisionLog &Log)
       : m_Loop(Loop), m_Log(Log) {}
@@ -71,10 +71,10 @@
   void targetRemoved(const std::string &TargetId);
   void tick(BootTime Now);
 
-  void peerReported(const std::vector<dispatch::SuspectNews> &Updates,
+  void peerReported(const std::vector<dispatch::SuspectUpdate> &Updates,
                     BootTime Now);
   /// Updates that are announced again because peers may have missed them.
-  std::vector<dispatch::SuspectNews> reannouncements(BootTime Now);
+  std::vector<dispatch::SuspectUpdate> reannouncements(BootTime Now);
 
   /// Servers that crashed during a request.
   uint64_t crashes() const { return m_Crashes; }
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -210,7 +210,7 @@
   log::logEvent(log::Level::Info, "target-gone", {{"target", Id}});
   m_Shared.Switching.erase(Id);
   m_Shared.Crashes.targetRemoved(Id);
-  m_Shared.Limits.targetGone(Id);
+  m_Shared.Limits.removeTarget(Id);
   if (const auto Pool = m_Shared.Pools.find(Id); Pool != m_Shared.Pools.end()) {
     Pool->second->retire();
     m_Shared.Pools.erase(Pool);
@@ -279,8 +279,8 @@
 }
 
 void Gateway::shareLimits(BootTime Now) {
-  for (const auto &[Id, PerSecond] : m_Shared.Limits.inForce())
-    m_Shared.Limits.share(
+  for (const auto &[Id, PerSecond] : m_Shared.Limits.activeLimits())
+    m_Shared.Limits.setShare(
         Id, dispatch::limitShare(m_Peers.limitFleet(Id, Now), Id, PerSecond),
         Now);
 }
@@ -323,7 +323,7 @@
   // Addresses stay bound for the life of the process; the other settings take
   // effect now.
   m_Shared.Settings.Drain = Read.value().Drain;
-  m_Shared.Stop.graceChanged(grace());
+  m_Shared.Stop.updateGrace(grace());
   m_Shared.Settings.Orders = Read.value().Orders;
   ++m_Reloads;
   log::logEvent(log::Level::Info, "reloaded", {{"grace", grace()}});
@@ -365,10 +365,10 @@
   if (m_Shared.Stop.closesIdle(Now))
     for (proxy::CallerConnection *Caller : Callers)
       Caller->closeIfIdle();
-  if (m_Shared.Stop.answersNow(Now))
+  if (m_Shared.Stop.startsFinalAnswers(Now))
     for (proxy::CallerConnection *Caller : Callers)
       Caller->announceEnd();
-  if (!m_Shared.Stop.over(Now, m_Callers.empty()))
+  if (!m_Shared.Stop.mayExit(Now, m_Callers.empty()))
     return;
   log::logEvent(log::Level::Info, "stopped",
                 {{"callers", Callers.size()}, {"cut", busyCallers()}});
--- a/Services/figlift-gateway/Gateway.h
+++ b/Services/figlift-gateway/Gateway.h
@@ -70,7 +70,7 @@
   /// Announces the last known state of the store to the peers, unless a peer
   /// has announced the same.
   void announceStoreState();
-  void storeUpdateReceived(const dispatch::StoreNews &Update);
+  void storeUpdateReceived(const dispatch::StoreUpdate &Update);
   void apply(const std::vector<dispatch::TargetEvent> &Events);
   void targetAdded(const dispatch::Target &Target);
   void targetRemoved(const std::string &Id);
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -2,13 +2,13 @@
 //
 // The configuration and the server list, read from the store or announced by a
 // peer. An announcement postpones the next read of this process; see
-// ReadTurn.h.
+// StoreReadSchedule.h.
 //
 //===----------------------------------------------------------------------===//
 
 #include "Gateway.h"
 
-#include "LibDispatch/ReadTurn.h"
+#include "LibDispatch/StoreReadSchedule.h"
 #include "LibLog/Log.h"
 #include "platform/Rows.h"
 
@@ -35,7 +35,7 @@
   };
   return {OnRead, OnRead, [] {},
           [this](bool WasUnchanged) {
-            return dispatch::ConfigurationReadTurn.due(
+            return dispatch::ConfigurationReadSchedule.due(
                 m_Peers.liveBefore(BootClock::now()), m_ConfigurationKnownAt,
                 WasUnchanged);
           }};
@@ -50,7 +50,7 @@
           },
           [this] { m_Shared.Targets.storeLost(BootClock::now()); },
           [this](bool WasUnchanged) {
-            return dispatch::ServerReadTurn.due(
+            return dispatch::ServerReadSchedule.due(
                 m_Peers.liveBefore(BootClock::now()), m_ServerJournal.knownAt(),
                 WasUnchanged);
           }};
@@ -168,9 +168,9 @@
   // lacks a server which is retained here for a while contains a removal that
   // peers must not skip.
   if (Events.empty() && !m_Shared.Targets.keepsMissing())
-    m_ServerJournal.changesRead(Read.Version, KnownAt, {});
+    m_ServerJournal.recordChanges(Read.Version, KnownAt, {});
   else
-    m_ServerJournal.wholeRead(Read.Version, KnownAt);
+    m_ServerJournal.recordFullRead(Read.Version, KnownAt);
   apply(Events);
   announceStoreState();
 }
@@ -188,7 +188,7 @@
       Changes.push_back({Row.Version, Row.Key, Entry});
     apply(Events);
   }
-  m_ServerJournal.changesRead(Read.Version, KnownAt, std::move(Changes));
+  m_ServerJournal.recordChanges(Read.Version, KnownAt, std::move(Changes));
   announceStoreState();
 }
 
@@ -215,16 +215,16 @@
   if (!m_ServersKnown || IsAnnounced)
     return;
   const BootTime Now = BootClock::now();
-  dispatch::StoreNews Update;
-  Update.From = m_Shared.Settings.Process.Id;
-  Update.Servers = m_ServerJournal.news(Now);
+  dispatch::StoreUpdate Update;
+  Update.Sender = m_Shared.Settings.Process.Id;
+  Update.Servers = m_ServerJournal.makeUpdate(Now);
   Update.Configuration = {
       InForce, std::chrono::ceil<milliseconds>(Now - m_ConfigurationKnownAt)};
   m_AnnouncedConfiguration = InForce;
   m_PeerLink.announce(Update);
 }
 
-void Gateway::storeUpdateReceived(const dispatch::StoreNews &Update) {
+void Gateway::storeUpdateReceived(const dispatch::StoreUpdate &Update) {
   const BootTime Now = BootClock::now();
   const uint64_t InForce =
       m_Shared.Configuration ? m_Shared.Configuration->Version : 0;
@@ -237,7 +237,7 @@
   // Changes cannot be applied before the first full read.
   if (!m_ServersKnown)
     return;
-  const auto Outcome = m_ServerJournal.heard(Update.Servers, Now);
+  const auto Outcome = m_ServerJournal.applyUpdate(Update.Servers, Now);
   m_ServerFollower.advance(m_ServerJournal.version());
   m_AnnouncedConfiguration =
       std::max(m_AnnouncedConfiguration, Update.Configuration.Version);
@@ -245,9 +245,9 @@
       std::max(m_ServersAnnouncedAt, Now - Update.Servers.Age);
   m_ConfigurationAnnouncedAt =
       std::max(m_ConfigurationAnnouncedAt, Now - Update.Configuration.Age);
-  if (std::holds_alternative<dispatch::MissingPart>(Outcome))
+  if (std::holds_alternative<dispatch::MissingVersions>(Outcome))
     return m_ServerFollower.readNow();
-  if (const auto *Missed = std::get_if<dispatch::NewChanges>(&Outcome))
+  if (const auto *Missed = std::get_if<dispatch::ServerChanges>(&Outcome))
     for (const dispatch::ServerChange &Change : Missed->Changes)
       apply(Change.Entry ? m_Shared.Targets.update(*Change.Entry, Now)
                          : m_Shared.Targets.remove(Change.Id, Now));
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -77,7 +77,7 @@
 
 void PeerLink::report() {
   dispatch::PeerReport Report;
-  Report.From = m_Shared.Settings.Process.Id;
+  Report.Sender = m_Shared.Settings.Process.Id;
   Report.Loads = m_Shared.Loads.ownLoads();
   auto &Parts = m_Shared.NewlyCached;
   const size_t Count = std::min(Parts.size(), MaximumParts);
@@ -89,13 +89,13 @@
     Report.Demands.push_back({Service, Meter.demand(Now)});
   for (const auto &[Id, Until] : m_Shared.Switching)
     if (Now < Until)
-      Report.Away.push_back(
+      Report.Unavailable.push_back(
           {Id, std::chrono::duration_cast<milliseconds>(Until - Now)});
   if (Now - m_EngineCostsSentAt >= EngineCostInterval) {
     m_EngineCostsSentAt = Now;
     for (const auto &[Service, Model] : m_Shared.EngineModels)
       Report.Engines.push_back({Service, Model.own()});
-    Report.Limits = m_Shared.Limits.news(Now);
+    Report.Limits = m_Shared.Limits.makeUpdates(Now);
   }
   sendToAll(ReportKind, encodePeerReport(Report));
   if (++m_ReportsSinceReannouncement >= ReportsPerReannouncement)
@@ -103,8 +103,8 @@
 }
 
 void PeerLink::announceSuspects(
-    const std::vector<dispatch::SuspectNews> &Updates) {
-  sendToAll(SuspectsKind, encodeSuspectNews(Updates));
+    const std::vector<dispatch::SuspectUpdate> &Updates) {
+  sendToAll(SuspectsKind, encodeSuspectUpdates(Updates));
 }
 
 void PeerLink::reannounceSuspects(BootTime Now) {
@@ -115,15 +115,15 @@
 }
 
 void PeerLink::suspectsReceived(std::string_view Body) {
-  const auto Read = dispatch::decodeSuspectNews(Body);
+  const auto Read = dispatch::decodeSuspectUpdates(Body);
   if (!Read)
     return log::logError(log::Level::Warning, "suspect-news-invalid",
                          Read.error());
   m_Shared.Crashes.peerReported(Read.value(), BootClock::now());
 }
 
-void PeerLink::announce(const dispatch::StoreNews &Update) {
-  sendToAll(StoreUpdateKind, encodeStoreNews(Update));
+void PeerLink::announce(const dispatch::StoreUpdate &Update) {
+  sendToAll(StoreUpdateKind, encodeStoreUpdate(Update));
 }
 
 void PeerLink::sendToAll(char Kind, const std::string &Body) {
@@ -167,7 +167,7 @@
 }
 
 void PeerLink::storeUpdateReceived(std::string_view Body) {
-  const auto Read = dispatch::decodeStoreNews(Body);
+  const auto Read = dispatch::decodeStoreUpdate(Body);
   if (!Read)
     return log::logError(log::Level::Warning, "store-news-invalid",
                          Read.error());
@@ -182,17 +182,17 @@
   }
   const BootTime Now = BootClock::now();
   const dispatch::PeerReport &Report = Read.value();
-  m_Peers.reportReceived(Report.From, m_Sender, Now);
-  m_Shared.Loads.peerReported(Report.From, Report.Loads, Now);
-  m_Shared.PeerDemands[Report.From] = Report.Demands;
-  for (const dispatch::ServiceFigures &Costs : Report.Engines)
-    m_Shared.EngineModels[Costs.Service].peerTold(Report.From, Costs.Figures,
+  m_Peers.reportReceived(Report.Sender, m_Sender, Now);
+  m_Shared.Loads.peerReported(Report.Sender, Report.Loads, Now);
+  m_Shared.PeerDemands[Report.Sender] = Report.Demands;
+  for (const dispatch::ServiceMeasurements &Costs : Report.Engines)
+    m_Shared.EngineModels[Costs.Service].peerTold(Report.Sender, Costs.Figures,
                                                   Now);
-  for (const dispatch::LimitNews &Limit : Report.Limits)
+  for (const dispatch::LimitUpdate &Limit : Report.Limits)
     if (m_Shared.Targets.find(Limit.Server.TargetId))
-      m_Shared.Limits.heard(Limit, Now);
-  for (const dispatch::AwayTarget &Switching : Report.Away)
-    m_Shared.Loads.avoid(Switching.TargetId, Now + Switching.Left);
+      m_Shared.Limits.applyUpdate(Limit, Now);
+  for (const dispatch::UnavailableTarget &Switching : Report.Unavailable)
+    m_Shared.Loads.avoid(Switching.TargetId, Now + Switching.Remaining);
   for (const dispatch::CachedPart &Entry : Report.Cached)
     if (!m_Shared.Targets.find(Entry.TargetId))
       continue;
--- a/Services/figlift-gateway/PeerLink.h
+++ b/Services/figlift-gateway/PeerLink.h
@@ -11,7 +11,7 @@
 #include "Context.h"
 #include "PeerList.h"
 
-#include "LibDispatch/StoreNews.h"
+#include "LibDispatch/StoreUpdate.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -24,13 +24,13 @@
 
 class PeerLink {
 public:
-  using UpdateHandler = std::function<void(const dispatch::StoreNews &)>;
+  using UpdateHandler = std::function<void(const dispatch::StoreUpdate &)>;
 
   PeerLink(Context &Shared, PeerList &Peers, UpdateHandler OnStoreUpdate);
 
   Result<void> start();
   /// Announces the state of the store to all peers.
-  void announce(const dispatch::StoreNews &Update);
+  void announce(const dispatch::StoreUpdate &Update);
   /// Datagrams without a valid seal of this fleet.
   uint64_t rejected() const { return m_Rejected; }
 
@@ -42,7 +42,7 @@
   void received(std::string_view Bytes);
   void reportReceived(std::string_view Body);
   void storeUpdateReceived(std::string_view Body);
-  void announceSuspects(const std::vector<dispatch::SuspectNews> &Updates);
+  void announceSuspects(const std::vector<dispatch::SuspectUpdate> &Updates);
   void reannounceSuspects(BootTime Now);
   void suspectsReceived(std::string_view Body);
 
--- a/Services/figlift-gateway/PeerList.cpp
+++ b/Services/figlift-gateway/PeerList.cpp
@@ -230,14 +230,14 @@
 dispatch::LimitFleet PeerList::limitFleet(const std::string &TargetId,
                                           BootTime Now) const {
   dispatch::LimitFleet Fleet;
-  Fleet.Own = m_Shared.Settings.Process.Id;
+  Fleet.Self = m_Shared.Settings.Process.Id;
   Fleet.Sharers = sharingGateways(Now);
   const dispatch::Target *Target = m_Shared.Targets.find(TargetId);
   const std::string Service = Target ? Target->Service : std::string();
   if (const auto Meter = m_Shared.Demands.find(Service);
       Meter != m_Shared.Demands.end())
     Fleet.OwnDemand = Meter->second.demand(Now).sum();
-  Fleet.AllDemand = Fleet.OwnDemand;
+  Fleet.TotalDemand = Fleet.OwnDemand;
   for (const auto &[Id, Entry] : m_Peers) {
     if (!isLive(Entry, Now))
       continue;
@@ -246,7 +246,7 @@
         Reported != m_Shared.PeerDemands.end())
       for (const dispatch::ServiceDemand &Demand : Reported->second)
         if (Demand.Service == Service)
-          Fleet.AllDemand += Demand.Demand.sum();
+          Fleet.TotalDemand += Demand.Demand.sum();
   }
   return Fleet;
 }
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -14,7 +14,7 @@
 namespace figlift::gateway {
 
 using dispatch::Milliseconds;
-using dispatch::SendEnd;
+using dispatch::SendOutcome;
 using std::chrono::milliseconds;
 
 namespace {
@@ -84,7 +84,7 @@
   const auto Form =
       streaming() ? dispatch::AnswerForm::Stream : dispatch::AnswerForm::Whole;
   return m_ResponseStarted ||
-         m_Shared.Stop.takes({Form, timeLeft(Now), Expected}, Now);
+         m_Shared.Stop.accepts({Form, timeLeft(Now), Expected}, Now);
 }
 
 /// Rejects a request that would not end before the process stops.
@@ -321,8 +321,8 @@
   // checking for one failed requests and interrupted streams that the silent
   // server answered a moment later.
   const auto Overdue = m_Send;
-  const SendEnd End = dispatch::TookTooLong{};
-  if (!std::holds_alternative<dispatch::SendAgain>(nextStep(End, *Overdue)) ||
+  const SendOutcome End = dispatch::TimedOut{};
+  if (!std::holds_alternative<dispatch::Retry>(nextStep(End, *Overdue)) ||
       !hasAlternative(Overdue->targetId(), BootClock::now()))
     return waitForSilence();
   logSendEnded(*Overdue, End);
@@ -352,7 +352,7 @@
   const dispatch::Target *PrefillTarget =
       m_Shared.Targets.find(Send.targetId());
   if (!Read || !PrefillTarget || Send.targetRestarted())
-    return sendEnded(Send, dispatch::BrokeOff{});
+    return sendEnded(Send, dispatch::ConnectionLost{});
   recordCached(Send.targetId());
   m_PrefillTime = BootClock::now() - Send.started();
   learnPrefill();
@@ -385,7 +385,7 @@
 
 /// An execution that reached no engine, or was rejected, has not consumed the
 /// KV cache of its prefill. After a rejection the cache is reused once.
-bool RequestFlow::mayReuseHandle(const SendEnd &End, BootTime Now) {
+bool RequestFlow::mayReuseHandle(const SendOutcome &End, BootTime Now) {
   if (!m_Handle)
     return false;
   if (std::holds_alternative<dispatch::NotSent>(End))
@@ -417,7 +417,7 @@
   return Decode.has_value();
 }
 
-void RequestFlow::sendEnded(ServerSend &Send, SendEnd End) {
+void RequestFlow::sendEnded(ServerSend &Send, SendOutcome End) {
   m_SilenceTimer.cancel();
   m_Send = nullptr;
   if (std::holds_alternative<dispatch::NotSent>(End))
@@ -427,13 +427,13 @@
       m_Executions > 0 && Send.started() != BootTime{})
     --m_Executions;
   abandonExpectedCache(Send.targetId());
-  if (std::holds_alternative<dispatch::BrokeOff>(End))
+  if (std::holds_alternative<dispatch::ConnectionLost>(End))
     recordConnectionLost(Send);
   logSendEnded(Send, End);
   handleFailedSend(End, Send);
 }
 
-dispatch::NextStep RequestFlow::nextStep(const SendEnd &End,
+dispatch::NextStep RequestFlow::nextStep(const SendOutcome &End,
                                          const ServerSend &Send) {
   const BootTime Now = BootClock::now();
   dispatch::RequestProgress Progress;
@@ -444,8 +444,8 @@
   Progress.MaximumRuns = m_Route.MaximumAttempts;
   Progress.Repeatable =
       m_Route.repeatable() &&
-      (!isSuspected() || m_Shared.Crashes.suspects().mayRepeat(*m_Fingerprint));
-  Progress.EndsInTime = mayStart(m_PlannedFirst, Now);
+      (!isSuspected() || m_Shared.Crashes.suspects().mayRetry(*m_Fingerprint));
+  Progress.EndsBeforeStop = mayStart(m_PlannedFirst, Now);
   if (Send.purpose() == SendPurpose::Prefill && m_Executions == 0) {
     // A prefill does not execute the request.
     Progress.Repeatable = true;
@@ -462,17 +462,17 @@
   });
 }
 
-void RequestFlow::handleFailedSend(const SendEnd &End, ServerSend &Send) {
+void RequestFlow::handleFailedSend(const SendOutcome &End, ServerSend &Send) {
   const BootTime Now = BootClock::now();
   if (std::holds_alternative<dispatch::Rejected>(End) && engineService())
     m_Shared.StartLags[m_Service].turnedAway(m_Route.LatencyTarget, Now);
   if (mayReuseHandle(End, Now) && decodeElsewhere(Send, Now))
     return;
   const auto Next = nextStep(End, Send);
-  if (std::holds_alternative<dispatch::SendAgain>(Next))
+  if (std::holds_alternative<dispatch::Retry>(Next))
     return retry(Send);
   releaseHandle();
-  if (std::holds_alternative<dispatch::PassOn>(Next)) {
+  if (std::holds_alternative<dispatch::ForwardFailure>(Next)) {
     recordCompletion();
     return forwardFailure(Send);
   }
--- a/Services/figlift-gateway/RequestFlow.h
+++ b/Services/figlift-gateway/RequestFlow.h
@@ -42,7 +42,7 @@
 
   void sendAnswered(ServerSend &Send) override;
   void sendBody(ServerSend &Send, std::string Bytes) override;
-  void sendEnded(ServerSend &Send, dispatch::SendEnd End) override;
+  void sendEnded(ServerSend &Send, dispatch::SendOutcome End) override;
   void sendCompleted(ServerSend &Send) override;
   bool wantsMore() const override;
 
@@ -68,7 +68,7 @@
   void startExecution(const dispatch::RunAt &Plan);
   void prefillCompleted(ServerSend &Send);
   std::optional<dispatch::RunAt> chooseDecodeTarget(BootTime Now);
-  bool mayReuseHandle(const dispatch::SendEnd &End, BootTime Now);
+  bool mayReuseHandle(const dispatch::SendOutcome &End, BootTime Now);
   bool decodeElsewhere(const ServerSend &Failed, BootTime Now);
   void send(const std::string &TargetId, const std::string &FetchFrom,
             SendPurpose Purpose, dispatch::Work Work);
@@ -96,8 +96,8 @@
   void forwardEvents(const std::string &Events);
   void forwardBuffered(ServerSend &Send);
   void forwardFailure(ServerSend &Send);
-  void handleFailedSend(const dispatch::SendEnd &End, ServerSend &Send);
-  dispatch::NextStep nextStep(const dispatch::SendEnd &End,
+  void handleFailedSend(const dispatch::SendOutcome &End, ServerSend &Send);
+  dispatch::NextStep nextStep(const dispatch::SendOutcome &End,
                               const ServerSend &Send);
   void retry(const ServerSend &Failed);
   void respondWithError(unsigned Status, std::string_view Reason,
@@ -115,7 +115,7 @@
   void logAccepted();
   void logEnded(std::string_view Outcome, unsigned Status,
                 std::string_view Reason);
-  void logSendEnded(const ServerSend &Send, const dispatch::SendEnd &End);
+  void logSendEnded(const ServerSend &Send, const dispatch::SendOutcome &End);
   void logSent(const std::string &TargetId, const std::string &FetchFrom,
                SendPurpose Purpose, dispatch::Milliseconds Expected);
   void armSilenceTimeout(BootClock::duration Timeout);
--- a/Services/figlift-gateway/RequestLines.cpp
+++ b/Services/figlift-gateway/RequestLines.cpp
@@ -45,7 +45,7 @@
 }
 
 void RequestFlow::logSendEnded(const ServerSend &Send,
-                               const dispatch::SendEnd &End) {
+                               const dispatch::SendOutcome &End) {
   const BootTime Now = BootClock::now();
   if (!m_Shared.Log.allows(LineKind::Notable, Now))
     return;
--- a/Services/figlift-gateway/RequestSuspicion.cpp
+++ b/Services/figlift-gateway/RequestSuspicion.cpp
@@ -42,8 +42,9 @@
     return false;
   const dispatch::CrashSuspects &Suspects = m_Shared.Crashes.suspects();
   const BootTime Now = BootClock::now();
-  const auto Rejection = m_Sends == 0 ? Suspects.holdsBack(*m_Fingerprint, Now)
-                                      : Suspects.refuses(*m_Fingerprint, Now);
+  const auto Rejection = m_Sends == 0
+                             ? Suspects.rejectsNewAttempt(*m_Fingerprint, Now)
+                             : Suspects.rejectsAttempt(*m_Fingerprint, Now);
   if (!Rejection)
     return false;
   m_Shared.Crashes.recordRejected();
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -1,6 +1,6 @@
 //===- ServerSend.cpp - One attempt to send a request to a server ---------===//
 //
-// Classifies the result; see RepeatRules.h for the next step.
+// Classifies the result; see RetryRules.h for the next step.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 
 namespace figlift::gateway {
 
-using dispatch::SendEnd;
+using dispatch::SendOutcome;
 using upstream::ExchangeEnd;
 
 namespace {
@@ -37,7 +37,7 @@
   m_Ticket = m_Shared.Loads.started(m_TargetId, Work);
   if (const dispatch::Target *Target = m_Shared.Targets.find(m_TargetId))
     m_Target = *Target;
-  m_Shared.Limits.sent(m_TargetId, m_Started);
+  m_Shared.Limits.recordSend(m_TargetId, m_Started);
   m_Connection->exchange(std::move(Bytes), true, shared_from_this());
   return true;
 }
@@ -80,7 +80,7 @@
       (IsExecution && isSuccess(Head.Status) && !m_Fields.Signed)) {
     if (const auto Connection = std::exchange(m_Connection, nullptr))
       Connection->abort();
-    return end(dispatch::BrokeOff{});
+    return end(dispatch::ConnectionLost{});
   }
   recordLimit();
   if (IsExecution && isSuccess(Head.Status))
@@ -97,7 +97,8 @@
                     {{"target", m_TargetId}});
     return;
   }
-  if (m_Shared.Limits.told(m_Target->start(), m_Fields.Limit, m_Started, Now) &&
+  if (m_Shared.Limits.recordAnswer(m_Target->start(), m_Fields.Limit, m_Started,
+                                   Now) &&
       m_Shared.Log.allows(LineKind::State, Now))
     log::logEvent(log::Level::Info, "server-limit",
                   {{"target", m_TargetId},
@@ -115,7 +116,7 @@
     return;
   if (const auto Connection = std::exchange(m_Connection, nullptr))
     Connection->abort();
-  end(dispatch::BrokeOff{});
+  end(dispatch::ConnectionLost{});
 }
 
 void ServerSend::onEnd(ExchangeEnd End) {
@@ -125,7 +126,7 @@
   if (End == ExchangeEnd::NotSent)
     return end(dispatch::NotSent{});
   if (End != ExchangeEnd::Complete)
-    return end(dispatch::BrokeOff{});
+    return end(dispatch::ConnectionLost{});
   if (m_Fields.NotExecuted)
     return end(dispatch::Rejected{});
   if (!isSuccess(m_Head.Status))
@@ -143,7 +144,7 @@
     m_Shared.Loads.turnedAway(m_TargetId, Now);
 }
 
-void ServerSend::recordOutcome(const SendEnd &End) {
+void ServerSend::recordOutcome(const SendOutcome &End) {
   // The target may have restarted: a failure of its earlier start says nothing
   // about the current one.
   if (!m_Shared.Loads.knows(m_TargetId, m_Ticket))
@@ -162,7 +163,7 @@
     m_Shared.Loads.failed(m_TargetId, m_Ticket, Now);
 }
 
-void ServerSend::end(SendEnd End) {
+void ServerSend::end(SendOutcome End) {
   recordOutcome(End);
   if (auto *const Owner = std::exchange(m_Owner, nullptr))
     Owner->sendEnded(*this, End);
--- a/Services/figlift-gateway/ServerSend.h
+++ b/Services/figlift-gateway/ServerSend.h
@@ -39,7 +39,7 @@
   /// Called after a complete success. The body is in body() unless it was
   /// passed to sendBody.
   virtual void sendCompleted(ServerSend &Send) = 0;
-  virtual void sendEnded(ServerSend &Send, dispatch::SendEnd End) = 0;
+  virtual void sendEnded(ServerSend &Send, dispatch::SendOutcome End) = 0;
   virtual bool wantsMore() const = 0;
 };
 
@@ -81,8 +81,8 @@
   bool isMatchingResponse() const;
   void recordRejection(BootTime Now);
   void recordLimit();
-  void recordOutcome(const dispatch::SendEnd &End);
-  void end(dispatch::SendEnd End);
+  void recordOutcome(const dispatch::SendOutcome &End);
+  void end(dispatch::SendOutcome End);
 
   /// Limit for buffered bodies. The services do not send longer ones, which
   /// would use up the memory for all requests.
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -87,7 +87,7 @@
 void StageDirector::storeRestored(uint64_t Era) {
   for (auto &[Service, State] : m_Services)
     if (State.Lease)
-      State.Lease->storeCameBack(Era);
+      State.Lease->storeRestored(Era);
 }
 
 dispatch::EngineDemand StageDirector::fleetDemand(const std::string &Service,
