--- a/Libraries/LibDispatch/EngineCosts.cpp
+++ b/Libraries/LibDispatch/EngineCosts.cpp
@@ -10,20 +10,23 @@
 
 namespace figlift::dispatch {
 
-engine::ReadSize EngineCosts::toCompute(const Prompt &What, uint32_t Cached) {
-  const double Total = What.Tokens;
-  const double Computed = Total - std::min(Total, static_cast<double>(Cached));
+engine::PrefillSize EngineCosts::uncachedSize(const Prompt &Input,
+                                              uint32_t CachedTokens) {
+  const double Total = Input.Tokens;
+  const double Computed =
+      Total - std::min(Total, static_cast<double>(CachedTokens));
   // Each computed token attends to all before it: on average those that are
   // kept and half of the computed ones.
   return {Computed, Computed * (Total - Computed / 2) / 1e6};
 }
 
-Milliseconds EngineCosts::reading(const engine::ReadSize &Size) const {
-  return m_Figures.ReadThousandTokens * (Size.Tokens / 1000) +
-         m_Figures.ReadMillionPairs * Size.MillionPairs;
+Milliseconds EngineCosts::prefill(const engine::PrefillSize &Size) const {
+  return m_Parameters.PrefillPerThousandTokens * (Size.Tokens / 1000) +
+         m_Parameters.PrefillPerMillionPairs * Size.MillionPairs;
 }
 
-Milliseconds EngineCosts::onLink(uint32_t Tokens, bool SameZone) const {
+Milliseconds EngineCosts::nominalTransfer(uint32_t Tokens,
+                                          bool SameZone) const {
   const double Bits = 8.0 * static_cast<double>(Tokens) *
                       static_cast<double>(m_Traits.KvBytesPerToken);
   if (m_Traits.LinkMbps <= 0)
--- a/Libraries/LibDispatch/EngineDemand.cpp
+++ b/Libraries/LibDispatch/EngineDemand.cpp
@@ -12,66 +12,70 @@
 namespace figlift::dispatch {
 
 double DemandMeter::decay(BootTime Now) const {
-  return std::exp(-std::max(0.0, Milliseconds(Now - m_At) / m_Memory));
+  return std::exp(
+      -std::max(0.0, Milliseconds(Now - m_UpdatedAt) / m_TimeConstant));
 }
 
-double DemandMeter::fillingShare(BootTime Now) const {
-  if (m_First == BootTime{})
+double DemandMeter::cacheFillShare(BootTime Now) const {
+  if (m_FirstAt == BootTime{})
     return 1;
-  return std::exp(-(Milliseconds(Now - m_First) / FillTime));
+  return std::exp(-(Milliseconds(Now - m_FirstAt) / CacheFillTime));
 }
 
-void DemandMeter::requested(Milliseconds Read, Milliseconds Run, BootTime Now) {
-  if (m_First == BootTime{})
-    m_First = Now;
-  const double Kept = decay(Now);
-  m_Sum.Read = m_Sum.Read * Kept + Read.count();
-  m_Sum.Run = m_Sum.Run * Kept + Run.count();
-  m_At = Now;
+void DemandMeter::recordRequest(Milliseconds Prefill, Milliseconds Decode,
+                                BootTime Now) {
+  if (m_FirstAt == BootTime{})
+    m_FirstAt = Now;
+  const double Retained = decay(Now);
+  m_Sum.Prefill = m_Sum.Prefill * Retained + Prefill.count();
+  m_Sum.Decode = m_Sum.Decode * Retained + Decode.count();
+  m_UpdatedAt = Now;
 }
 
 EngineDemand DemandMeter::demand(BootTime Now) const {
-  if (m_First == BootTime{})
+  if (m_FirstAt == BootTime{})
     return {};
   // Before one memory has passed the sum covers only the time since the start.
   // Over a few requests that is no rate: the first one, milliseconds old,
   // looked like hundreds of engines, and busy times remembered it for a minute.
-  const Milliseconds Since =
-      std::max(Milliseconds(Now - m_First), Milliseconds(m_Memory) / 2);
-  const double Covered = 1 - std::exp(-(Since / m_Memory));
-  const double Scale = decay(Now) / (Milliseconds(m_Memory).count() * Covered);
-  return {m_Sum.Read * Scale, m_Sum.Run * Scale};
+  const Milliseconds Elapsed =
+      std::max(Milliseconds(Now - m_FirstAt), Milliseconds(m_TimeConstant) / 2);
+  const double CoveredShare = 1 - std::exp(-(Elapsed / m_TimeConstant));
+  const double Scale =
+      decay(Now) / (Milliseconds(m_TimeConstant).count() * CoveredShare);
+  return {m_Sum.Prefill * Scale, m_Sum.Decode * Scale};
 }
 
-void BusyDemand::observe(const EngineDemand &Current, BootTime Now) {
-  const double Total = Current.Read + Current.Run;
-  if (m_First == BootTime{}) {
+void PeakDemand::observe(const EngineDemand &Current, BootTime Now) {
+  const double Total = Current.Prefill + Current.Decode;
+  if (m_FirstAt == BootTime{}) {
     // An idle fleet says nothing about the mix.
     if (Total <= 0)
       return;
-    m_First = m_At = Now;
+    m_FirstAt = m_UpdatedAt = Now;
   }
-  const Milliseconds Step(Now - m_At);
-  const double Kept = std::exp(-std::max(0.0, Step / m_Memory));
+  const Milliseconds Step(Now - m_UpdatedAt);
+  const double Retained = std::exp(-std::max(0.0, Step / m_TimeConstant));
   const double Weight = Total * Total * Step.count();
-  m_Weighted.Read = m_Weighted.Read * Kept + Current.Read * Weight;
-  m_Weighted.Run = m_Weighted.Run * Kept + Current.Run * Weight;
-  m_Weight = m_Weight * Kept + Weight;
-  m_At = Now;
+  m_Weighted.Prefill = m_Weighted.Prefill * Retained + Current.Prefill * Weight;
+  m_Weighted.Decode = m_Weighted.Decode * Retained + Current.Decode * Weight;
+  m_Weight = m_Weight * Retained + Weight;
+  m_UpdatedAt = Now;
 }
 
-EngineDemand BusyDemand::demand() const {
+EngineDemand PeakDemand::demand() const {
   if (m_Weight <= 0)
     return {};
-  return {m_Weighted.Read / m_Weight, m_Weighted.Run / m_Weight};
+  return {m_Weighted.Prefill / m_Weight, m_Weighted.Decode / m_Weight};
 }
 
-double BusyDemand::doubt(BootTime Now) const {
-  return 1 + FirstDoubt * std::exp(-Milliseconds(Now - m_First) / DoubtMemory);
+double PeakDemand::uncertainty(BootTime Now) const {
+  return 1 + InitialUncertainty * std::exp(-Milliseconds(Now - m_FirstAt) /
+                                           UncertaintyTimeConstant);
 }
 
-bool BusyDemand::settled(BootTime Now) const {
-  return m_First != BootTime{} && Now - m_First >= SettleTime;
+bool PeakDemand::established(BootTime Now) const {
+  return m_FirstAt != BootTime{} && Now - m_FirstAt >= MinimumObservationTime;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/KvCacheView.cpp
+++ b/Libraries/LibDispatch/KvCacheView.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /// Tokens of the leading parts that \p Counts accepts.
-template <typename Accept>
-uint32_t leadingTokens(const Prompt &What, Accept Counts) {
+template <typename Predicate>
+uint32_t leadingTokens(const Prompt &Input, Predicate IsCached) {
   uint32_t Sum = 0;
-  for (const PromptPart &Part : What.Parts) {
-    if (!Counts(Part.Id))
+  for (const PromptPart &Part : Input.Parts) {
+    if (!IsCached(Part.Id))
       break;
     Sum += Part.Tokens;
   }
@@ -28,66 +28,66 @@
 
 void KvCacheView::setCapacity(uint64_t Tokens) {
   m_Capacity = Tokens;
-  shrink();
+  evictToCapacity();
 }
 
 void KvCacheView::add(const PromptPart &Part,
-                      std::optional<BootTime> ComesUntil) {
-  m_Parts.push_front({Part, ComesUntil});
+                      std::optional<BootTime> PendingUntil) {
+  m_Parts.push_front({Part, PendingUntil});
   m_Index[Part.Id] = m_Parts.begin();
   m_Used += Part.Tokens;
-  shrink();
+  evictToCapacity();
 }
 
 void KvCacheView::insert(const PromptPart &Part) {
   const auto Found = m_Index.find(Part.Id);
   if (Found == m_Index.end())
     return add(Part, std::nullopt);
-  Found->second->ComesUntil.reset();
+  Found->second->PendingUntil.reset();
   m_Parts.splice(m_Parts.begin(), m_Parts, Found->second);
 }
 
-void KvCacheView::expect(const PromptPart &Part, BootTime Until) {
+void KvCacheView::addPending(const PromptPart &Part, BootTime Until) {
   const auto Found = m_Index.find(Part.Id);
   if (Found == m_Index.end())
     return add(Part, Until);
   // One that is there stays there.
-  if (Found->second->ComesUntil)
-    Found->second->ComesUntil = Until;
+  if (Found->second->PendingUntil)
+    Found->second->PendingUntil = Until;
 }
 
-void KvCacheView::abandon(uint64_t PartId) {
+void KvCacheView::removePending(uint64_t PartId) {
   const auto Found = m_Index.find(PartId);
-  if (Found != m_Index.end() && Found->second->ComesUntil)
+  if (Found != m_Index.end() && Found->second->PendingUntil)
     remove(Found->second);
 }
 
-void KvCacheView::remove(Entries::iterator Which) {
-  m_Used -= Which->Part.Tokens;
-  m_Index.erase(Which->Part.Id);
-  m_Parts.erase(Which);
+void KvCacheView::remove(Entries::iterator Position) {
+  m_Used -= Position->Part.Tokens;
+  m_Index.erase(Position->Part.Id);
+  m_Parts.erase(Position);
 }
 
-void KvCacheView::shrink() {
+void KvCacheView::evictToCapacity() {
   while (m_Used > m_Capacity && !m_Parts.empty())
     remove(std::prev(m_Parts.end()));
 }
 
-bool KvCacheView::holds(uint64_t PartId) const {
+bool KvCacheView::contains(uint64_t PartId) const {
   const auto Found = m_Index.find(PartId);
-  return Found != m_Index.end() && !Found->second->ComesUntil;
+  return Found != m_Index.end() && !Found->second->PendingUntil;
 }
 
-uint32_t KvCacheView::cachedTokens(const Prompt &What) const {
-  return leadingTokens(What, [&](uint64_t Id) { return holds(Id); });
+uint32_t KvCacheView::cachedTokens(const Prompt &Input) const {
+  return leadingTokens(Input, [&](uint64_t Id) { return contains(Id); });
 }
 
-uint32_t KvCacheView::cachedTokensInTurn(const Prompt &What,
-                                         BootTime Now) const {
-  return leadingTokens(What, [&](uint64_t Id) {
+uint32_t KvCacheView::cachedTokensWithPending(const Prompt &Input,
+                                              BootTime Now) const {
+  return leadingTokens(Input, [&](uint64_t Id) {
     const auto Found = m_Index.find(Id);
     return Found != m_Index.end() &&
-           Now < Found->second->ComesUntil.value_or(BootTime::max());
+           Now < Found->second->PendingUntil.value_or(BootTime::max());
   });
 }
 
--- a/Libraries/LibDispatch/KvCacheView.h
+++ b/Libraries/LibDispatch/KvCacheView.h
@@ -33,29 +33,29 @@
   /// The engine has computed or fetched this part.
   void insert(const PromptPart &Part);
   /// The engine will have computed it by \p Until, unless something fails.
-  void expect(const PromptPart &Part, BootTime Until);
+  void addPending(const PromptPart &Part, BootTime Until);
   /// What was expected does not come.
-  void abandon(uint64_t PartId);
+  void removePending(uint64_t PartId);
   /// Whether the engine keeps it now.
-  bool holds(uint64_t PartId) const;
+  bool contains(uint64_t PartId) const;
   /// Tokens of the leading parts that are all kept now.
-  uint32_t cachedTokens(const Prompt &What) const;
+  uint32_t cachedTokens(const Prompt &Input) const;
   /// The same, with those that come in front of a prompt that is sent at
   /// \p Now.
-  uint32_t cachedTokensInTurn(const Prompt &What, BootTime Now) const;
+  uint32_t cachedTokensWithPending(const Prompt &Input, BootTime Now) const;
   void clear();
 
 private:
   struct Entry {
     PromptPart Part;
     /// Unset: it is there. Otherwise it counts as coming until then.
-    std::optional<BootTime> ComesUntil;
+    std::optional<BootTime> PendingUntil;
   };
   using Entries = std::list<Entry>;
 
-  void add(const PromptPart &Part, std::optional<BootTime> ComesUntil);
-  void remove(Entries::iterator Which);
-  void shrink();
+  void add(const PromptPart &Part, std::optional<BootTime> PendingUntil);
+  void remove(Entries::iterator Position);
+  void evictToCapacity();
 
   uint64_t m_Capacity;
   /// Tokens of all entries.
--- a/Libraries/LibDispatch/KvReuse.cpp
+++ b/Libraries/LibDispatch/KvReuse.cpp
@@ -11,19 +11,19 @@
 
 namespace figlift::dispatch {
 
-double KvReuse::failures(BootTime Now) const {
-  const std::chrono::duration<double, std::milli> Since = Now - m_At;
-  return m_Failures * std::exp2(-std::max(0.0, Since / HalfLife));
+double KvReuse::failureShare(BootTime Now) const {
+  const std::chrono::duration<double, std::milli> Since = Now - m_UpdatedAt;
+  return m_FailureShare * std::exp2(-std::max(0.0, Since / HalfLife));
 }
 
-bool KvReuse::worthTrying(BootTime Now) const {
-  return 1 - failures(Now) >= LeastShare;
+bool KvReuse::shouldRetry(BootTime Now) const {
+  return 1 - failureShare(Now) >= MinimumSuccessShare;
 }
 
-void KvReuse::tried(bool Began, BootTime Now) {
-  const double Before = failures(Now);
-  m_Failures = Before + ((Began ? 0 : 1) - Before) * Smoothing;
-  m_At = Now;
+void KvReuse::recordRetry(bool Started, BootTime Now) {
+  const double Previous = failureShare(Now);
+  m_FailureShare = Previous + ((Started ? 0 : 1) - Previous) * Smoothing;
+  m_UpdatedAt = Now;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/KvReuse.h
+++ b/Libraries/LibDispatch/KvReuse.h
@@ -20,22 +20,22 @@
 class KvReuse {
 public:
   /// Whether runs that were sent again with the same KV cache mostly began.
-  bool worthTrying(BootTime Now) const;
+  bool shouldRetry(BootTime Now) const;
   /// One that was sent again has begun, or was rejected once more.
-  void tried(bool Began, BootTime Now);
+  void recordRetry(bool Started, BootTime Now);
 
 private:
   static constexpr double Smoothing = 0.2;
   /// Below this the second read is cheaper than one more rejection.
-  static constexpr double LeastShare = 0.5;
+  static constexpr double MinimumSuccessShare = 0.5;
   /// Doubt fades with this half-life, so that it is tried again.
   static constexpr std::chrono::milliseconds HalfLife{1500};
 
-  double failures(BootTime Now) const;
+  double failureShare(BootTime Now) const;
 
   /// Share of rejections among the last ones, at m_At.
-  double m_Failures = 0;
-  BootTime m_At{};
+  double m_FailureShare = 0;
+  BootTime m_UpdatedAt{};
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/LoadBook.h
+++ b/Libraries/LibDispatch/LoadTracker.h
@@ -1,4 +1,4 @@
-//===- LoadBook.h - Work at the targets, as this process knows it -*- C++
+//===- LoadTracker.h - Work at the targets, as this process knows it -*- C++
 //-*-===//
 //
 // What a target has to do decides when new work there would be done. Reports
@@ -36,8 +36,8 @@
   Milliseconds Expected{0};
   /// The part of the cost that is reading a prompt: prompts are read one after
   /// the other, so it holds up those that come later, up to the first answer.
-  Milliseconds Reading{0};
-  BootTime Sent{};
+  Milliseconds PrefillCost{0};
+  BootTime SentAt{};
 };
 
 /// A process's outstanding work at one target, as it tells its peers.
@@ -46,12 +46,12 @@
   Milliseconds Cost{0};
   uint32_t Items = 0;
   /// Pieces of it that end in a millisecond, if all of them run.
-  double Turnover = 0;
+  double CompletionRate = 0;
   /// The part of the cost that is reading prompts.
-  Milliseconds Reading{0};
+  Milliseconds PrefillCost{0};
 };
 
-struct LoadBookOptions {
+struct LoadTrackerOptions {
   /// Weight of the newest answer in the running means. A tenth follows a
   /// target that turns slow within about ten answers, and one stray answer
   /// moves it by a tenth only.
@@ -60,81 +60,82 @@
   /// intervals, whichever is longer. With a fixed time peers of a large fleet,
   /// which report more seldom, would be forgotten between two reports.
   std::chrono::milliseconds PeerLifetime{500};
-  int ReportsMissed = 4;
+  int MaximumMissedReports = 4;
   /// A target that looked slow and gets no work is believed to be as fast as
   /// planned again with this half-life, so that it is tried again.
-  std::chrono::milliseconds ForgiveHalfLife{2000};
+  std::chrono::milliseconds DecayHalfLife{2000};
   /// How long a target is left out that turned work away once; doubles with
   /// each time in a row, up to MaximumLeftOut. A full engine has room again
   /// after about one read of a prompt.
-  std::chrono::milliseconds LeftOut{30};
-  std::chrono::milliseconds MaximumLeftOut{1000};
+  std::chrono::milliseconds RejectionBackoff{30};
+  std::chrono::milliseconds MaximumRejectionBackoff{1000};
   /// How long a target rests that failed once; doubles with each failure in a
   /// row, up to MaximumRest, and a success halves it: a target that goes down
   /// and up by turns earns trust back slowly. One that is down fails at once,
   /// so it always looks free; without the rest each gateway tried it several
   /// times a second, and one request in twenty was lost on such a day.
-  std::chrono::milliseconds Rest{200};
-  std::chrono::milliseconds MaximumRest{3200};
+  std::chrono::milliseconds EjectionTime{200};
+  std::chrono::milliseconds MaximumEjectionTime{3200};
   /// Bounds of the ratio between measured and planned time.
   double MinimumSlowness = 0.3;
   double MaximumSlowness = 10;
 };
 
-class LoadBook {
+class LoadTracker {
 public:
-  explicit LoadBook(LoadBookOptions Options = {});
+  explicit LoadTracker(LoadTrackerOptions Options = {});
 
-  void targetCame(const Target &Which, uint64_t KvCapacityTokens);
-  void targetGone(const std::string &Id);
+  void targetAdded(const Target &Which, uint64_t KvCapacityTokens);
+  void targetRemoved(const std::string &Id);
 
   /// \name Own work. Tickets name it until its end.
   /// @{
-  uint64_t started(const std::string &TargetId, const Work &What);
+  uint64_t recordSent(const std::string &TargetId, const Work &What);
   /// The (first part of the) response came: a verdict on the target's speed.
-  void answered(const std::string &TargetId, uint64_t Ticket, BootTime Now);
+  void recordAnswer(const std::string &TargetId, uint64_t Ticket, BootTime Now);
   /// It is no longer at the target, for whatever reason.
-  void ended(const std::string &TargetId, uint64_t Ticket);
+  void recordEnd(const std::string &TargetId, uint64_t Ticket);
   /// Whether the ticket is of work at this start of the target: what comes of
   /// work that an earlier start had says nothing of this one.
-  bool knows(const std::string &TargetId, uint64_t Ticket) const;
+  bool isCurrent(const std::string &TargetId, uint64_t Ticket) const;
   /// The target answered it with an error of its own, and may do so by right.
-  void errored(const std::string &TargetId, BootTime Now);
+  void recordError(const std::string &TargetId, BootTime Now);
   /// The target failed it; it has ended.
-  void failed(const std::string &TargetId, uint64_t Ticket, BootTime Now);
+  void recordFailure(const std::string &TargetId, uint64_t Ticket,
+                     BootTime Now);
   /// @}
 
   /// \name Targets that turn work away. Each arrival there counts against the
   /// fleet's budget of repeats, so the next request does not try it at once.
   /// @{
   /// It was full or busy: left out for a moment, longer each time in a row.
-  void turnedAway(const std::string &TargetId, BootTime Now);
+  void recordRejection(const std::string &TargetId, BootTime Now);
   /// It will not take work before \p Until: it changes its stage, or another
   /// server has its address.
-  void avoid(const std::string &TargetId, BootTime Until);
-  bool avoided(const std::string &TargetId, BootTime Now) const;
+  void excludeUntil(const std::string &TargetId, BootTime Until);
+  bool isExcluded(const std::string &TargetId, BootTime Now) const;
   /// It has failed lately, and is tried again later.
-  bool resting(const std::string &TargetId, BootTime Now) const;
+  bool isEjected(const std::string &TargetId, BootTime Now) const;
   /// @}
 
   /// How often peers report.
-  void reportsCome(std::chrono::microseconds Interval);
+  void setReportInterval(std::chrono::microseconds Interval);
   /// Replaces what \p Peer told before.
-  void peerReported(const std::string &Peer, const std::vector<PeerLoad> &Loads,
-                    BootTime Now);
-  std::vector<PeerLoad> ownLoads() const;
+  void recordPeerReport(const std::string &Peer,
+                        const std::vector<PeerLoad> &Loads, BootTime Now);
+  std::vector<PeerLoad> localLoads() const;
 
   /// Planned time of the work that waits or runs there, of all processes.
   Milliseconds backlog(const std::string &TargetId, BootTime Now) const;
   /// Planned time of the prompts that wait there to be read, or are being read.
-  Milliseconds readingBacklog(const std::string &TargetId, BootTime Now) const;
+  Milliseconds prefillBacklog(const std::string &TargetId, BootTime Now) const;
   /// Pieces of work there, of all processes.
   double items(const std::string &TargetId, BootTime Now) const;
   /// Pieces that end there in a millisecond, if all of them run. A few long
   /// streams hold slots for seconds while the others change hands in
   /// milliseconds, so the wait for a slot does not follow from the backlog.
-  double turnover(const std::string &TargetId, BootTime Now) const;
-  size_t ownItems(const std::string &TargetId) const;
+  double completionRate(const std::string &TargetId, BootTime Now) const;
+  size_t localItems(const std::string &TargetId) const;
   /// Measured time over planned time; 1 is as planned.
   double slowness(const std::string &TargetId, BootTime Now) const;
   /// Share of the recent work that failed there.
@@ -145,12 +146,12 @@
   /// The target has told what it keeps, or will not. Until then a prompt that
   /// it keeps looks like one that it has to compute, and the time that it takes
   /// says nothing of its speed.
-  void cacheTold(const std::string &TargetId);
-  bool cacheIsKnown(const std::string &TargetId) const;
+  void setCacheReported(const std::string &TargetId);
+  bool cacheReported(const std::string &TargetId) const;
   uint32_t cachedTokens(const std::string &TargetId, const Prompt &What) const;
   /// With what is on its way there, in front of a prompt that is sent now.
-  uint32_t cachedTokensInTurn(const std::string &TargetId, const Prompt &What,
-                              BootTime Now) const;
+  uint32_t cachedTokensWithPending(const std::string &TargetId,
+                                   const Prompt &What, BootTime Now) const;
 
 private:
   /// Sums over this process's and its peers' work at one target.
@@ -159,16 +160,16 @@
   struct Entry {
     std::map<uint64_t, Work> Own;
     KvCacheView Cache;
-    bool CacheKnown = false;
+    bool CacheReported = false;
     double Slowness = 1;
     double Failures = 0;
-    BootTime LastVerdict{};
-    BootTime AvoidedUntil{};
+    BootTime LastOutcome{};
+    BootTime ExcludedUntil{};
     /// Times that it turned work away since its last answer.
-    unsigned TurnedAway = 0;
-    BootTime RestsUntil{};
+    unsigned ConsecutiveRejections = 0;
+    BootTime EjectedUntil{};
     /// Failures in a row, halved by each success.
-    unsigned FailuresInRow = 0;
+    unsigned ConsecutiveFailures = 0;
     double Errors = 0;
     BootTime LastError{};
   };
@@ -176,9 +177,9 @@
   /// away again later leaves nothing behind, as rounded numbers would.
   struct Sum {
     int64_t CostMicros = 0;
-    int64_t ReadingMicros = 0;
+    int64_t PrefillMicros = 0;
     int64_t Items = 0;
-    int64_t EndsInMillionMillis = 0;
+    int64_t CompletionsPerMillionMs = 0;
 
     static Sum of(const PeerLoad &Load);
     void add(const Sum &Other, int64_t Sign);
@@ -190,14 +191,15 @@
   };
 
   void addToSums(const PeerView &View, int64_t Sign) const;
-  void forgetSilentPeers(BootTime Now) const;
-  static PeerLoad ownLoad(const std::string &Id, const Entry &Which);
+  void expireSilentPeers(BootTime Now) const;
+  static PeerLoad localLoad(const std::string &Id, const Entry &Which);
   const Entry *find(const std::string &TargetId) const;
-  double forgiven(double Value, double Rest, const Entry &Which,
-                  BootTime Now) const;
-  void verdict(Entry &Which, double Slowness, double Failure, BootTime Now);
+  double decayed(double Value, double Baseline, const Entry &Which,
+                 BootTime Now) const;
+  void recordOutcome(Entry &Which, double Slowness, double Failure,
+                     BootTime Now);
 
-  LoadBookOptions m_Options;
+  LoadTrackerOptions m_Options;
   BootClock::duration m_PeerLifetime;
   std::map<std::string, Entry> m_Entries;
   /// \name Peers' work. A question adds one sum to the own work: walking all
--- a/Libraries/LibDispatch/PeerReport.cpp
+++ b/Libraries/LibDispatch/PeerReport.cpp
@@ -17,34 +17,34 @@
 namespace {
 
 Json encodeFigures(const ServiceFigures &What) {
-  const engine::EngineFigures &Of = What.Figures;
+  const engine::EngineParameters &Of = What.Figures;
   return {What.Service,
-          Of.ReadFixed.count(),
-          Of.ReadThousandTokens.count(),
-          Of.ReadMillionPairs.count(),
+          Of.PrefillFixed.count(),
+          Of.PrefillPerThousandTokens.count(),
+          Of.PrefillPerMillionPairs.count(),
           Of.FetchFixed.count(),
-          Of.ReadWeight,
-          Of.DecodeReadFactor,
-          Of.DecodeReadWeight,
-          Of.StartFixed.count(),
+          Of.PrefillWeight,
+          Of.DecodePrefillFactor,
+          Of.DecodePrefillWeight,
+          Of.DecodeStartFixed.count(),
           Of.TransferFactor,
-          Of.StartWeight};
+          Of.DecodeStartWeight};
 }
 
 ServiceFigures decodeFigures(const Json &From) {
   const auto Number = [&](size_t At) { return From.at(At).get<double>(); };
   ServiceFigures Read;
   Read.Service = From.at(0).get<std::string>();
-  Read.Figures.ReadFixed = Milliseconds(Number(1));
-  Read.Figures.ReadThousandTokens = Milliseconds(Number(2));
-  Read.Figures.ReadMillionPairs = Milliseconds(Number(3));
+  Read.Figures.PrefillFixed = Milliseconds(Number(1));
+  Read.Figures.PrefillPerThousandTokens = Milliseconds(Number(2));
+  Read.Figures.PrefillPerMillionPairs = Milliseconds(Number(3));
   Read.Figures.FetchFixed = Milliseconds(Number(4));
-  Read.Figures.ReadWeight = Number(5);
-  Read.Figures.DecodeReadFactor = Number(6);
-  Read.Figures.DecodeReadWeight = Number(7);
-  Read.Figures.StartFixed = Milliseconds(Number(8));
+  Read.Figures.PrefillWeight = Number(5);
+  Read.Figures.DecodePrefillFactor = Number(6);
+  Read.Figures.DecodePrefillWeight = Number(7);
+  Read.Figures.DecodeStartFixed = Milliseconds(Number(8));
   Read.Figures.TransferFactor = Number(9);
-  Read.Figures.StartWeight = Number(10);
+  Read.Figures.DecodeStartWeight = Number(10);
   return Read;
 }
 
@@ -74,15 +74,15 @@
     // Hundredths of a millisecond are short in CBOR, and finer than needed.
     Loads.push_back({Each.TargetId,
                      static_cast<uint64_t>(Each.Cost.count() * 100), Each.Items,
-                     Each.Turnover,
-                     static_cast<uint64_t>(Each.Reading.count() * 100)});
+                     Each.CompletionRate,
+                     static_cast<uint64_t>(Each.PrefillCost.count() * 100)});
   Json Cached = Json::array();
   for (const CachedPart &Each : What.Cached)
     Cached.push_back(
         {Each.TargetId, Each.Part.Id, Each.Part.Tokens, Each.Within.count()});
   Json Demands = Json::array();
   for (const ServiceDemand &Each : What.Demands)
-    Demands.push_back({Each.Service, Each.Demand.Read, Each.Demand.Run});
+    Demands.push_back({Each.Service, Each.Demand.Prefill, Each.Demand.Decode});
   Json Away = Json::array();
   for (const AwayTarget &Each : What.Away)
     Away.push_back({Each.TargetId, Each.Left.count()});
--- a/Libraries/LibDispatch/PeerReport.h
+++ b/Libraries/LibDispatch/PeerReport.h
@@ -10,7 +10,7 @@
 
 #include "LibCore/Result.h"
 #include "LibDispatch/EngineDemand.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 #include "LibDispatch/Prompt.h"
 #include "LibDispatch/ServerLimits.h"
 
@@ -43,7 +43,7 @@
 /// What a process measured of the engines of one service.
 struct ServiceFigures {
   std::string Service;
-  engine::EngineFigures Figures;
+  engine::EngineParameters Figures;
 };
 
 struct PeerReport {
--- a/Libraries/LibDispatch/Prompt.h
+++ b/Libraries/LibDispatch/Prompt.h
@@ -31,9 +31,11 @@
     return Parts.size() < 2 ? 0 : Parts[Parts.size() - 2].Id;
   }
   /// Tokens that other requests share, beyond the first \p Kept ones.
-  uint32_t sharedBeyond(uint32_t Kept) const {
-    const uint32_t Own = Parts.empty() ? Tokens : Parts.back().Tokens;
-    return Tokens > Own + Kept ? Tokens - Own - Kept : 0;
+  uint32_t sharedTokensBeyond(uint32_t CachedTokens) const {
+    const uint32_t UniqueTokens = Parts.empty() ? Tokens : Parts.back().Tokens;
+    return Tokens > UniqueTokens + CachedTokens
+               ? Tokens - UniqueTokens - CachedTokens
+               : 0;
   }
 };
 
--- a/Libraries/LibDispatch/PromptPlanner.h
+++ b/Libraries/LibDispatch/PromptPlanner.h
@@ -15,7 +15,7 @@
 #pragma once
 
 #include "LibDispatch/EngineCosts.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 
 #include <span>
 #include <string>
@@ -25,11 +25,11 @@
 namespace figlift::dispatch {
 
 struct PromptRequest {
-  Prompt What;
+  Prompt Input;
   /// Time from the first token to the last, as expected.
-  Milliseconds Generation{0};
+  Milliseconds GenerationTime{0};
   /// From now to the moment at which the first event is no longer on time.
-  Milliseconds OnTimeLeft{0};
+  Milliseconds TimeToLatencyTarget{0};
   /// From now to the request's end.
   Milliseconds TimeLeft{0};
   /// The route's latency target.
@@ -38,7 +38,7 @@
   /// allowed, to be on time.
   Milliseconds EventGap{200};
   /// How much later than planned answers of the service began lately.
-  Milliseconds Lag{0};
+  Milliseconds ExpectedStartLag{0};
   /// Targets that failed this request or must not get it.
   std::vector<std::string> Excluded;
   /// Uniform in [0, 1).
@@ -46,19 +46,19 @@
 };
 
 /// A read as it was planned; its time is measured against this.
-struct ReadPlan {
-  engine::ReadSize Size;
+struct PrefillPlan {
+  engine::PrefillSize Size;
   /// Until the engine turns to it.
   Milliseconds Wait{0};
   /// Engine time of computing it.
   Milliseconds Compute{0};
   /// Transfer of what is fetched first, by its size and the link.
-  Milliseconds OnLink{0};
+  Milliseconds NominalTransfer{0};
 };
 
 /// Read at Reader; where it runs is chosen when the prompt has been read.
-struct ReadThenRun {
-  std::string Reader;
+struct PrefillThenDecode {
+  std::string PrefillTarget;
   /// Engine to fetch shared parts from before reading; empty for none.
   std::string FetchFrom;
   /// Engine time of the read, and time until it ends.
@@ -66,10 +66,10 @@
   Milliseconds Expected{0};
   /// Until the first event reaches the caller.
   Milliseconds FirstEvent{0};
-  ReadPlan How;
+  PrefillPlan Prefill;
 };
-struct RunAt {
-  std::string Runner;
+struct DecodePlan {
+  std::string DecodeTarget;
   /// As above, where the prompt is read at the runner.
   std::string FetchFrom;
   Milliseconds Cost{0};
@@ -77,22 +77,22 @@
   Milliseconds Expected{0};
   /// How the runner reads the prompt; of one that was read elsewhere only the
   /// waiting, and the transfer of its KV cache.
-  ReadPlan How;
+  PrefillPlan Prefill;
 };
-struct RefuseNow {
+struct Rejection {
   std::string_view Reason;
   Milliseconds FirstEvent{0};
   std::chrono::milliseconds RetryAfter{0};
 };
-using PromptPlan = std::variant<ReadThenRun, RunAt, RefuseNow>;
+using PromptPlan = std::variant<PrefillThenDecode, DecodePlan, Rejection>;
 
 struct PromptPlannerOptions {
   /// Share of the time to the latency target that a plan may use up; the rest
   /// covers what the estimate does not see (peers' newest work).
-  double TargetShare = 0.9;
+  double LatencyTargetShare = 0.9;
   /// A prompt that is late by its size alone may still wait this share of the
   /// target: refusing all of them would starve the largest prompts.
-  double LateWaitShare = 0.35;
+  double LargePromptWaitShare = 0.35;
   /// Share of the time to the deadline that a plan may use up.
   double DeadlineShare = 0.7;
   /// Weight of engine time that a choice costs beyond the cheapest one,
@@ -113,10 +113,10 @@
   /// was earned, with such prompts kept away from decode engines 0.80 (two runs
   /// each). With 0.022 in place of 0.04 prompts crowd the prefill engines, and
   /// 0.03 less was earned in two loads; 0.07 was no better (three runs each).
-  double ReadGapShare = 0.04;
+  double PrefillGapShare = 0.04;
   /// Share of failed work from which a target is left out; it is forgiven with
   /// the half-life of the load book.
-  double FailureShareToAvoid = 0.25;
+  double MaximumFailureShare = 0.25;
   /// Bounds of what a refused caller is told to wait. Bursts last seconds; a
   /// caller who returns within one is refused again. With 150 ms to 1.5 s in
   /// place of these, 44 in 1,000 requests of a heavy load were refused in the
@@ -127,7 +127,7 @@
 
 class PromptPlanner {
 public:
-  PromptPlanner(PromptPlannerOptions Options, LoadBook &Loads);
+  PromptPlanner(PromptPlannerOptions Options, LoadTracker &Loads);
 
   /// \p Engines are the targets of the service that take new work.
   PromptPlan plan(const PromptRequest &Request,
@@ -135,82 +135,85 @@
                   const EngineCosts &Costs, BootTime Now) const;
 
   /// Where a prompt runs that \p Reader has read; null if nowhere.
-  std::optional<RunAt> chooseRunner(const PromptRequest &Request,
-                                    const Target *Reader,
-                                    std::span<const Target *const> Engines,
-                                    const EngineCosts &Costs,
-                                    BootTime Now) const;
+  std::optional<DecodePlan>
+  chooseDecodeTarget(const PromptRequest &Request, const Target *PrefillTarget,
+                     std::span<const Target *const> Engines,
+                     const EngineCosts &Costs, BootTime Now) const;
 
 private:
   /// A prompt as one engine would read it.
   struct Candidate {
-    const Target *Which = nullptr;
+    const Target *Engine = nullptr;
     /// Who sends parts that the engine itself does not keep; null for none.
-    const Target *From = nullptr;
-    ReadPlan How;
+    const Target *FetchSource = nullptr;
+    PrefillPlan Prefill;
     /// Computing and fetching.
     Milliseconds Cost{0};
     Milliseconds score(double EngineTimeWeight) const {
-      return How.Wait + Cost * (1 + EngineTimeWeight);
+      return Prefill.Wait + Cost * (1 + EngineTimeWeight);
+    }
+    std::string fetchSourceId() const {
+      return FetchSource ? FetchSource->Id : std::string();
     }
-    std::string sourceId() const { return From ? From->Id : std::string(); }
   };
 
   /// Where the engine gets the parts of the prompt that it does not compute.
-  struct Kept {
+  struct PrefixSource {
     uint32_t Tokens = 0;
-    const Target *From = nullptr;
+    const Target *FetchSource = nullptr;
     /// Tokens that it sends.
-    uint32_t Fetched = 0;
+    uint32_t FetchedTokens = 0;
   };
 
   /// An engine that keeps leading parts of the prompt, and their tokens.
-  struct Source {
-    const Target *Which = nullptr;
+  struct CachedPrefix {
+    const Target *Engine = nullptr;
     uint32_t Tokens = 0;
   };
-  std::vector<Source> sources(const PromptRequest &Request,
-                              std::span<const Target *const> Engines) const;
-
-  Kept cheapestParts(const PromptRequest &Request, const Target &At,
-                     std::span<const Source> Sources, const EngineCosts &Costs,
-                     BootTime Now) const;
-  Candidate readAt(const PromptRequest &Request, const Target &At,
-                   std::span<const Source> Sources, const EngineCosts &Costs,
-                   Milliseconds Wait, double Slowness, BootTime Now) const;
+  std::vector<CachedPrefix>
+  cachedPrefixes(const PromptRequest &Request,
+                 std::span<const Target *const> Engines) const;
+
+  PrefixSource cheapestPrefix(const PromptRequest &Request, const Target &At,
+                              std::span<const CachedPrefix> Prefixes,
+                              const EngineCosts &Costs, BootTime Now) const;
+  Candidate prefillCandidate(const PromptRequest &Request, const Target &At,
+                             std::span<const CachedPrefix> Prefixes,
+                             const EngineCosts &Costs, Milliseconds Wait,
+                             double Slowness, BootTime Now) const;
   /// Whether targets that failed lately are looked at. They are when there is
   /// no other: when all engines fail a part of their work, a request does
   /// better at any of them than refused.
-  enum class Trust { Proven, Any };
-  bool usable(const Target &Which, const PromptRequest &Request, Trust How,
-              BootTime Now) const;
-  std::optional<Candidate> bestReader(const PromptRequest &Request,
-                                      std::span<const Target *const> Engines,
-                                      std::span<const Source> Sources,
-                                      const EngineCosts &Costs,
-                                      BootTime Now) const;
+  enum class HealthFilter { Healthy, Any };
+  bool usable(const Target &Engine, const PromptRequest &Request,
+              HealthFilter Filter, BootTime Now) const;
   std::optional<Candidate>
-  bestLoneRunner(const PromptRequest &Request,
-                 std::span<const Target *const> Engines,
-                 std::span<const Source> Sources, const EngineCosts &Costs,
-                 Trust How, BootTime Now) const;
+  bestPrefillTarget(const PromptRequest &Request,
+                    std::span<const Target *const> Engines,
+                    std::span<const CachedPrefix> Prefixes,
+                    const EngineCosts &Costs, BootTime Now) const;
+  std::optional<Candidate> bestSingleTarget(
+      const PromptRequest &Request, std::span<const Target *const> Engines,
+      std::span<const CachedPrefix> Prefixes, const EngineCosts &Costs,
+      HealthFilter Filter, BootTime Now) const;
   /// \p Coming: pieces of work that will be there before this one.
-  Milliseconds slotWait(const Target &Which, const EngineTraits &Traits,
-                        double Coming, BootTime Now) const;
+  Milliseconds slotWait(const Target &Engine, const EngineTraits &Traits,
+                        double ExpectedArrivals, BootTime Now) const;
   /// Prompts that are being read, for each engine that may run them.
-  double comingRuns(std::span<const Target *const> Engines, BootTime Now) const;
-  std::optional<RunAt> runnerAfter(const PromptRequest &Request,
-                                   const Target *Reader,
-                                   std::span<const Target *const> Engines,
-                                   const EngineCosts &Costs, double Coming,
-                                   Trust How, BootTime Now) const;
+  double expectedDecodes(std::span<const Target *const> Engines,
+                         BootTime Now) const;
+  std::optional<DecodePlan>
+  bestDecodeTarget(const PromptRequest &Request, const Target *PrefillTarget,
+                   std::span<const Target *const> Engines,
+                   const EngineCosts &Costs, double ExpectedArrivals,
+                   HealthFilter Filter, BootTime Now) const;
   bool admits(const PromptRequest &Request, Milliseconds Wait,
               Milliseconds FirstEvent) const;
-  RefuseNow refuse(const PromptRequest &Request, std::string_view Reason,
+  Rejection reject(const PromptRequest &Request, std::string_view Reason,
                    Milliseconds FirstEvent) const;
 
   PromptPlannerOptions m_Options;
-  LoadBook &m_Loads;
+  LoadTracker &m_Loads;
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/RepeatRules.h
+++ b/Libraries/LibDispatch/RepeatRules.h
@@ -10,7 +10,7 @@
 
 #pragma once
 
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 
 #include <chrono>
 #include <string_view>
--- a/Libraries/LibDispatch/ServicePlanner.cpp
+++ b/Libraries/LibDispatch/ServicePlanner.cpp
@@ -10,52 +10,54 @@
 
 namespace figlift::dispatch {
 
-ServicePlanner::ServicePlanner(ServicePlannerOptions Options, LoadBook &Loads)
+ServicePlanner::ServicePlanner(ServicePlannerOptions Options,
+                               LoadTracker &Loads)
     : m_Options(Options), m_Loads(Loads) {}
 
-Milliseconds ServicePlanner::expected(const Target &Which, BootTime Now) const {
-  const double Slots = std::max(1U, Which.Slots);
-  const double Items = m_Loads.items(Which.Id, Now);
+Milliseconds ServicePlanner::expected(const Target &Server,
+                                      BootTime Now) const {
+  const double Slots = std::max(1U, Server.Slots);
+  const double Items = m_Loads.items(Server.Id, Now);
   // Work beyond the slots waits for a free one.
   const double Rounds = 1 + std::max(0.0, Items + 1 - Slots) / Slots;
-  return m_Options.AssumedWork * m_Loads.slowness(Which.Id, Now) * Rounds;
+  return m_Options.AssumedWork * m_Loads.slowness(Server.Id, Now) * Rounds;
 }
 
-double ServicePlanner::score(const Target &Which, double LeastErrors,
+double ServicePlanner::score(const Target &Server, double LeastErrors,
                              BootTime Now) const {
   // Occupied slots break ties between servers of one speed.
-  const double Crowding =
-      1 + 0.2 * m_Loads.items(Which.Id, Now) / std::max(1U, Which.Slots);
-  const double Errors = std::max(0.0, m_Loads.errorShare(Which.Id, Now) -
+  const double Occupancy =
+      1 + 0.2 * m_Loads.items(Server.Id, Now) / std::max(1U, Server.Slots);
+  const double Errors = std::max(0.0, m_Loads.errorShare(Server.Id, Now) -
                                           LeastErrors - m_Options.ErrorMargin);
-  return expected(Which, Now).count() * Crowding *
+  return expected(Server, Now).count() * Occupancy *
          (1 + m_Options.FailurePenalty *
-                  (m_Loads.failureShare(Which.Id, Now) + Errors));
+                  (m_Loads.failureShare(Server.Id, Now) + Errors));
 }
 
 const Target *ServicePlanner::choose(const ServiceRequest &Request,
                                      std::span<const Target *const> Servers,
-                                     bool Resting, BootTime Now) const {
+                                     bool IncludeEjected, BootTime Now) const {
   double LeastErrors = 1;
-  for (const Target *Each : Servers)
-    LeastErrors = std::min(LeastErrors, m_Loads.errorShare(Each->Id, Now));
+  for (const Target *Server : Servers)
+    LeastErrors = std::min(LeastErrors, m_Loads.errorShare(Server->Id, Now));
   const Target *Best = nullptr;
   double BestScore = 0;
-  for (size_t At = 0; At < Servers.size(); ++At) {
+  for (size_t Offset = 0; Offset < Servers.size(); ++Offset) {
     // Beginning anywhere draws among equals.
     const size_t Index =
-        (At + static_cast<size_t>(Request.Draw *
-                                  static_cast<double>(Servers.size()))) %
+        (Offset + static_cast<size_t>(Request.Draw *
+                                      static_cast<double>(Servers.size()))) %
         Servers.size();
-    const Target &Each = *Servers[Index];
-    if (std::find(Request.Excluded.begin(), Request.Excluded.end(), Each.Id) !=
-            Request.Excluded.end() ||
-        m_Loads.avoided(Each.Id, Now) ||
-        (!Resting && m_Loads.resting(Each.Id, Now)))
+    const Target &Server = *Servers[Index];
+    if (std::find(Request.Excluded.begin(), Request.Excluded.end(),
+                  Server.Id) != Request.Excluded.end() ||
+        m_Loads.isExcluded(Server.Id, Now) ||
+        (!IncludeEjected && m_Loads.isEjected(Server.Id, Now)))
       continue;
-    const double Score = score(Each, LeastErrors, Now);
+    const double Score = score(Server, LeastErrors, Now);
     if (!Best || Score < BestScore) {
-      Best = &Each;
+      Best = &Server;
       BestScore = Score;
     }
   }
@@ -70,12 +72,13 @@
   if (!Best)
     Best = choose(Request, Servers, true, Now);
   if (!Best)
-    return RefuseService{"no server takes new requests", m_Options.RetryAfter};
+    return ServiceRejection{"no server takes new requests",
+                            m_Options.RetryAfter};
   const Milliseconds Expected = expected(*Best, Now);
   if (Expected > Request.TimeLeft * m_Options.DeadlineShare)
-    return RefuseService{"no server would answer in time",
-                         m_Options.RetryAfter};
-  return SendTo{Best->Id, m_Options.AssumedWork, Expected};
+    return ServiceRejection{"no server would answer in time",
+                            m_Options.RetryAfter};
+  return ServiceAssignment{Best->Id, m_Options.AssumedWork, Expected};
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/ServicePlanner.h
+++ b/Libraries/LibDispatch/ServicePlanner.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 
 #include <chrono>
 #include <span>
@@ -25,20 +25,20 @@
   double Draw = 0;
 };
 
-struct SendTo {
+struct ServiceAssignment {
   std::string TargetId;
   Milliseconds Cost{0};
   Milliseconds Expected{0};
 };
-struct RefuseService {
+struct ServiceRejection {
   std::string_view Reason;
   std::chrono::milliseconds RetryAfter{0};
 };
-using ServicePlan = std::variant<SendTo, RefuseService>;
+using ServicePlan = std::variant<ServiceAssignment, ServiceRejection>;
 
 struct ServicePlannerOptions {
   /// Work time to plan with before any answer was seen. Deviations are in
-  /// LoadBook::slowness().
+  /// LoadTracker::slowness().
   Milliseconds AssumedWork{20};
   /// Share of the time to the deadline that a plan may use up.
   double DeadlineShare = 0.8;
@@ -55,20 +55,20 @@
 
 class ServicePlanner {
 public:
-  ServicePlanner(ServicePlannerOptions Options, LoadBook &Loads);
+  ServicePlanner(ServicePlannerOptions Options, LoadTracker &Loads);
 
   ServicePlan plan(const ServiceRequest &Request,
                    std::span<const Target *const> Servers, BootTime Now) const;
 
 private:
   const Target *choose(const ServiceRequest &Request,
-                       std::span<const Target *const> Servers, bool Resting,
-                       BootTime Now) const;
-  double score(const Target &Which, double LeastErrors, BootTime Now) const;
-  Milliseconds expected(const Target &Which, BootTime Now) const;
+                       std::span<const Target *const> Servers,
+                       bool IncludeEjected, BootTime Now) const;
+  double score(const Target &Server, double LeastErrors, BootTime Now) const;
+  Milliseconds expected(const Target &Server, BootTime Now) const;
 
   ServicePlannerOptions m_Options;
-  LoadBook &m_Loads;
+  LoadTracker &m_Loads;
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StagePlanner.h
+++ b/Libraries/LibDispatch/StagePlanner.h
@@ -14,7 +14,7 @@
 #pragma once
 
 #include "LibDispatch/EngineDemand.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 #include "LibDispatch/Target.h"
 
 #include <chrono>
@@ -27,7 +27,7 @@
 
 struct StageChange {
   std::string TargetId;
-  Stage Wanted = Stage::Decode;
+  Stage DesiredStage = Stage::Decode;
   /// The start of the target that it was planned for.
   std::optional<StartTime> Start = std::nullopt;
   bool operator==(const StageChange &) const = default;
@@ -40,15 +40,15 @@
   /// come earlier: the split that the engines started with was no choice, and a
   /// calm hour is the cheapest time to leave it.
   double MinimumUtilization = 0.55;
-  double MinimumUtilizationAtFirst = 0.25;
+  double MinimumUtilizationForFirstChange = 0.25;
   /// A further engine is taken away only while the rest stay below this.
-  double RoomForMore = 0.6;
+  double MaximumUtilizationAfterRemoval = 0.6;
   /// The engines must have been the same for this long: at a start they
   /// register one after the other over some seconds.
-  std::chrono::milliseconds StableView{1500};
+  std::chrono::milliseconds StableViewTime{1500};
   /// An order without an answer may be carried out this much later, by the
   /// platform's description of such orders, twelve seconds at most.
-  std::chrono::milliseconds DoubtTime{12500};
+  std::chrono::milliseconds UnansweredOrderTime{12500};
   /// After a refusal: the engine may be busy with another order.
   std::chrono::milliseconds RefusalPause{4000};
   /// Decode engines that are kept in any case, so that the loss of one does
@@ -60,54 +60,56 @@
 public:
   /// \p FleetStarts: the engines' split is the one that they began with, and
   /// nobody's choice yet.
-  explicit StagePlanner(bool FleetStarts, StagePlannerOptions Options = {});
+  explicit StagePlanner(bool IsInitialSplit, StagePlannerOptions Options = {});
 
   /// \p Engines: those of the service, draining ones left out. \p Doubt, 1 and
   /// more: the demand on either kind of work may be this many times what was
   /// seen, or this part of it.
   std::optional<StageChange> plan(std::span<const Target *const> Engines,
-                                  const EngineDemand &Demand, double Doubt,
-                                  const LoadBook &Loads, BootTime Now);
+                                  const EngineDemand &Demand,
+                                  double Uncertainty, const LoadTracker &Loads,
+                                  BootTime Now);
 
   /// An order was sent; no other goes out until it shows in the list, was
   /// refused, or can no longer take effect.
-  void ordered(const StageChange &What, BootTime Now);
+  void recordOrder(const StageChange &Change, BootTime Now);
   /// The engine is in that stage already.
-  void settled(const std::string &TargetId);
+  void clearOrder(const std::string &TargetId);
   /// The engine did not take it; it is not asked again at once.
-  void refused(const std::string &TargetId, BootTime Now);
+  void recordRefusal(const std::string &TargetId, BootTime Now);
   /// The engine accepted it; it is away until \p BackAt.
-  void accepted(const std::string &TargetId, BootTime BackAt);
-  bool away(const std::string &TargetId, BootTime Now) const;
+  void recordAcceptance(const std::string &TargetId, BootTime AvailableAt);
+  bool isUnavailable(const std::string &TargetId, BootTime Now) const;
 
 private:
   struct Pending {
-    Stage Wanted = Stage::Decode;
+    Stage DesiredStage = Stage::Decode;
     /// The start that got the order; a later one knows nothing of it.
     std::optional<StartTime> Start;
     /// Nothing is known of it after this.
     BootTime Until{};
   };
 
-  size_t betterSplit(size_t All, size_t Readers,
-                     const EngineDemand &Demand) const;
-  Stage stageOf(const Target &Which) const;
-  bool mayTakeAway(std::span<const Target *const> Engines,
-                   const EngineDemand &Demand, const Target &Which,
-                   BootTime Now) const;
-  void forgetSettled(std::span<const Target *const> Engines, BootTime Now);
+  size_t bestPrefillCount(size_t All, size_t PrefillEngines,
+                          const EngineDemand &Demand) const;
+  Stage stageOf(const Target &Engine) const;
+  bool mayRemove(std::span<const Target *const> Engines,
+                 const EngineDemand &Demand, const Target &Engine,
+                 BootTime Now) const;
+  void eraseCompletedOrders(std::span<const Target *const> Engines,
+                            BootTime Now);
   bool viewIsStable(std::span<const Target *const> Engines, BootTime Now);
-  void noteChanges(std::span<const Target *const> Engines);
+  void recordStageChanges(std::span<const Target *const> Engines);
 
   StagePlannerOptions m_Options;
   std::map<std::string, Pending> m_Pending;
   /// An order has been given, or one was seen carried out: another process may
   /// have given it.
-  bool m_Changed;
+  bool m_SplitChosen;
   /// Stages as listed last, by engine.
   std::map<std::string, Stage> m_Listed;
-  std::vector<std::string> m_View;
-  BootTime m_ViewSince{};
+  std::vector<std::string> m_EngineIds;
+  BootTime m_EngineIdsSince{};
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StartLag.cpp
+++ b/Libraries/LibDispatch/StartLag.cpp
@@ -13,7 +13,7 @@
 namespace figlift::dispatch {
 
 StartLag::Milliseconds StartLag::current(BootTime Now) const {
-  const double HalfLives = Milliseconds(Now - m_At) / HalfLife;
+  const double HalfLives = Milliseconds(Now - m_UpdatedAt) / HalfLife;
   return m_Lag * std::exp2(-std::max(0.0, HalfLives));
 }
 
@@ -22,12 +22,12 @@
   step(Measured - Planned > current(Now), Target, Now);
 }
 
-void StartLag::step(bool Above, Milliseconds Target, BootTime Now) {
+void StartLag::step(bool IsAboveLag, Milliseconds Target, BootTime Now) {
   const Milliseconds Step =
-      Target * StepShare * (Above ? Quantile : Quantile - 1);
+      Target * StepShare * (IsAboveLag ? Quantile : Quantile - 1);
   m_Lag =
       std::clamp(current(Now) + Step, Milliseconds(0), Target * MaximumShare);
-  m_At = Now;
+  m_UpdatedAt = Now;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StartLag.h
+++ b/Libraries/LibDispatch/StartLag.h
@@ -30,7 +30,7 @@
   void observe(Milliseconds Planned, Milliseconds Measured, Milliseconds Target,
                BootTime Now);
   /// An engine was full: it would have begun later than the lag allows for.
-  void turnedAway(Milliseconds Target, BootTime Now) {
+  void recordRejection(Milliseconds Target, BootTime Now) {
     step(true, Target, Now);
   }
   Milliseconds current(BootTime Now) const;
@@ -47,11 +47,11 @@
   /// What is not measured is forgotten.
   static constexpr std::chrono::milliseconds HalfLife{2000};
 
-  void step(bool Above, Milliseconds Target, BootTime Now);
+  void step(bool IsAboveLag, Milliseconds Target, BootTime Now);
 
   /// At m_At; between 0 and MaximumShare of the last target.
   Milliseconds m_Lag{0};
-  BootTime m_At{};
+  BootTime m_UpdatedAt{};
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StoreNews.cpp
+++ b/Libraries/LibDispatch/StoreNews.cpp
@@ -28,7 +28,7 @@
           Entry->Zone,
           Entry->Slots,
           Entry->Draining,
-          static_cast<int>(Entry->Does)};
+          static_cast<int>(Entry->EngineStage)};
 }
 
 Result<Stage> decodeStage(int Number) {
@@ -57,7 +57,7 @@
   auto Does = decodeStage(Entry.at(8).get<int>());
   if (!Does)
     return outcome::failure(Does.error());
-  Which.Does = Does.value();
+  Which.EngineStage = Does.value();
   Read.Entry = std::move(Which);
   return Read;
 }
--- a/Libraries/LibDispatch/StreamTimes.h
+++ b/Libraries/LibDispatch/StreamTimes.h
@@ -22,15 +22,15 @@
 
 class StreamTimes {
 public:
-  void began(BootTime Now);
+  void recordStart(BootTime Now);
   /// One that began has ended, for whatever reason.
-  void ended(BootTime Now);
+  void recordEnd(BootTime Now);
   /// 0 before the first one began.
   engine::Milliseconds mean(BootTime Now) const;
 
 private:
   /// Several times as long as the longest streams last.
-  static constexpr std::chrono::seconds Memory{20};
+  static constexpr std::chrono::seconds TimeConstant{20};
 
   struct Sums {
     engine::Milliseconds Running{0};
@@ -42,7 +42,7 @@
   unsigned m_Running = 0;
   /// As of m_At; both fade with the memory.
   Sums m_Sums;
-  BootTime m_At{};
+  BootTime m_UpdatedAt{};
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/Target.h
+++ b/Libraries/LibDispatch/Target.h
@@ -53,13 +53,13 @@
   unsigned Slots = 1;
   /// It leaves soon and takes no new work.
   bool Draining = false;
-  Stage Does = Stage::None;
+  Stage EngineStage = Stage::None;
 
   ServerStart start() const { return {Id, Started}; }
   bool operator==(const Target &) const = default;
   /// Whether \p Other says the same of the same start, though at another
   /// heartbeat.
-  bool saysTheSame(Target Other) const {
+  bool equalsIgnoringHeartbeat(Target Other) const {
     Other.Heartbeat = Heartbeat;
     return Other == *this;
   }
--- a/Libraries/LibDispatch/TargetTable.cpp
+++ b/Libraries/LibDispatch/TargetTable.cpp
@@ -12,61 +12,61 @@
 
 TargetTable::TargetTable(TargetTableOptions Options) : m_Options(Options) {}
 
-void TargetTable::storeLost(BootTime Now) {
-  m_StoreLost = true;
+void TargetTable::recordStoreFailure(BootTime Now) {
+  m_StoreUnavailable = true;
   m_LastFailure = Now;
 }
 
-void TargetTable::storeAnswered(BootTime Now) {
-  if (!m_StoreLost)
+void TargetTable::recordStoreAnswer(BootTime Now) {
+  if (!m_StoreUnavailable)
     return;
-  m_StoreLost = false;
+  m_StoreUnavailable = false;
   m_GraceUntil = std::min(Now + m_Options.ReregistrationTime,
                           m_LastFailure + m_Options.TimeAfterLastFailure);
 }
 
-bool TargetTable::isLateWrite(const Target &Known, const Target &Entry) {
-  if (!Entry.isOlderThan(Known)) {
-    m_Doubted.erase(Entry.Id);
+bool TargetTable::isDelayedWrite(const Target &Current, const Target &Entry) {
+  if (!Entry.isOlderThan(Current)) {
+    m_SuspectEntries.erase(Entry.Id);
     return false;
   }
-  const auto [Before, IsFirst] = m_Doubted.try_emplace(Entry.Id, Entry);
+  const auto [Suspect, IsFirst] = m_SuspectEntries.try_emplace(Entry.Id, Entry);
   if (IsFirst)
     return true;
-  const bool Goes = Before->second.Started == Entry.Started &&
-                    Before->second.isOlderThan(Entry);
-  Before->second = Entry;
-  if (!Goes)
+  const bool IsAdvancing = Suspect->second.Started == Entry.Started &&
+                           Suspect->second.isOlderThan(Entry);
+  Suspect->second = Entry;
+  if (!IsAdvancing)
     return true;
-  m_Doubted.erase(Entry.Id);
+  m_SuspectEntries.erase(Entry.Id);
   return false;
 }
 
 void TargetTable::apply(const Target &Entry, std::vector<TargetEvent> &Out) {
   m_Missing.erase(Entry.Id);
-  if (isStaleEntryOfGone(Entry))
+  if (isStaleRemovedEntry(Entry))
     return;
   const auto [Found, IsNew] = m_Targets.try_emplace(Entry.Id, Entry);
   if (IsNew) {
-    Out.emplace_back(TargetCame{Entry});
+    Out.emplace_back(TargetAdded{Entry});
     return;
   }
-  if (isLateWrite(Found->second, Entry))
+  if (isDelayedWrite(Found->second, Entry))
     return;
   if (Found->second.Started != Entry.Started) {
     Found->second = Entry;
-    Out.emplace_back(TargetGone{Entry.Id});
-    Out.emplace_back(TargetCame{Entry});
+    Out.emplace_back(TargetRemoved{Entry.Id});
+    Out.emplace_back(TargetAdded{Entry});
     return;
   }
-  if (Found->second.saysTheSame(Entry)) {
+  if (Found->second.equalsIgnoringHeartbeat(Entry)) {
     Found->second.Heartbeat = Entry.Heartbeat;
     return;
   }
   const bool DrainsNow = Entry.Draining && !Found->second.Draining;
   Found->second = Entry;
   if (DrainsNow)
-    Out.emplace_back(TargetDrains{Entry.Id});
+    Out.emplace_back(TargetDraining{Entry.Id});
   else
     Out.emplace_back(TargetChanged{Entry});
 }
@@ -74,40 +74,41 @@
 void TargetTable::drop(const std::string &Id, BootTime Now,
                        std::vector<TargetEvent> &Out) {
   m_Missing.erase(Id);
-  m_Doubted.erase(Id);
+  m_SuspectEntries.erase(Id);
   const auto Found = m_Targets.find(Id);
   if (Found == m_Targets.end())
     return;
-  m_Gone.insert_or_assign(Id, std::pair(Found->second, Now));
+  m_Removed.insert_or_assign(Id, std::pair(Found->second, Now));
   m_Targets.erase(Found);
-  Out.emplace_back(TargetGone{Id});
+  Out.emplace_back(TargetRemoved{Id});
 }
 
 /// Whether \p Entry says nothing later of a server than was known when it went.
-bool TargetTable::isStaleEntryOfGone(const Target &Entry) {
-  const auto Found = m_Gone.find(Entry.Id);
-  if (Found == m_Gone.end())
+bool TargetTable::isStaleRemovedEntry(const Target &Entry) {
+  const auto Found = m_Removed.find(Entry.Id);
+  if (Found == m_Removed.end())
     return false;
-  const Target &Last = Found->second.first;
-  if (!Last.isOlderThan(Entry) &&
-      (Entry.Heartbeat == Last.Heartbeat || isLateWrite(Last, Entry)))
+  const Target &LastEntry = Found->second.first;
+  if (!LastEntry.isOlderThan(Entry) &&
+      (Entry.Heartbeat == LastEntry.Heartbeat ||
+       isDelayedWrite(LastEntry, Entry)))
     return true;
-  m_Gone.erase(Found);
+  m_Removed.erase(Found);
   return false;
 }
 
 std::vector<TargetEvent>
 TargetTable::replaceAll(const std::vector<Target> &Listed, BootTime Now) {
-  storeAnswered(Now);
+  recordStoreAnswer(Now);
   std::vector<TargetEvent> Out;
-  std::set<std::string> Absent;
+  std::set<std::string> Unlisted;
   for (const auto &[Id, Entry] : m_Targets)
-    Absent.insert(Id);
+    Unlisted.insert(Id);
   for (const Target &Entry : Listed) {
-    Absent.erase(Entry.Id);
+    Unlisted.erase(Entry.Id);
     apply(Entry, Out);
   }
-  for (const std::string &Id : Absent) {
+  for (const std::string &Id : Unlisted) {
     if (m_GraceUntil && Now < *m_GraceUntil)
       m_Missing.insert(Id);
     else
@@ -118,7 +119,7 @@
 
 std::vector<TargetEvent> TargetTable::update(const Target &Entry,
                                              BootTime Now) {
-  storeAnswered(Now);
+  recordStoreAnswer(Now);
   std::vector<TargetEvent> Out;
   apply(Entry, Out);
   return Out;
@@ -126,7 +127,7 @@
 
 std::vector<TargetEvent> TargetTable::remove(const std::string &Id,
                                              BootTime Now) {
-  storeAnswered(Now);
+  recordStoreAnswer(Now);
   std::vector<TargetEvent> Out;
   if (m_GraceUntil && Now < *m_GraceUntil && m_Targets.contains(Id))
     m_Missing.insert(Id);
@@ -137,10 +138,10 @@
 
 std::vector<TargetEvent> TargetTable::tick(BootTime Now) {
   std::vector<TargetEvent> Out;
-  std::erase_if(m_Gone, [&](const auto &Each) {
-    return Now - Each.second.second > m_Options.RememberGone;
+  std::erase_if(m_Removed, [&](const auto &Each) {
+    return Now - Each.second.second > m_Options.RemovedEntryRetention;
   });
-  if (!m_GraceUntil || Now < *m_GraceUntil || m_StoreLost)
+  if (!m_GraceUntil || Now < *m_GraceUntil || m_StoreUnavailable)
     return Out;
   m_GraceUntil.reset();
   for (const std::string &Id : std::set<std::string>(std::move(m_Missing)))
--- a/Libraries/LibDispatch/TargetTable.h
+++ b/Libraries/LibDispatch/TargetTable.h
@@ -32,21 +32,21 @@
 
 /// \name What changed for the rest of the process.
 /// @{
-struct TargetCame {
-  Target Which;
+struct TargetAdded {
+  Target Entry;
 };
 struct TargetChanged {
-  Target Which;
+  Target Entry;
 };
-struct TargetDrains {
+struct TargetDraining {
   std::string Id;
 };
-struct TargetGone {
+struct TargetRemoved {
   std::string Id;
 };
 /// @}
 using TargetEvent =
-    std::variant<TargetCame, TargetChanged, TargetDrains, TargetGone>;
+    std::variant<TargetAdded, TargetChanged, TargetDraining, TargetRemoved>;
 
 struct TargetTableOptions {
   /// Servers re-register within two seconds of the store's return.
@@ -57,7 +57,7 @@
   /// the platform allows, as calls are rare while the store is away.
   std::chrono::milliseconds TimeAfterLastFailure{2300};
   /// A copy that is older than this brings back servers that were gone.
-  std::chrono::milliseconds RememberGone{30000};
+  std::chrono::milliseconds RemovedEntryRetention{30000};
 };
 
 class TargetTable {
@@ -65,8 +65,8 @@
   explicit TargetTable(TargetTableOptions Options = {});
 
   /// The store could not be reached, or turned this process away.
-  void storeLost(BootTime Now);
-  bool storeIsLost() const { return m_StoreLost; }
+  void recordStoreFailure(BootTime Now);
+  bool storeUnavailable() const { return m_StoreUnavailable; }
   /// A whole list as of one moment.
   std::vector<TargetEvent> replaceAll(const std::vector<Target> &Listed,
                                       BootTime Now);
@@ -79,27 +79,27 @@
 
   const std::map<std::string, Target> &all() const { return m_Targets; }
   /// Whether servers are kept that the store no longer lists.
-  bool keepsMissing() const { return !m_Missing.empty(); }
+  bool hasMissingTargets() const { return !m_Missing.empty(); }
   const Target *find(const std::string &Id) const;
 
 private:
-  void storeAnswered(BootTime Now);
+  void recordStoreAnswer(BootTime Now);
   void apply(const Target &Entry, std::vector<TargetEvent> &Out);
-  bool isLateWrite(const Target &Known, const Target &Entry);
+  bool isDelayedWrite(const Target &Current, const Target &Entry);
   void drop(const std::string &Id, BootTime Now, std::vector<TargetEvent> &Out);
-  bool isStaleEntryOfGone(const Target &Entry);
+  bool isStaleRemovedEntry(const Target &Entry);
 
   TargetTableOptions m_Options;
   std::map<std::string, Target> m_Targets;
   /// Entries that looked older than what is known of their target, by id. A
   /// second one that is newer than the first shows a server whose clock or
   /// count went back, and is believed.
-  std::map<std::string, Target> m_Doubted;
+  std::map<std::string, Target> m_SuspectEntries;
   /// Servers that are gone, with their last entries and since when.
-  std::map<std::string, std::pair<Target, BootTime>> m_Gone;
+  std::map<std::string, std::pair<Target, BootTime>> m_Removed;
   /// Entries that the store no longer lists, and may list again.
   std::set<std::string> m_Missing;
-  bool m_StoreLost = false;
+  bool m_StoreUnavailable = false;
   /// The last call that failed.
   BootTime m_LastFailure{};
   /// Until then a missing entry may be on its way back.
--- a/Libraries/LibEngine/EngineModel.h
+++ b/Libraries/LibEngine/EngineModel.h
@@ -27,7 +27,7 @@
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
 /// What an engine has to compute of a prompt.
-struct ReadSize {
+struct PrefillSize {
   double Tokens = 0;
   /// Pairs of a computed token and one before it, in millions: attention.
   double MillionPairs = 0;
@@ -36,26 +36,26 @@
 };
 
 /// What is known of engines; also what gateways tell each other.
-struct EngineFigures {
+struct EngineParameters {
   /// Of each read, whatever its size. It does not hold up other prompts.
-  Milliseconds ReadFixed{5};
+  Milliseconds PrefillFixed{5};
   /// Engine time of reading at a prefill engine.
-  Milliseconds ReadThousandTokens{5};
-  Milliseconds ReadMillionPairs{0.1};
+  Milliseconds PrefillPerThousandTokens{5};
+  Milliseconds PrefillPerMillionPairs{0.1};
   /// Of a fetch in front of a read, beside the transfer.
   Milliseconds FetchFixed{1};
   /// Reading at a decode engine takes this many times as long.
-  double DecodeReadFactor = 3;
+  double DecodePrefillFactor = 3;
   /// From the sending of a run whose prompt has been read to its first event,
   /// beside the transfer of the KV cache.
-  Milliseconds StartFixed{5};
+  Milliseconds DecodeStartFixed{5};
   /// Transfers take this many times as long as their size and the link say.
   double TransferFactor = 1;
   /// \name Measurements behind the figures of each kind of work.
   /// @{
-  double ReadWeight = 0;
-  double DecodeReadWeight = 0;
-  double StartWeight = 0;
+  double PrefillWeight = 0;
+  double DecodePrefillWeight = 0;
+  double DecodeStartWeight = 0;
   /// @}
 };
 
@@ -67,24 +67,27 @@
   /// to the work for sure, not to what stood in front of it.
   /// @{
   /// \p Took is without the transfer of parts that were fetched.
-  void observeRead(const ReadSize &Size, Milliseconds Took, double Purity);
+  void observePrefill(const PrefillSize &Size, Milliseconds Measured,
+                      double AttributableShare);
   /// \p AtPrefillEngine: what the same read takes there.
-  void observeDecodeRead(Milliseconds AtPrefillEngine, Milliseconds Took,
-                         double Purity);
+  void observeDecodePrefill(Milliseconds AtPrefillEngine, Milliseconds Measured,
+                            double AttributableShare);
   /// \p Transfer: by its size and the link.
-  void observeStart(Milliseconds Transfer, Milliseconds Took, double Purity);
+  void observeDecodeStart(Milliseconds Transfer, Milliseconds Measured,
+                          double AttributableShare);
   /// @}
 
-  void peerTold(const std::string &Peer, const EngineFigures &Told,
-                BootTime Now);
+  void recordPeerParameters(const std::string &Peer,
+                            const EngineParameters &PeerParameters,
+                            BootTime Now);
   /// What this process measured itself.
-  const EngineFigures &own() const { return m_Own; }
+  const EngineParameters &localParameters() const { return m_LocalParameters; }
   /// Of this process and its peers, each by its measurements.
-  const EngineFigures &figures(BootTime Now);
+  const EngineParameters &parameters(BootTime Now);
 
 private:
-  struct Told {
-    EngineFigures Figures;
+  struct PeerParameters {
+    EngineParameters Parameters;
     BootTime At{};
   };
   /// What a process that has gone told is forgotten by then; a peer that is
@@ -93,18 +96,18 @@
   /// Without news the mean is formed anew after this, for peers that have gone.
   static constexpr std::chrono::seconds MeanLifetime{1};
 
-  EngineFigures mean(BootTime Now) const;
+  EngineParameters mean(BootTime Now) const;
 
-  LinearCost<4> m_Read;
-  LinearCost<1> m_DecodeRead;
-  LinearCost<2> m_Start;
+  LinearCost<4> m_Prefill;
+  LinearCost<1> m_DecodePrefill;
+  LinearCost<2> m_DecodeStart;
   /// Equals the figures of the three above.
-  EngineFigures m_Own;
-  std::map<std::string, Told> m_Peers;
+  EngineParameters m_LocalParameters;
+  std::map<std::string, PeerParameters> m_Peers;
   /// Asked for several times with each request, and changed more seldom.
-  EngineFigures m_Mean;
+  EngineParameters m_Mean;
   /// When m_Mean was formed; unset once a measurement or a peer has changed it.
-  std::optional<BootTime> m_MeanAt;
+  std::optional<BootTime> m_MeanComputedAt;
 };
 
 } // namespace figlift::engine
--- a/Services/figlift-gateway/CacheDiscovery.cpp
+++ b/Services/figlift-gateway/CacheDiscovery.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void CacheDiscovery::engineCame(const dispatch::Target &Which, BootTime Now) {
-  if (Which.Does == dispatch::Stage::None)
+  if (Which.EngineStage == dispatch::Stage::None)
     return;
   m_Open.push_back(
       {Which.Id, Now + std::chrono::duration_cast<BootClock::duration>(
@@ -51,7 +51,7 @@
     const dispatch::Target *Which = Shared.Targets.find(TargetId);
     if (!Which || Which->Started != Start)
       return;
-    Shared.Loads.cacheTold(TargetId);
+    Shared.Loads.setCacheReported(TargetId);
     const auto Parts = slopes::decodeCacheList(Status == 200 ? Body : "");
     if (!Parts)
       return log::logEvent(log::Level::Warning, "cache-list-missing",
--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -13,7 +13,7 @@
 #include "LibDispatch/Configuration.h"
 #include "LibDispatch/EngineDemand.h"
 #include "LibDispatch/KvReuse.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 #include "LibDispatch/PeerReport.h"
 #include "LibDispatch/ProcessStop.h"
 #include "LibDispatch/PromptPlanner.h"
@@ -62,7 +62,7 @@
 
   /// What prompts cost the engines of \p Which, as far as known.
   dispatch::EngineCosts costsOf(const dispatch::Service &Which, BootTime Now) {
-    return {EngineModels[Which.Name].figures(Now), *Which.Engine};
+    return {EngineModels[Which.Name].parameters(Now), *Which.Engine};
   }
 
   settings::GatewaySettings Settings;
@@ -71,7 +71,7 @@
   /// Null until the first one was read. Requests keep the one they began with.
   std::shared_ptr<const dispatch::Configuration> Configuration;
   dispatch::TargetTable Targets;
-  dispatch::LoadBook Loads;
+  dispatch::LoadTracker Loads;
   dispatch::ServerLimits Limits;
   retry::FleetBudget Budget;
   dispatch::PromptPlanner Prompts;
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -162,19 +162,19 @@
 void Gateway::apply(const std::vector<dispatch::TargetEvent> &Events) {
   struct Visitor {
     Gateway &Self;
-    void operator()(const dispatch::TargetCame &Event) const {
-      Self.targetCame(Event.Which);
+    void operator()(const dispatch::TargetAdded &Event) const {
+      Self.targetCame(Event.Entry);
     }
     void operator()(const dispatch::TargetChanged &Event) const {
       log::logEvent(log::Level::Info, "target-changed",
-                    {{"target", Event.Which.Id},
-                     {"stage", static_cast<int>(Event.Which.Does)}});
+                    {{"target", Event.Entry.Id},
+                     {"stage", static_cast<int>(Event.Entry.EngineStage)}});
     }
-    void operator()(const dispatch::TargetDrains &Event) const {
+    void operator()(const dispatch::TargetDraining &Event) const {
       log::logEvent(log::Level::Info, "target-drains", {{"target", Event.Id}});
       Self.m_Shared.Crashes.targetLeaves(Event.Id);
     }
-    void operator()(const dispatch::TargetGone &Event) const {
+    void operator()(const dispatch::TargetRemoved &Event) const {
       Self.targetGone(Event.Id);
     }
   };
@@ -188,7 +188,7 @@
                  {"service", Which.Service},
                  {"address", Which.Address.toString()},
                  {"zone", Which.Zone},
-                 {"stage", static_cast<int>(Which.Does)}});
+                 {"stage", static_cast<int>(Which.EngineStage)}});
   m_Shared.Pools[Which.Id] = std::make_shared<upstream::ConnectionPool>(
       m_Shared.Loop, Which.Address, upstream::PoolSettings{});
   uint64_t Capacity = 0;
@@ -196,7 +196,7 @@
     if (const auto *Service = m_Shared.Configuration->service(Which.Service);
         Service && Service->Engine)
       Capacity = Service->Engine->KvCapacityTokens;
-  m_Shared.Loads.targetCame(Which, Capacity);
+  m_Shared.Loads.targetAdded(Which, Capacity);
   limitPools();
   m_Caches.engineCame(Which, BootClock::now());
 }
@@ -211,7 +211,7 @@
     Found->second->retire();
     m_Shared.Pools.erase(Found);
   }
-  m_Shared.Loads.targetGone(Id);
+  m_Shared.Loads.targetRemoved(Id);
 }
 
 void Gateway::limitPools() {
@@ -231,7 +231,7 @@
       Pool->second->limit(std::max(MinimumConnections, Share));
     // Targets may be known before the configuration is.
     if (Service->Engine)
-      m_Shared.Loads.targetCame(Each, Service->Engine->KvCapacityTokens);
+      m_Shared.Loads.targetAdded(Each, Service->Engine->KvCapacityTokens);
   }
 }
 
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -113,16 +113,16 @@
     if (!Each.Engine)
       continue;
     const auto Figures = [this, Name = Each.Name] {
-      return m_Shared.EngineModels[Name].figures(BootClock::now());
+      return m_Shared.EngineModels[Name].parameters(BootClock::now());
     };
     Metrics.readGauge(
         "figlift_gateway_engine_read_fixed_seconds",
         "Learned: fixed part of reading a prompt",
-        [Figures] { return Figures().ReadFixed.count() / 1000; }, Labels);
+        [Figures] { return Figures().PrefillFixed.count() / 1000; }, Labels);
     Metrics.readGauge(
         "figlift_gateway_engine_read_thousand_tokens_seconds",
         "Learned: reading a thousand tokens of a prompt",
-        [Figures] { return Figures().ReadThousandTokens.count() / 1000; },
+        [Figures] { return Figures().PrefillPerThousandTokens.count() / 1000; },
         Labels);
     Metrics.readGauge(
         "figlift_gateway_start_lag_seconds",
@@ -135,29 +135,30 @@
     Metrics.readGauge(
         "figlift_gateway_engine_start_seconds",
         "Learned: from a run whose prompt was read to its first event",
-        [Figures] { return Figures().StartFixed.count() / 1000; }, Labels);
+        [Figures] { return Figures().DecodeStartFixed.count() / 1000; },
+        Labels);
   }
 }
 
 /// A plan is explained by what was believed of engines when it was made.
 void Gateway::noteFigures(BootTime Now) {
   for (auto &[Service, Model] : m_Shared.EngineModels) {
-    const engine::EngineFigures Known = Model.figures(Now);
-    const dispatch::Milliseconds Read = Known.ReadThousandTokens;
+    const engine::EngineParameters Known = Model.parameters(Now);
+    const dispatch::Milliseconds Read = Known.PrefillPerThousandTokens;
     dispatch::Milliseconds &Told = m_FiguresTold[Service];
     if (std::abs((Read - Told).count()) <= FiguresChange * Told.count())
       continue;
     Told = Read;
     log::logEvent(log::Level::Info, "engine-figures",
                   {{"service", Service},
-                   {"readFixedMs", Known.ReadFixed},
-                   {"readThousandTokensMs", Known.ReadThousandTokens},
-                   {"readMillionPairsMs", Known.ReadMillionPairs},
+                   {"readFixedMs", Known.PrefillFixed},
+                   {"readThousandTokensMs", Known.PrefillPerThousandTokens},
+                   {"readMillionPairsMs", Known.PrefillPerMillionPairs},
                    {"fetchFixedMs", Known.FetchFixed},
-                   {"decodeReadFactor", Known.DecodeReadFactor},
-                   {"startFixedMs", Known.StartFixed},
+                   {"decodeReadFactor", Known.DecodePrefillFactor},
+                   {"startFixedMs", Known.DecodeStartFixed},
                    {"transferFactor", Known.TransferFactor},
-                   {"measurements", Known.ReadWeight}});
+                   {"measurements", Known.PrefillWeight}});
   }
 }
 
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -48,7 +48,7 @@
           [this](const slopes::RowsRead &Read, BootTime KnownAt) {
             changedServers(Read, KnownAt);
           },
-          [this] { m_Shared.Targets.storeLost(BootClock::now()); },
+          [this] { m_Shared.Targets.recordStoreFailure(BootClock::now()); },
           [this](bool WasQuiet) {
             return dispatch::ServerReadTurn.due(
                 m_Peers.liveBefore(BootClock::now()), m_ServerJournal.knownAt(),
@@ -165,7 +165,7 @@
   // A list that says nothing new continues what is known; of one that does,
   // peers have to read in which order it came. One that lacks a server which is
   // kept here for a while has a removal that peers must not pass over.
-  if (Events.empty() && !m_Shared.Targets.keepsMissing())
+  if (Events.empty() && !m_Shared.Targets.hasMissingTargets())
     m_ServerJournal.changesRead(Read.Version, KnownAt, {});
   else
     m_ServerJournal.wholeRead(Read.Version, KnownAt);
@@ -193,7 +193,7 @@
   log::logEvent(log::Level::Warning, "store-era",
                 {{"before", EraBefore}, {"now", m_Store.era()}});
   // Servers whose entries the copy lacks run, and write them again.
-  m_Shared.Targets.storeLost(BootClock::now());
+  m_Shared.Targets.recordStoreFailure(BootClock::now());
   m_ConfigurationFollower.distrust();
   m_ServerFollower.distrust();
   m_Stages.storeCameBack(m_Store.era());
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -60,7 +60,7 @@
 }
 
 void PeerLink::scheduleReport() {
-  m_Shared.Loads.reportsCome(m_Peers.reportInterval());
+  m_Shared.Loads.setReportInterval(m_Peers.reportInterval());
   m_ReportTimer.expires_after(m_Peers.reportInterval());
   m_ReportTimer.async_wait([this](const boost::system::error_code &Stopped) {
     if (Stopped)
@@ -73,7 +73,7 @@
 void PeerLink::report() {
   dispatch::PeerReport What;
   What.From = m_Shared.Settings.Process.Id;
-  What.Loads = m_Shared.Loads.ownLoads();
+  What.Loads = m_Shared.Loads.localLoads();
   auto &Parts = m_Shared.NewlyCached;
   const size_t Count = std::min(Parts.size(), MaximumParts);
   const auto End = Parts.begin() + static_cast<std::ptrdiff_t>(Count);
@@ -89,7 +89,7 @@
   if (Now - m_FiguresTold >= FiguresInterval) {
     m_FiguresTold = Now;
     for (const auto &[Service, Model] : m_Shared.EngineModels)
-      What.Engines.push_back({Service, Model.own()});
+      What.Engines.push_back({Service, Model.localParameters()});
     What.Limits = m_Shared.Limits.news(Now);
   }
   sendToAll(ReportKind, encodePeerReport(What));
@@ -176,20 +176,22 @@
   const BootTime Now = BootClock::now();
   const dispatch::PeerReport &What = Read.value();
   m_Peers.heard(What.From, m_Sender, Now);
-  m_Shared.Loads.peerReported(What.From, What.Loads, Now);
+  m_Shared.Loads.recordPeerReport(What.From, What.Loads, Now);
   m_Shared.PeerDemands[What.From] = What.Demands;
   for (const dispatch::ServiceFigures &Each : What.Engines)
-    m_Shared.EngineModels[Each.Service].peerTold(What.From, Each.Figures, Now);
+    m_Shared.EngineModels[Each.Service].recordPeerParameters(What.From,
+                                                             Each.Figures, Now);
   for (const dispatch::LimitNews &Each : What.Limits)
     if (m_Shared.Targets.find(Each.Server.TargetId))
       m_Shared.Limits.heard(Each, Now);
   for (const dispatch::AwayTarget &Each : What.Away)
-    m_Shared.Loads.avoid(Each.TargetId, Now + Each.Left);
+    m_Shared.Loads.excludeUntil(Each.TargetId, Now + Each.Left);
   for (const dispatch::CachedPart &Each : What.Cached)
     if (!m_Shared.Targets.find(Each.TargetId))
       continue;
     else if (Each.Within > milliseconds(0))
-      m_Shared.Loads.cache(Each.TargetId).expect(Each.Part, Now + Each.Within);
+      m_Shared.Loads.cache(Each.TargetId)
+          .addPending(Each.Part, Now + Each.Within);
     else
       m_Shared.Loads.cache(Each.TargetId).insert(Each.Part);
 }
--- a/Services/figlift-gateway/RequestAnswer.cpp
+++ b/Services/figlift-gateway/RequestAnswer.cpp
@@ -40,7 +40,7 @@
     Head.Headers = proxy::endToEndHeaders(Head.Headers);
     m_AnswerBegun = true;
     m_FirstEvent = BootClock::now();
-    m_Shared.StreamTimes[m_Route.Name].began(*m_FirstEvent);
+    m_Shared.StreamTimes[m_Route.Name].recordStart(*m_FirstEvent);
     m_Caller->beginStream(Head);
   }
   forwardEvents(Events);
@@ -167,7 +167,7 @@
   m_WatchTimer.cancel();
   const BootTime Now = BootClock::now();
   if (m_FirstEvent)
-    m_Shared.StreamTimes[m_Route.Name].ended(Now);
+    m_Shared.StreamTimes[m_Route.Name].recordEnd(Now);
   noteRequestEnd(m_Shared, m_Route, Outcome, firstAfter(Now));
   logEnded(Outcome, Status, Reason);
 }
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -144,27 +144,27 @@
 bool RequestFlow::findsAnother(const std::string &ThanTargetId, BootTime Now) {
   m_Excluded.push_back(ThanTargetId);
   const dispatch::Service *Which = engineService();
-  const bool Found =
-      Which
-          ? !std::holds_alternative<dispatch::RefuseNow>(
-                promptPlan(*Which, Now))
-          : !std::holds_alternative<dispatch::RefuseService>(servicePlan(Now));
+  const bool Found = Which
+                         ? !std::holds_alternative<dispatch::Rejection>(
+                               promptPlan(*Which, Now))
+                         : !std::holds_alternative<dispatch::ServiceRejection>(
+                               servicePlan(Now));
   m_Excluded.pop_back();
   return Found;
 }
 
 dispatch::PromptRequest RequestFlow::promptRequest(BootTime Now) {
   dispatch::PromptRequest Request;
-  Request.What = *m_Fields.Prompt;
-  Request.Generation = generationTime();
+  Request.Input = *m_Fields.Prompt;
+  Request.GenerationTime = generationTime();
   Request.LatencyTarget = m_Route.LatencyTarget;
-  Request.OnTimeLeft =
+  Request.TimeToLatencyTarget =
       std::max(Milliseconds(0), Milliseconds(m_Route.LatencyTarget) -
                                     Milliseconds(Now - m_Started));
   Request.TimeLeft = timeLeft(Now);
   if (const auto *Which = m_Configuration->service(m_Service))
     Request.EventGap = Which->ShortestEventGap;
-  Request.Lag = m_Shared.StartLags[m_Service].current(Now);
+  Request.ExpectedStartLag = m_Shared.StartLags[m_Service].current(Now);
   Request.Excluded = excluded(Now);
   Request.Draw = m_Shared.draw();
   return Request;
@@ -185,15 +185,15 @@
   const auto Plan = promptPlan(Which, Now);
   m_PlannedAt = Now;
   m_PlannedLag = m_Shared.StartLags[m_Service].current(Now);
-  if (const auto *Read = std::get_if<dispatch::ReadThenRun>(&Plan)) {
+  if (const auto *Read = std::get_if<dispatch::PrefillThenDecode>(&Plan)) {
     m_PlannedFirst = Read->FirstEvent;
     return startRead(*Read);
   }
-  if (const auto *Run = std::get_if<dispatch::RunAt>(&Plan)) {
+  if (const auto *Run = std::get_if<dispatch::DecodePlan>(&Plan)) {
     m_PlannedFirst = Run->Expected;
     return startRun(*Run);
   }
-  const auto &Refusal = std::get<dispatch::RefuseNow>(Plan);
+  const auto &Refusal = std::get<dispatch::Rejection>(Plan);
   m_PlannedFirst = Refusal.FirstEvent;
   if (m_AnswerBegun)
     return cutOff(Refusal.Reason);
@@ -204,39 +204,39 @@
 void RequestFlow::planPlain() {
   const BootTime Now = BootClock::now();
   const auto Plan = servicePlan(Now);
-  if (const auto *Chosen = std::get_if<dispatch::SendTo>(&Plan)) {
+  if (const auto *Chosen = std::get_if<dispatch::ServiceAssignment>(&Plan)) {
     m_PlannedFirst = Chosen->Expected;
     if (m_Sends == 0 && !mayBegin(Chosen->Expected, Now))
       return turnAway();
     return startRun({Chosen->TargetId, {}, Chosen->Cost, Chosen->Expected, {}});
   }
-  const auto &Refusal = std::get<dispatch::RefuseService>(Plan);
+  const auto &Refusal = std::get<dispatch::ServiceRejection>(Plan);
   if (m_AnswerBegun)
     return cutOff(Refusal.Reason);
   giveUp(m_Runs == 0 ? dispatch::NotRunStatus : dispatch::OutcomeUnknownStatus,
          Refusal.Reason, Refusal.RetryAfter);
 }
 
-void RequestFlow::startRead(const dispatch::ReadThenRun &Plan) {
-  m_Reader = Plan.Reader;
+void RequestFlow::startRead(const dispatch::PrefillThenDecode &Plan) {
+  m_Reader = Plan.PrefillTarget;
   m_PlannedRead = Plan.Expected;
-  m_ReadPlan = Plan.How;
-  m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Reader);
-  send(Plan.Reader, Plan.FetchFrom, SendPurpose::ReadPrompt,
-       {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
+  m_ReadPlan = Plan.Prefill;
+  m_CacheKnown = m_Shared.Loads.cacheReported(Plan.PrefillTarget);
+  send(Plan.PrefillTarget, Plan.FetchFrom, SendPurpose::ReadPrompt,
+       {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, {}});
 }
 
-void RequestFlow::startRun(const dispatch::RunAt &Plan) {
+void RequestFlow::startRun(const dispatch::DecodePlan &Plan) {
   // Another attempt may have ended a server while the prompt was read.
   if (heldBack())
     return;
-  m_Runner = Plan.Runner;
+  m_Runner = Plan.DecodeTarget;
   m_PlannedRun = Plan.Expected;
   m_RunSent = BootClock::now();
-  m_RunPlan = Plan.How;
-  m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Runner);
-  send(Plan.Runner, Plan.FetchFrom, SendPurpose::Run,
-       {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
+  m_RunPlan = Plan.Prefill;
+  m_CacheKnown = m_Shared.Loads.cacheReported(Plan.DecodeTarget);
+  send(Plan.DecodeTarget, Plan.FetchFrom, SendPurpose::Run,
+       {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, {}});
 }
 
 void RequestFlow::send(const std::string &TargetId,
@@ -329,7 +329,7 @@
   if (Which.purpose() == SendPurpose::ReadPrompt)
     return readCompleted(Which);
   if (m_Handle && m_HandleRejected)
-    m_Shared.KvReuses[m_Service].tried(true, BootClock::now());
+    m_Shared.KvReuses[m_Service].recordRetry(true, BootClock::now());
   m_Handle.reset();
   noteCompleted();
   if (m_Fields.Prompt && !Which.targetStartedAgain())
@@ -366,8 +366,8 @@
 }
 
 /// Where the prompt runs that m_Reader has read.
-std::optional<dispatch::RunAt> RequestFlow::chooseRunner(BootTime Now) {
-  return m_Shared.Prompts.chooseRunner(
+std::optional<dispatch::DecodePlan> RequestFlow::chooseRunner(BootTime Now) {
+  return m_Shared.Prompts.chooseDecodeTarget(
       promptRequest(Now), m_Shared.Targets.find(m_Reader),
       m_Shared.openTargets(m_Service), m_Shared.costsOf(*engineService(), Now),
       Now);
@@ -384,10 +384,10 @@
     return false;
   dispatch::KvReuse &Reuse = m_Shared.KvReuses[m_Service];
   if (std::exchange(m_HandleRejected, true)) {
-    Reuse.tried(false, Now);
+    Reuse.recordRetry(false, Now);
     return false;
   }
-  return Reuse.worthTrying(Now) &&
+  return Reuse.shouldRetry(Now) &&
          timeLeft(Now) >= m_Shared.Repeats.MinimumTimeLeft &&
          m_Shared.Budget.left(m_Service, Now) >= 1;
 }
@@ -453,7 +453,7 @@
 void RequestFlow::settle(const SendEnd &How, ServerSend &Which) {
   const BootTime Now = BootClock::now();
   if (std::holds_alternative<dispatch::Rejected>(How) && engineService())
-    m_Shared.StartLags[m_Service].turnedAway(m_Route.LatencyTarget, Now);
+    m_Shared.StartLags[m_Service].recordRejection(m_Route.LatencyTarget, Now);
   if (mayUseHandleAgain(How, Now) && runsAtAnother(Which, Now))
     return;
   const auto Next = nextStep(How, Which);
--- a/Services/figlift-gateway/RequestFlow.h
+++ b/Services/figlift-gateway/RequestFlow.h
@@ -63,10 +63,10 @@
   dispatch::Milliseconds generationTime() const;
   void noteDemand(const dispatch::EngineCosts &Costs,
                   std::span<const dispatch::Target *const> Open, BootTime Now);
-  void startRead(const dispatch::ReadThenRun &Plan);
-  void startRun(const dispatch::RunAt &Plan);
+  void startRead(const dispatch::PrefillThenDecode &Plan);
+  void startRun(const dispatch::DecodePlan &Plan);
   void readCompleted(ServerSend &Which);
-  std::optional<dispatch::RunAt> chooseRunner(BootTime Now);
+  std::optional<dispatch::DecodePlan> chooseRunner(BootTime Now);
   bool mayUseHandleAgain(const dispatch::SendEnd &How, BootTime Now);
   bool runsAtAnother(const ServerSend &Than, BootTime Now);
   void send(const std::string &TargetId, const std::string &FetchFrom,
@@ -181,8 +181,8 @@
   dispatch::Milliseconds m_PlannedRead{0};
   dispatch::Milliseconds m_ReadTook{0};
   dispatch::Milliseconds m_PlannedRun{0};
-  dispatch::ReadPlan m_ReadPlan;
-  dispatch::ReadPlan m_RunPlan;
+  dispatch::PrefillPlan m_ReadPlan;
+  dispatch::PrefillPlan m_RunPlan;
   /// An engine has rejected the run of m_Handle.
   bool m_HandleRejected = false;
   /// Whether the newest send was planned with the target's cache known.
--- a/Services/figlift-gateway/RequestLearning.cpp
+++ b/Services/figlift-gateway/RequestLearning.cpp
@@ -32,19 +32,19 @@
     Kept = std::max(Kept, m_Shared.Loads.cachedTokens(Each->Id, What));
   dispatch::DemandMeter &Meter = m_Shared.Demands[m_Service];
   const double Filling =
-      m_Shared.Settings.Fleet.Starts ? Meter.fillingShare(Now) : 0;
-  Kept += static_cast<uint32_t>(Filling * What.sharedBeyond(Kept));
-  Meter.requested(Costs.reading(What, Kept),
-                  Costs.transfer(What.Tokens, false) +
-                      generationTime() / Costs.traits().Slots,
-                  Now);
+      m_Shared.Settings.Fleet.Starts ? Meter.cacheFillShare(Now) : 0;
+  Kept += static_cast<uint32_t>(Filling * What.sharedTokensBeyond(Kept));
+  Meter.recordRequest(Costs.prefill(What, Kept),
+                      Costs.transfer(What.Tokens, false) +
+                          generationTime() / Costs.traits().Slots,
+                      Now);
 }
 
 /// An engine is not judged by plans that rest on nothing yet: all of them would
 /// look many times as slow, or as fast, as they are, for seconds.
 bool RequestFlow::enginesKnown(BootTime Now) const {
   const dispatch::Service *Which = m_Configuration->service(m_Service);
-  return !Which || !Which->Engine || m_Shared.costsOf(*Which, Now).known();
+  return !Which || !Which->Engine || m_Shared.costsOf(*Which, Now).calibrated();
 }
 
 /// From now on the engine has the prompt in its queue.
@@ -59,9 +59,9 @@
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
   // The last part is this request's own: no other will ask for it.
   for (size_t At = 0; At + 1 < Parts.size(); ++At) {
-    if (Cache.holds(Parts[At].Id))
+    if (Cache.contains(Parts[At].Id))
       continue;
-    Cache.expect(Parts[At], Now + Within);
+    Cache.addPending(Parts[At], Now + Within);
     m_Shared.NewlyCached.push_back({TargetId, Parts[At], Within});
   }
 }
@@ -71,7 +71,7 @@
   if (!m_Fields.Prompt || !m_Shared.Targets.find(TargetId))
     return;
   for (const dispatch::PromptPart &Each : m_Fields.Prompt->Parts)
-    m_Shared.Loads.cache(TargetId).abandon(Each.Id);
+    m_Shared.Loads.cache(TargetId).removePending(Each.Id);
 }
 
 void RequestFlow::noteComputed(const std::string &TargetId) {
@@ -79,7 +79,7 @@
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
   for (size_t At = 0; At < Parts.size(); ++At) {
-    const bool IsNew = !Cache.holds(Parts[At].Id);
+    const bool IsNew = !Cache.contains(Parts[At].Id);
     Cache.insert(Parts[At]);
     if (IsNew && At + 1 < Parts.size())
       m_Shared.NewlyCached.push_back({TargetId, Parts[At], milliseconds(0)});
@@ -91,14 +91,16 @@
 void RequestFlow::learnRead() {
   const dispatch::Service *Which = m_Configuration->service(m_Service);
   if (!Which || !Which->Engine || !m_CacheKnown ||
-      m_ReadTook <= m_ReadPlan.OnLink)
+      m_ReadTook <= m_ReadPlan.NominalTransfer)
     return;
-  const Milliseconds Own = m_PlannedRead - m_ReadPlan.Wait - m_ReadPlan.OnLink;
+  const Milliseconds Own =
+      m_PlannedRead - m_ReadPlan.Wait - m_ReadPlan.NominalTransfer;
   const double Share = Own / (Own + m_ReadPlan.Wait);
   if (Share < LeastPurity)
     return;
-  m_Shared.EngineModels[m_Service].observeRead(
-      m_ReadPlan.Size, (m_ReadTook - m_ReadPlan.OnLink) * Share, Share * Share);
+  m_Shared.EngineModels[m_Service].observePrefill(
+      m_ReadPlan.Size, (m_ReadTook - m_ReadPlan.NominalTransfer) * Share,
+      Share * Share);
 }
 
 /// The same of a run, at its first event.
@@ -111,7 +113,7 @@
   engine::EngineModel &Model = m_Shared.EngineModels[m_Service];
   const Milliseconds Took(Now - *m_RunSent);
   if (m_Handle) {
-    Model.observeStart(m_RunPlan.OnLink, Took, 1);
+    Model.observeDecodeStart(m_RunPlan.NominalTransfer, Took, 1);
     return;
   }
   if (m_CacheKnown)
@@ -135,18 +137,20 @@
 void RequestFlow::learnReadBesideStreams(const dispatch::EngineCosts &Costs,
                                          Milliseconds Took,
                                          engine::EngineModel &Model) const {
-  const Milliseconds Compute =
-      Took - Costs.readFixed() - Costs.startFixed() - m_RunPlan.OnLink;
+  const Milliseconds Compute = Took - Costs.prefillFixed() -
+                               Costs.decodeStartFixed() -
+                               m_RunPlan.NominalTransfer;
   if (Compute <= Milliseconds(0))
     return;
-  const Milliseconds Alone = Costs.reading(m_RunPlan.Size);
-  Model.observeRead(m_RunPlan.Size,
-                    Costs.readFixed() + Compute / Costs.decodeReadFactor(),
-                    PurityBesideStreams);
+  const Milliseconds Alone = Costs.prefill(m_RunPlan.Size);
+  Model.observePrefill(m_RunPlan.Size,
+                       Costs.prefillFixed() +
+                           Compute / Costs.decodePrefillFactor(),
+                       PurityBesideStreams);
   const double Share = Alone / Took;
   // The rest is known too loosely to tell a small read from it.
   if (Share >= LeastPurity)
-    Model.observeDecodeRead(Alone, Compute, Share * Share);
+    Model.observeDecodePrefill(Alone, Compute, Share * Share);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -33,8 +33,8 @@
   m_Connection = Pool->second->take(m_Started);
   if (!m_Connection)
     return false;
-  What.Sent = m_Started;
-  m_Ticket = m_Shared.Loads.started(m_TargetId, What);
+  What.SentAt = m_Started;
+  m_Ticket = m_Shared.Loads.recordSent(m_TargetId, What);
   if (const dispatch::Target *Which = m_Shared.Targets.find(m_TargetId))
     m_Target = *Which;
   m_Shared.Limits.sent(m_TargetId, m_Started);
@@ -49,7 +49,7 @@
 
 void ServerSend::cancel() {
   m_Owner = nullptr;
-  m_Shared.Loads.ended(m_TargetId, m_Ticket);
+  m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   if (const auto Connection = std::exchange(m_Connection, nullptr))
     Connection->abort();
 }
@@ -60,7 +60,7 @@
 }
 
 void ServerSend::noteSpeed() {
-  m_Shared.Loads.answered(m_TargetId, m_Ticket, BootClock::now());
+  m_Shared.Loads.recordAnswer(m_TargetId, m_Ticket, BootClock::now());
 }
 
 bool ServerSend::isOwnAnswer() const {
@@ -131,21 +131,21 @@
     return end(dispatch::ServerFailed{m_Head.Status});
   if (!m_Streamed)
     noteSpeed();
-  m_Shared.Loads.ended(m_TargetId, m_Ticket);
+  m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   std::exchange(m_Owner, nullptr)->sendCompleted(*this);
 }
 
 void ServerSend::noteRejection(BootTime Now) {
   if (m_Fields.OtherServer)
-    m_Shared.Loads.avoid(m_TargetId, Now + OtherServerTime);
+    m_Shared.Loads.excludeUntil(m_TargetId, Now + OtherServerTime);
   else
-    m_Shared.Loads.turnedAway(m_TargetId, Now);
+    m_Shared.Loads.recordRejection(m_TargetId, Now);
 }
 
 void ServerSend::judge(const SendEnd &How) {
   // The target may have started again since: the end of its earlier start is
   // no verdict on this one.
-  if (!m_Shared.Loads.knows(m_TargetId, m_Ticket))
+  if (!m_Shared.Loads.isCurrent(m_TargetId, m_Ticket))
     return;
   const BootTime Now = BootClock::now();
   const bool Blameless =
@@ -154,11 +154,11 @@
   if (std::holds_alternative<dispatch::Rejected>(How))
     noteRejection(Now);
   if (Blameless && !std::holds_alternative<dispatch::Rejected>(How))
-    m_Shared.Loads.errored(m_TargetId, Now);
+    m_Shared.Loads.recordError(m_TargetId, Now);
   if (Blameless)
-    m_Shared.Loads.ended(m_TargetId, m_Ticket);
+    m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   else
-    m_Shared.Loads.failed(m_TargetId, m_Ticket, Now);
+    m_Shared.Loads.recordFailure(m_TargetId, m_Ticket, Now);
 }
 
 void ServerSend::end(SendEnd How) {
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -106,10 +106,11 @@
   const auto Engines = m_Shared.openTargets(Which.Name);
   Of.Demand.observe(demandOn(Which.Name, Now), Now);
   const dispatch::EngineDemand Demand = Of.Demand.demand();
-  const auto Change = Of.Planner.plan(Engines, Demand, Of.Demand.doubt(Now),
-                                      m_Shared.Loads, Now);
+  const auto Change = Of.Planner.plan(
+      Engines, Demand, Of.Demand.uncertainty(Now), m_Shared.Loads, Now);
   // Without the store's list the view may be old.
-  if (!Change || !Of.Demand.settled(Now) || m_Shared.Targets.storeIsLost()) {
+  if (!Change || !Of.Demand.established(Now) ||
+      m_Shared.Targets.storeUnavailable()) {
     Of.WantedSince.reset();
     return;
   }
@@ -122,15 +123,15 @@
     return;
   Of.Lease->tick();
   if (const auto Epoch = Of.Lease->epoch()) {
-    log::logEvent(
-        log::Level::Info, "stage-planned",
-        {{"target", Change->TargetId},
-         {"wanted",
-          Change->Wanted == dispatch::Stage::Prefill ? "prefill" : "decode"},
-         {"readDemand", Demand.Read},
-         {"runDemand", Demand.Run},
-         {"engines", Engines.size()},
-         {"epoch", *Epoch}});
+    log::logEvent(log::Level::Info, "stage-planned",
+                  {{"target", Change->TargetId},
+                   {"wanted", Change->DesiredStage == dispatch::Stage::Prefill
+                                  ? "prefill"
+                                  : "decode"},
+                   {"readDemand", Demand.Prefill},
+                   {"runDemand", Demand.Decode},
+                   {"engines", Engines.size()},
+                   {"epoch", *Epoch}});
     begin(Which.Name, *Change, Now);
   }
 }
@@ -143,7 +144,7 @@
         reported(Service, What, Status, Body);
       });
   if (Called)
-    shardOf(Service).Planner.ordered(What, Now);
+    shardOf(Service).Planner.recordOrder(What, Now);
 }
 
 void StageDirector::reported(const std::string &Service,
@@ -155,16 +156,16 @@
   if (Status != 200 || !Report) {
     log::logEvent(log::Level::Warning, "engine-report-missing",
                   {{"target", What.TargetId}, {"status", Status}});
-    return Planner.refused(What.TargetId, Now);
+    return Planner.recordRefusal(What.TargetId, Now);
   }
   // It has started again: the number of its orders is not that of the engine
   // for which the change was planned.
   if (Report.value().Started != What.Start)
-    return Planner.refused(What.TargetId, Now);
-  if (Report.value().Does == What.Wanted)
-    return Planner.settled(What.TargetId);
+    return Planner.recordRefusal(What.TargetId, Now);
+  if (Report.value().Does == What.DesiredStage)
+    return Planner.clearOrder(What.TargetId);
   if (Report.value().Busy)
-    return Planner.refused(What.TargetId, Now);
+    return Planner.recordRefusal(What.TargetId, Now);
   order(Service, What, Report.value().AcceptedOrders);
 }
 
@@ -178,20 +179,21 @@
   // since it was planned, and another holds the lease by now.
   const auto Epoch = Of.Lease->epoch();
   if (!Epoch || !Which || !Which->Engine)
-    return Of.Planner.settled(What.TargetId);
-  const std::string Body = slopes::encodeStageOrder(
-      {What.Wanted, m_Shared.Settings.Process.Id, *Epoch, AcceptedBefore});
+    return Of.Planner.clearOrder(What.TargetId);
+  const std::string Body =
+      slopes::encodeStageOrder({What.DesiredStage, m_Shared.Settings.Process.Id,
+                                *Epoch, AcceptedBefore});
   const bool Called =
       callEngine(m_Shared, What.TargetId, "POST", slopes::OrderTarget, Body,
                  [this, Service, What](unsigned Status, const std::string &) {
                    replied(Service, What, Status);
                  });
   if (!Called)
-    return Of.Planner.settled(What.TargetId);
+    return Of.Planner.clearOrder(What.TargetId);
   // From the first moment on the engine takes no work that has not begun.
   const BootTime BackAt = Now + Which->Engine->StageSwitch + ListingDelay;
   m_Shared.Away[What.TargetId] = BackAt;
-  m_Shared.Loads.avoid(What.TargetId, BackAt);
+  m_Shared.Loads.excludeUntil(What.TargetId, BackAt);
 }
 
 void StageDirector::replied(const std::string &Service,
@@ -209,13 +211,13 @@
     const auto Away = m_Shared.Away.find(What.TargetId);
     const BootTime BackAt = Away == m_Shared.Away.end() ? Now : Away->second;
     // The list may be late: the order counts as carried out some time longer.
-    return Planner.accepted(What.TargetId, BackAt + ListingSlack);
+    return Planner.recordAcceptance(What.TargetId, BackAt + ListingSlack);
   }
   m_Shared.Away.erase(What.TargetId);
   if (Reply == slopes::OrderReply::HoldsAlready)
-    Planner.settled(What.TargetId);
+    Planner.clearOrder(What.TargetId);
   else
-    Planner.refused(What.TargetId, Now);
+    Planner.recordRefusal(What.TargetId, Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StageDirector.h
+++ b/Services/figlift-gateway/StageDirector.h
@@ -34,7 +34,7 @@
   struct Shard {
     explicit Shard(bool FleetStarts) : Planner(FleetStarts) {}
     dispatch::StagePlanner Planner;
-    dispatch::BusyDemand Demand;
+    dispatch::PeakDemand Demand;
     std::shared_ptr<lease::LeaseKeeper> Lease;
     /// Since when a change has been wanted; unset while there is none.
     std::optional<BootTime> WantedSince;
--- a/Tests/FleetModel/FleetModel.cpp
+++ b/Tests/FleetModel/FleetModel.cpp
@@ -42,19 +42,19 @@
   m_Traits.KvCapacityTokens = 1186579;
   m_Traits.KvBytesPerToken = 18432;
   m_Traits.LinkMbps = 590000;
-  m_Figures.ReadFixed = Milliseconds(6);
-  m_Figures.ReadThousandTokens = Milliseconds(1.49);
-  m_Figures.ReadMillionPairs = Milliseconds(0.036);
+  m_Figures.PrefillFixed = Milliseconds(6);
+  m_Figures.PrefillPerThousandTokens = Milliseconds(1.49);
+  m_Figures.PrefillPerMillionPairs = Milliseconds(0.036);
   m_Figures.FetchFixed = Milliseconds(1.3);
-  m_Figures.StartFixed = Milliseconds(5.5);
-  m_Figures.ReadWeight = 1000;
+  m_Figures.DecodeStartFixed = Milliseconds(5.5);
+  m_Figures.PrefillWeight = 1000;
   const unsigned All = m_Options.Readers + m_Options.Runners;
   for (unsigned At = 0; At < All; ++At) {
     Target Who;
     // Names say nothing of stage or zone.
     Who.Id = "engine-" + std::to_string((At * 37) % All + 1000);
     Who.Zone = "zone-" + std::to_string(m_Random() % m_Options.Zones);
-    Who.Does = At < m_Options.Readers ? Stage::Prefill : Stage::Decode;
+    Who.EngineStage = At < m_Options.Readers ? Stage::Prefill : Stage::Decode;
     Engine &Made = m_Engines[Who.Id];
     Made.Who = Who;
     Made.Kept.setCapacity(m_Traits.KvCapacityTokens);
@@ -64,7 +64,7 @@
   for (unsigned At = 0; At < m_Options.Gateways; ++At) {
     m_Gateways.push_back(std::make_unique<Gateway>(PromptPlannerOptions{}));
     for (const Target *Each : m_Targets)
-      m_Gateways[At]->Loads.targetCame(*Each, m_Traits.KvCapacityTokens);
+      m_Gateways[At]->Loads.targetAdded(*Each, m_Traits.KvCapacityTokens);
     after(Milliseconds(m_Options.ReportInterval) * draw(),
           [this, At] { report(At); });
   }
@@ -105,7 +105,7 @@
   auto Made = std::make_shared<Request>();
   Made->What = newRequest();
   Made->Generation = draw() < SecondEvents ? SecondEvent : Milliseconds(0);
-  if (Made->What.What.Tokens < 1000)
+  if (Made->What.Input.Tokens < 1000)
     Made->Generation = LongAnswer;
   Made->Came = m_Now;
   take(Made);
@@ -120,8 +120,8 @@
   Made.EventGap = Milliseconds(250);
   const uint64_t Own = m_Random();
   if (draw() < LongAnswers / loadNow()) {
-    Made.What = {220, 100, {{1 + m_Random() % 82, 80}, {Own, 140}}};
-    Made.Generation = LongAnswer;
+    Made.Input = {220, 100, {{1 + m_Random() % 82, 80}, {Own, 140}}};
+    Made.GenerationTime = LongAnswer;
     return Made;
   }
   // Log-normal with a mean of 2,890 and as much deviation.
@@ -129,12 +129,12 @@
       std::normal_distribution<double>(std::log(2890) - 0.35, 0.83)(m_Random));
   const auto OwnTokens =
       static_cast<uint32_t>(std::clamp(Size, 100.0, 39600.0));
-  Made.What = {2520 + 3780 + OwnTokens,
-               2,
-               {{100 + m_Random() % 4, 2520},
-                {1000 + m_Random() % Subjects, 3780},
-                {Own, OwnTokens}}};
-  Made.Generation = SecondEvent * SecondEvents;
+  Made.Input = {2520 + 3780 + OwnTokens,
+                2,
+                {{100 + m_Random() % 4, 2520},
+                 {1000 + m_Random() % Subjects, 3780},
+                 {Own, OwnTokens}}};
+  Made.GenerationTime = SecondEvent * SecondEvents;
   return Made;
 }
 
@@ -145,7 +145,7 @@
   What.Draw = draw();
   Which->Taken = m_Now;
   // A gateway does not know that the caller was refused before.
-  What.OnTimeLeft = LatencyTarget;
+  What.TimeToLatencyTarget = LatencyTarget;
   What.TimeLeft = Deadline - Since;
   const bool Measured =
       Which->Came >= m_Start + std::chrono::seconds(1) && !Which->Returned;
@@ -156,18 +156,18 @@
 void FleetModel::plan(const RequestPointer &Which) {
   PromptRequest &What = Which->What;
   Which->Planned = m_Now;
-  What.Lag = gateway(Which).Lag.current(m_Now);
+  What.ExpectedStartLag = gateway(Which).Lag.current(m_Now);
   const auto Plan =
       gateway(Which).Planner.plan(What, m_Targets, costs(), m_Now);
-  if (const auto *Read = std::get_if<ReadThenRun>(&Plan)) {
+  if (const auto *Read = std::get_if<PrefillThenDecode>(&Plan)) {
     Which->PlannedFirst = Read->FirstEvent;
     return read(Which, *Read);
   }
-  if (const auto *Run = std::get_if<RunAt>(&Plan)) {
+  if (const auto *Run = std::get_if<DecodePlan>(&Plan)) {
     Which->PlannedFirst = Run->Expected;
     return run(Which, *Run, false);
   }
-  refused(Which, std::get<RefuseNow>(Plan).RetryAfter);
+  refused(Which, std::get<Rejection>(Plan).RetryAfter);
 }
 
 void FleetModel::refused(const RequestPointer &Which, Milliseconds RetryAfter) {
@@ -189,23 +189,25 @@
     return Milliseconds(0);
   Engine &Source = engine(From);
   const Milliseconds Takes =
-      costs().onLink(Tokens, Source.Who.Zone == To.Who.Zone);
+      costs().nominalTransfer(Tokens, Source.Who.Zone == To.Who.Zone);
   const BootTime Begins =
       std::max({m_Now, To.LinkInUntil, Source.LinkOutUntil});
   To.LinkInUntil = Source.LinkOutUntil = Begins + duration(Takes);
   return Milliseconds(To.LinkInUntil - m_Now);
 }
 
-void FleetModel::read(const RequestPointer &Which, const ReadThenRun &Plan) {
-  Which->Reader = Plan.Reader;
-  Which->Ticket = gateway(Which).Loads.started(
-      Plan.Reader, {Plan.Cost, Plan.Expected, Plan.How.Compute, m_Now});
+void FleetModel::read(const RequestPointer &Which,
+                      const PrefillThenDecode &Plan) {
+  Which->Reader = Plan.PrefillTarget;
+  Which->Ticket = gateway(Which).Loads.recordSent(
+      Plan.PrefillTarget,
+      {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, m_Now});
   after(Travel, [this, Which, Plan] {
-    Engine &At = engine(Plan.Reader);
+    Engine &At = engine(Plan.PrefillTarget);
     if (At.Present >= EngineSlots + EngineQueue)
       return after(Travel, [this, Which, &At] { turnedAway(Which, At); });
     ++At.Present;
-    const Prompt &What = Which->What.What;
+    const Prompt &What = Which->What.Input;
     uint32_t Kept = At.Kept.cachedTokens(What);
     Milliseconds Fetching{0};
     if (!Plan.FetchFrom.empty())
@@ -215,12 +217,12 @@
         Kept = There;
       }
     const BootTime Begins = std::max(m_Now + duration(Fetching), At.ReadsUntil);
-    At.ReadsUntil = Begins + duration(costs().reading(What, Kept));
+    At.ReadsUntil = Begins + duration(costs().prefill(What, Kept));
     const Milliseconds Ends =
-        Milliseconds(At.ReadsUntil - m_Now) + m_Figures.ReadFixed;
+        Milliseconds(At.ReadsUntil - m_Now) + m_Figures.PrefillFixed;
     after(Ends, [this, Which, &At] {
       --At.Present;
-      for (const PromptPart &Each : Which->What.What.Parts)
+      for (const PromptPart &Each : Which->What.Input.Parts)
         At.Kept.insert(Each);
       after(Travel, [this, Which, &At] { readEnded(Which, At); });
     });
@@ -229,24 +231,25 @@
 
 void FleetModel::readEnded(const RequestPointer &Which, Engine &At) {
   Gateway &Deciding = gateway(Which);
-  Deciding.Loads.answered(At.Who.Id, Which->Ticket, m_Now);
-  Deciding.Loads.ended(At.Who.Id, Which->Ticket);
+  Deciding.Loads.recordAnswer(At.Who.Id, Which->Ticket, m_Now);
+  Deciding.Loads.recordEnd(At.Who.Id, Which->Ticket);
   keep(Which, At);
-  const auto Runner = Deciding.Planner.chooseRunner(Which->What, &At.Who,
-                                                    m_Targets, costs(), m_Now);
+  const auto Runner = Deciding.Planner.chooseDecodeTarget(
+      Which->What, &At.Who, m_Targets, costs(), m_Now);
   if (Runner)
     return run(Which, *Runner, true);
   refused(Which, Milliseconds(300));
 }
 
-void FleetModel::run(const RequestPointer &Which, const RunAt &Plan,
+void FleetModel::run(const RequestPointer &Which, const DecodePlan &Plan,
                      bool HasRead) {
   Which->RunSent = m_Now;
   Which->RunPlanned = Plan.Expected;
-  Which->Ticket = gateway(Which).Loads.started(
-      Plan.Runner, {Plan.Cost, Plan.Expected, Plan.How.Compute, m_Now});
+  Which->Ticket = gateway(Which).Loads.recordSent(
+      Plan.DecodeTarget,
+      {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, m_Now});
   after(Travel, [this, Which, Plan, HasRead] {
-    Engine &At = engine(Plan.Runner);
+    Engine &At = engine(Plan.DecodeTarget);
     if (At.Present >= EngineSlots + EngineQueue)
       return after(Travel, [this, Which, &At] { turnedAway(Which, At); });
     ++At.Present;
@@ -261,19 +264,19 @@
 }
 
 /// From here on it is in a slot.
-void FleetModel::startRun(const RequestPointer &Which, const RunAt &Plan,
+void FleetModel::startRun(const RequestPointer &Which, const DecodePlan &Plan,
                           bool HasRead) {
-  Engine &At = engine(Plan.Runner);
+  Engine &At = engine(Plan.DecodeTarget);
   ++At.Running;
-  const Prompt &What = Which->What.What;
+  const Prompt &What = Which->What.Input;
   const uint32_t Missing = What.Tokens - At.Kept.cachedTokens(What);
   const Milliseconds Before =
       HasRead ? fetch(At, Which->Reader, Missing)
-              : costs().readingWhileDecoding(
-                    EngineCosts::toCompute(What, What.Tokens - Missing));
-  const Milliseconds First = Before + m_Figures.StartFixed;
+              : costs().prefillWhileDecoding(
+                    EngineCosts::uncachedSize(What, What.Tokens - Missing));
+  const Milliseconds First = Before + m_Figures.DecodeStartFixed;
   after(First + Travel, [this, Which, &At] {
-    gateway(Which).Loads.answered(At.Who.Id, Which->Ticket, m_Now);
+    gateway(Which).Loads.recordAnswer(At.Who.Id, Which->Ticket, m_Now);
     gateway(Which).Lag.observe(Which->PlannedFirst,
                                Milliseconds(m_Now - Which->Planned),
                                LatencyTarget, m_Now);
@@ -283,7 +286,7 @@
     ++(OnTime ? m_Result.OnTime : m_Result.Late);
   });
   after(First + Which->Generation, [this, Which, &At] {
-    for (const PromptPart &Each : Which->What.What.Parts)
+    for (const PromptPart &Each : Which->What.Input.Parts)
       At.Kept.insert(Each);
     --At.Present;
     --At.Running;
@@ -297,23 +300,23 @@
 }
 
 void FleetModel::runEnded(const RequestPointer &Which, Engine &At) {
-  gateway(Which).Loads.ended(At.Who.Id, Which->Ticket);
+  gateway(Which).Loads.recordEnd(At.Who.Id, Which->Ticket);
   keep(Which, At);
 }
 
 /// As in the processes: once more, anew, where time allows.
 void FleetModel::turnedAway(const RequestPointer &Which, Engine &At) {
   ++m_Result.Rejections;
-  LoadBook &Loads = gateway(Which).Loads;
-  Loads.turnedAway(At.Who.Id, m_Now);
-  gateway(Which).Lag.turnedAway(LatencyTarget, m_Now);
-  Loads.ended(At.Who.Id, Which->Ticket);
+  LoadTracker &Loads = gateway(Which).Loads;
+  Loads.recordRejection(At.Who.Id, m_Now);
+  gateway(Which).Lag.recordRejection(LatencyTarget, m_Now);
+  Loads.recordEnd(At.Who.Id, Which->Ticket);
   if (std::exchange(Which->SentTwice, true))
     return refused(Which, Milliseconds(300));
   PromptRequest &What = Which->What;
   What.Excluded.push_back(At.Who.Id);
   const Milliseconds Since(m_Now - Which->Came);
-  What.OnTimeLeft = std::max(Milliseconds(0), LatencyTarget - Since);
+  What.TimeToLatencyTarget = std::max(Milliseconds(0), LatencyTarget - Since);
   What.TimeLeft = std::max(Milliseconds(0), Deadline - Since);
   plan(Which);
 }
@@ -321,9 +324,9 @@
 void FleetModel::keep(const RequestPointer &Which, Engine &At) {
   Gateway &Deciding = gateway(Which);
   KvCacheView &Cache = Deciding.Loads.cache(At.Who.Id);
-  const auto &Parts = Which->What.What.Parts;
+  const auto &Parts = Which->What.Input.Parts;
   for (size_t Index = 0; Index < Parts.size(); ++Index) {
-    const bool IsNew = !Cache.holds(Parts[Index].Id);
+    const bool IsNew = !Cache.contains(Parts[Index].Id);
     Cache.insert(Parts[Index]);
     if (IsNew && Index + 1 < Parts.size())
       Deciding.NewlyCached.emplace_back(At.Who.Id, Parts[Index]);
@@ -332,14 +335,14 @@
 
 void FleetModel::report(unsigned From) {
   Gateway &Sender = *m_Gateways[From];
-  const auto Loads = Sender.Loads.ownLoads();
+  const auto Loads = Sender.Loads.localLoads();
   const auto Cached = std::exchange(Sender.NewlyCached, {});
   const std::string Name = std::to_string(From);
   for (unsigned To = 0; To < m_Options.Gateways; ++To) {
     if (To == From)
       continue;
-    LoadBook &Known = m_Gateways[To]->Loads;
-    Known.peerReported(Name, Loads, m_Now);
+    LoadTracker &Known = m_Gateways[To]->Loads;
+    Known.recordPeerReport(Name, Loads, m_Now);
     for (const auto &[Id, Part] : Cached)
       Known.cache(Id).insert(Part);
   }
--- a/Tests/FleetModel/FleetModel.h
+++ b/Tests/FleetModel/FleetModel.h
@@ -1,11 +1,12 @@
 //===- FleetModel.h - Gateways before engines, without a network -*- C++
 //-*-===//
 //
-// Plays a fleet by discrete events: each gateway decides with its own LoadBook
-// and PromptPlanner, as the processes do, and knows of the others only by
-// reports that are as old as the interval between them. Engines read prompts
-// one after the other, keep what they read, move KV cache over one link in and
-// one link out, decode in slots, queue some requests and reject the rest.
+// Plays a fleet by discrete events: each gateway decides with its own
+// LoadTracker and PromptPlanner, as the processes do, and knows of the others
+// only by reports that are as old as the interval between them. Engines read
+// prompts one after the other, keep what they read, move KV cache over one link
+// in and one link out, decode in slots, queue some requests and reject the
+// rest.
 //
 // Left out: the network's delays between zones, the processes' own time, plain
 // services, and changes of stages.
@@ -84,7 +85,7 @@
   };
   struct Gateway {
     explicit Gateway(PromptPlannerOptions Options) : Planner(Options, Loads) {}
-    LoadBook Loads;
+    LoadTracker Loads;
     PromptPlanner Planner;
     StartLag Lag;
     /// Parts that engines computed for it since its last report.
@@ -118,10 +119,11 @@
   void take(const RequestPointer &Which);
   void plan(const RequestPointer &Which);
   void refused(const RequestPointer &Which, Milliseconds RetryAfter);
-  void read(const RequestPointer &Which, const ReadThenRun &Plan);
+  void read(const RequestPointer &Which, const PrefillThenDecode &Plan);
   void readEnded(const RequestPointer &Which, Engine &At);
-  void run(const RequestPointer &Which, const RunAt &Plan, bool HasRead);
-  void startRun(const RequestPointer &Which, const RunAt &Plan, bool HasRead);
+  void run(const RequestPointer &Which, const DecodePlan &Plan, bool HasRead);
+  void startRun(const RequestPointer &Which, const DecodePlan &Plan,
+                bool HasRead);
   void runEnded(const RequestPointer &Which, Engine &At);
   void turnedAway(const RequestPointer &Which, Engine &At);
   void keep(const RequestPointer &Which, Engine &At);
@@ -135,7 +137,7 @@
 
   FleetOptions m_Options;
   EngineTraits m_Traits;
-  engine::EngineFigures m_Figures;
+  engine::EngineParameters m_Figures;
   FleetResult m_Result;
   std::mt19937_64 m_Random;
   BootTime m_Start{std::chrono::seconds(100)};
--- a/Tests/LibDispatch/TestKvCacheView.cpp
+++ b/Tests/LibDispatch/TestKvCacheView.cpp
@@ -12,14 +12,14 @@
 
 TEST_GROUP(KvCacheView) {
   KvCacheView Cache{100};
-  Prompt What{90, 1, {{1, 40}, {2, 40}, {3, 10}}};
+  Prompt Input{90, 1, {{1, 40}, {2, 40}, {3, 10}}};
 };
 
 TEST(KvCacheView, CountsLeadingPartsOnly) {
   Cache.insert({2, 40});
-  LONGS_EQUAL(0, Cache.cachedTokens(What));
+  LONGS_EQUAL(0, Cache.cachedTokens(Input));
   Cache.insert({1, 40});
-  LONGS_EQUAL(80, Cache.cachedTokens(What));
+  LONGS_EQUAL(80, Cache.cachedTokens(Input));
 }
 
 TEST(KvCacheView, DropsWhatWasUsedLeastRecently) {
@@ -27,14 +27,14 @@
   Cache.insert({2, 40});
   Cache.insert({1, 40});
   Cache.insert({4, 40});
-  CHECK(Cache.holds(1));
-  CHECK(!Cache.holds(2));
+  CHECK(Cache.contains(1));
+  CHECK(!Cache.contains(2));
 }
 
 TEST(KvCacheView, ShrinksWithItsCapacity) {
   Cache.insert({1, 40});
   Cache.setCapacity(10);
-  CHECK(!Cache.holds(1));
+  CHECK(!Cache.contains(1));
 }
 
 // Symptom: a rush for a subject that nobody has read yet: its first request is
@@ -43,16 +43,16 @@
 // Cause: what the engine will keep by the time it turns to them did not count.
 TEST(KvCacheView, CountsWhatIsOnItsWayInFrontOfAPrompt) {
   const figlift::BootTime Now{std::chrono::seconds(100)};
-  Cache.expect({1, 40}, Now + std::chrono::milliseconds(500));
-  Cache.expect({2, 40}, Now + std::chrono::milliseconds(500));
-  LONGS_EQUAL(80, Cache.cachedTokensInTurn(What, Now));
-  LONGS_EQUAL(0, Cache.cachedTokens(What));
+  Cache.addPending({1, 40}, Now + std::chrono::milliseconds(500));
+  Cache.addPending({2, 40}, Now + std::chrono::milliseconds(500));
+  LONGS_EQUAL(80, Cache.cachedTokensWithPending(Input, Now));
+  LONGS_EQUAL(0, Cache.cachedTokens(Input));
   Cache.insert({1, 40});
-  LONGS_EQUAL(40, Cache.cachedTokens(What));
-  LONGS_EQUAL(40,
-              Cache.cachedTokensInTurn(What, Now + std::chrono::seconds(1)));
-  Cache.abandon(1);
-  Cache.abandon(2);
-  CHECK(Cache.holds(1));
-  LONGS_EQUAL(40, Cache.cachedTokensInTurn(What, Now));
+  LONGS_EQUAL(40, Cache.cachedTokens(Input));
+  LONGS_EQUAL(
+      40, Cache.cachedTokensWithPending(Input, Now + std::chrono::seconds(1)));
+  Cache.removePending(1);
+  Cache.removePending(2);
+  CHECK(Cache.contains(1));
+  LONGS_EQUAL(40, Cache.cachedTokensWithPending(Input, Now));
 }
--- a/Tests/LibDispatch/TestKvReuse.cpp
+++ b/Tests/LibDispatch/TestKvReuse.cpp
@@ -18,17 +18,17 @@
 
 // Load: a burst; one engine in three is full.
 TEST(KvReuse, GoesOnWhileMostRunsBegin) {
-  for (int At = 0; At < 60; ++At)
-    Reuse.tried(At % 3 != 0, Now);
-  CHECK(Reuse.worthTrying(Now));
+  for (int Attempt = 0; Attempt < 60; ++Attempt)
+    Reuse.recordRetry(Attempt % 3 != 0, Now);
+  CHECK(Reuse.shouldRetry(Now));
 }
 
 // Symptom: callers are refused by engines that have room. Sequence: engines
 // drop the KV cache of reads at once; each run is rejected by two engines.
 // Cause: the rejections were taken for those of full engines.
 TEST(KvReuse, StopsWhenCachesAreGone) {
-  for (int At = 0; At < 5; ++At)
-    Reuse.tried(false, Now);
-  CHECK(!Reuse.worthTrying(Now));
-  CHECK(Reuse.worthTrying(Now + std::chrono::seconds(2)));
+  for (int Attempt = 0; Attempt < 5; ++Attempt)
+    Reuse.recordRetry(false, Now);
+  CHECK(!Reuse.shouldRetry(Now));
+  CHECK(Reuse.shouldRetry(Now + std::chrono::seconds(2)));
 }
--- a/Tests/LibDispatch/TestServicePlanner.cpp
+++ b/Tests/LibDispatch/TestServicePlanner.cpp
@@ -12,7 +12,7 @@
 using namespace figlift::dispatch;
 
 TEST_GROUP(ServicePlanner) {
-  LoadBook Loads;
+  LoadTracker Loads;
   ServicePlanner Planner{{}, Loads};
   Target A;
   Target B;
@@ -24,16 +24,16 @@
     A.Id = "a";
     B.Id = "b";
     A.Slots = B.Slots = 2;
-    Loads.targetCame(A, 0);
-    Loads.targetCame(B, 0);
+    Loads.targetAdded(A, 0);
+    Loads.targetAdded(B, 0);
   }
   std::string chosen() {
     const auto Plan = Planner.plan(Request, Servers, Now);
-    const auto *To = std::get_if<SendTo>(&Plan);
-    return To ? To->TargetId : std::string();
+    const auto *Assignment = std::get_if<ServiceAssignment>(&Plan);
+    return Assignment ? Assignment->TargetId : std::string();
   }
   uint64_t start(const std::string &Id) {
-    return Loads.started(
+    return Loads.recordSent(
         Id, {Milliseconds(20), Milliseconds(20), Milliseconds(0), Now});
   }
 };
@@ -53,24 +53,24 @@
 // Load: one server of two turns slow. Grounds: after ten answers of five times
 // the time it must not be chosen while the other is free.
 TEST(ServicePlanner, LeavesASlowServer) {
-  for (int At = 0; At < 10; ++At) {
+  for (int Count = 0; Count < 10; ++Count) {
     const uint64_t Ticket = start("a");
     Now += std::chrono::milliseconds(100);
-    Loads.answered("a", Ticket, Now);
-    Loads.ended("a", Ticket);
+    Loads.recordAnswer("a", Ticket, Now);
+    Loads.recordEnd("a", Ticket);
   }
   STRCMP_EQUAL("b", chosen().c_str());
 }
 
 TEST(ServicePlanner, LeavesAServerThatFails) {
-  Loads.failed("a", start("a"), Now);
+  Loads.recordFailure("a", start("a"), Now);
   STRCMP_EQUAL("b", chosen().c_str());
 }
 
 // Load: a burst far above the slots. Grounds: a request that cannot be answered
 // in its time is refused at once and takes no slot from one that can.
 TEST(ServicePlanner, RefusesWhatCannotBeAnsweredInTime) {
-  for (int At = 0; At < 200; ++At) {
+  for (int Count = 0; Count < 200; ++Count) {
     start("a");
     start("b");
   }
@@ -86,11 +86,11 @@
 // check is good. Sequence: it answers part of the requests with errors of its
 // own. Cause: an error that a server signed was held against nobody.
 TEST(ServicePlanner, LeavesAServerThatGivesMoreErrorsThanTheOthers) {
-  for (int At = 0; At < 5; ++At) {
-    Loads.errored("a", Now);
-    Loads.answered("b", start("b"), Now);
+  for (int Count = 0; Count < 5; ++Count) {
+    Loads.recordError("a", Now);
+    Loads.recordAnswer("b", start("b"), Now);
   }
-  Loads.ended("b", 0);
+  Loads.recordEnd("b", 0);
   for (const double Draw : {0.0, 0.6}) {
     Request.Draw = Draw;
     STRCMP_EQUAL("b", chosen().c_str());
@@ -100,9 +100,9 @@
 // Load: a service whose requests fail by right at every server. Grounds: no
 // server is better for it, and load decides.
 TEST(ServicePlanner, TakesErrorsThatAllGiveForTheRequestsOwn) {
-  for (int At = 0; At < 5; ++At) {
-    Loads.errored("a", Now);
-    Loads.errored("b", Now);
+  for (int Count = 0; Count < 5; ++Count) {
+    Loads.recordError("a", Now);
+    Loads.recordError("b", Now);
   }
   start("a");
   start("a");
@@ -114,7 +114,7 @@
 }
 
 TEST(ServicePlanner, GoesToAServerThatFailedWhenThereIsNoOther) {
-  Loads.failed("a", start("a"), Now);
-  Loads.failed("b", start("b"), Now);
+  Loads.recordFailure("a", start("a"), Now);
+  Loads.recordFailure("b", start("b"), Now);
   CHECK(!chosen().empty());
 }
--- a/Tests/LibDispatch/TestStagePlanner.cpp
+++ b/Tests/LibDispatch/TestStagePlanner.cpp
@@ -16,8 +16,8 @@
 
 TEST_GROUP(StagePlanner) {
   StagePlanner Planner{true};
-  double Doubt = 1;
-  LoadBook Loads;
+  double Uncertainty = 1;
+  LoadTracker Loads;
   std::deque<Target> Targets;
   std::vector<const Target *> Engines;
   BootTime Now{std::chrono::seconds(100)};
@@ -28,15 +28,15 @@
     plan({0, 0});
     Now += milliseconds(2000);
   }
-  void add(Stage Does) {
-    Target Made;
-    Made.Id = "e" + std::to_string(Targets.size());
-    Made.Does = Does;
-    Targets.push_back(Made);
+  void add(Stage EngineStage) {
+    Target Entry;
+    Entry.Id = "e" + std::to_string(Targets.size());
+    Entry.EngineStage = EngineStage;
+    Targets.push_back(Entry);
     Engines.push_back(&Targets.back());
   }
   std::optional<StageChange> plan(EngineDemand Demand) {
-    return Planner.plan(Engines, Demand, Doubt, Loads, Now);
+    return Planner.plan(Engines, Demand, Uncertainty, Loads, Now);
   }
 };
 
@@ -44,7 +44,7 @@
 TEST(StagePlanner, MovesOneEngineTowardsTheBusierWork) {
   const auto Change = plan({3, 3});
   CHECK(Change.has_value());
-  CHECK(Change->Wanted == Stage::Prefill);
+  CHECK(Change->DesiredStage == Stage::Prefill);
 }
 
 TEST(StagePlanner, LeavesASplitThatFits) { CHECK(!plan({1.5, 4.5})); }
@@ -57,8 +57,8 @@
 // an engine when the next burst comes.
 TEST(StagePlanner, DoesNotChangeBackInACalmSpell) {
   const auto Change = plan({1.5, 1.5});
-  Planner.ordered(*Change, Now);
-  Planner.settled(Change->TargetId);
+  Planner.recordOrder(*Change, Now);
+  Planner.clearOrder(Change->TargetId);
   CHECK(!plan({0.4, 2.5}));
   CHECK(plan({4, 0.5}).has_value());
 }
@@ -79,13 +79,13 @@
 // Load: demand above what is there. Grounds: a second engine may not leave
 // while the first is away.
 TEST(StagePlanner, TakesOneEngineAwayAtATimeUnderLoad) {
-  Planner.ordered(*plan({3, 3}), Now);
+  Planner.recordOrder(*plan({3, 3}), Now);
   CHECK(!plan({3, 3}));
 }
 
 TEST(StagePlanner, TakesSeveralWhileTheOthersHaveRoom) {
   const auto First = plan({1.7, 1.1});
-  Planner.ordered(*First, Now);
+  Planner.recordOrder(*First, Now);
   const auto Second = plan({1.7, 1.1});
   CHECK(Second.has_value());
   CHECK(Second->TargetId != First->TargetId);
@@ -96,7 +96,7 @@
 // Sequence: an order has no answer and is carried out twelve seconds later.
 TEST(StagePlanner, CountsAnOrderInDoubtAsOneThatMayCome) {
   const auto Change = plan({3, 3});
-  Planner.ordered(*Change, Now);
+  Planner.recordOrder(*Change, Now);
   Now += milliseconds(12000);
   CHECK(!plan({3, 3}));
   Now += milliseconds(1000);
@@ -105,17 +105,17 @@
 
 TEST(StagePlanner, GoesOnWhenTheListShowsTheNewStage) {
   const auto Change = plan({3, 3});
-  Planner.ordered(*Change, Now);
+  Planner.recordOrder(*Change, Now);
   for (Target &Each : Targets)
     if (Each.Id == Change->TargetId)
-      Each.Does = Stage::Prefill;
+      Each.EngineStage = Stage::Prefill;
   CHECK(plan({3, 3}).has_value());
 }
 
 TEST(StagePlanner, PausesAfterARefusal) {
   const auto Change = plan({3, 3});
-  Planner.ordered(*Change, Now);
-  Planner.refused(Change->TargetId, Now);
+  Planner.recordOrder(*Change, Now);
+  Planner.recordRefusal(Change->TargetId, Now);
   CHECK(!plan({3, 3}));
   Now += milliseconds(4100);
   CHECK(plan({3, 3}).has_value());
@@ -123,8 +123,8 @@
 
 TEST(StagePlanner, KeepsEnginesToRunAt) {
   for (Target &Each : Targets)
-    Each.Does = Stage::Prefill;
-  Targets[0].Does = Targets[1].Does = Stage::Decode;
+    Each.EngineStage = Stage::Prefill;
+  Targets[0].EngineStage = Targets[1].EngineStage = Stage::Decode;
   CHECK(!plan({10, 0.1}));
 }
 
@@ -134,7 +134,7 @@
 // Cause: each process knew of its own orders alone. Worth 0.05 of all value on
 // a day with two bursts (three runs).
 TEST(StagePlanner, KnowsThatAnotherGatewayHasChangedAnEngine) {
-  Targets[5].Does = Stage::Prefill;
+  Targets[5].EngineStage = Stage::Prefill;
   CHECK(!plan({0.4, 2.5}));
 }
 
@@ -144,10 +144,10 @@
 // have only begun.
 // Cause: the first second's demand was taken for the day's.
 TEST(StagePlanner, MovesFewerEnginesWhileDemandIsInDoubt) {
-  Doubt = 2;
+  Uncertainty = 2;
   CHECK(!plan({2.6, 3}));
   CHECK(plan({5, 1}).has_value());
-  Doubt = 1;
+  Uncertainty = 1;
   CHECK(plan({2.6, 3}).has_value());
 }
 
--- a/Tests/LibDispatch/TestStartLag.cpp
+++ b/Tests/LibDispatch/TestStartLag.cpp
@@ -20,7 +20,7 @@
 
   /// \p Count answers, 50 ms apart.
   void answers(int Count, double Measured) {
-    for (int At = 0; At < Count; ++At) {
+    for (int Index = 0; Index < Count; ++Index) {
       Now += milliseconds(50);
       Lag.observe(Milliseconds(60), Milliseconds(Measured), Target, Now);
     }
@@ -42,7 +42,7 @@
 
 // Grounds: four of five answers stay below it, not the mean: engines differ.
 TEST(StartLag, FollowsTheLatestFifth) {
-  for (int At = 0; At < 40; ++At) {
+  for (int Index = 0; Index < 40; ++Index) {
     answers(4, 70);
     answers(1, 100);
   }
@@ -60,7 +60,7 @@
 }
 
 TEST(StartLag, RisesWhenEnginesAreFull) {
-  for (int At = 0; At < 7; ++At)
-    Lag.turnedAway(Target, Now);
+  for (int Index = 0; Index < 7; ++Index)
+    Lag.recordRejection(Target, Now);
   CHECK(Lag.current(Now) >= Target * 0.5);
 }
--- a/Tests/LibDispatch/TestStoreNews.cpp
+++ b/Tests/LibDispatch/TestStoreNews.cpp
@@ -24,7 +24,7 @@
     Engine.Zone = "z";
     Engine.Slots = 6;
     Engine.Draining = true;
-    Engine.Does = Stage::Decode;
+    Engine.EngineStage = Stage::Decode;
   }
 };
 
@@ -32,7 +32,7 @@
   Target Plain = Engine;
   Plain.Id = "p";
   Plain.Started.reset();
-  Plain.Does = Stage::None;
+  Plain.EngineStage = Stage::None;
   const StoreNews Sent{
       "g1",
       {{3, 5},
--- a/Tests/LibDispatch/TestStreamTimes.cpp
+++ b/Tests/LibDispatch/TestStreamTimes.cpp
@@ -20,14 +20,14 @@
   std::multimap<BootTime, int> Ends;
 
   /// One stream each 100 ms, every fourth lasts 4 s, the others 200 ms.
-  void play(milliseconds For) {
-    const BootTime Until = Now + For;
+  void play(milliseconds Duration) {
+    const BootTime Until = Now + Duration;
     for (int Number = 0; Now < Until; ++Number) {
-      Times.began(Now);
+      Times.recordStart(Now);
       Ends.emplace(Now + milliseconds(Number % 4 ? 200 : 4000), Number);
       Now += milliseconds(100);
       while (!Ends.empty() && Ends.begin()->first <= Now) {
-        Times.ended(Ends.begin()->first);
+        Times.recordEnd(Ends.begin()->first);
         Ends.erase(Ends.begin());
       }
     }
@@ -53,6 +53,6 @@
 
 TEST(StreamTimes, KnowsNothingBeforeTheFirst) {
   DOUBLES_EQUAL(0, Times.mean(Now).count(), 0);
-  Times.began(Now);
+  Times.recordStart(Now);
   DOUBLES_EQUAL(500, Times.mean(Now + milliseconds(500)).count(), 10);
 }
--- a/Tests/LibDispatch/TestTargetTable.cpp
+++ b/Tests/LibDispatch/TestTargetTable.cpp
@@ -17,20 +17,20 @@
   BootTime Now{std::chrono::seconds(100)};
 
   static Target target(const std::string &Id) {
-    Target Made;
-    Made.Id = Id;
-    Made.Service = "s";
-    Made.Address = {"10.0.0.1", 80};
-    return Made;
+    Target Entry;
+    Entry.Id = Id;
+    Entry.Service = "s";
+    Entry.Address = {"10.0.0.1", 80};
+    return Entry;
   }
-  void pass(milliseconds Time) { Now += Time; }
+  void advance(milliseconds Time) { Now += Time; }
 };
 
 TEST(TargetTable, TellsWhatCameAndWent) {
   LONGS_EQUAL(2, Table.replaceAll({target("a"), target("b")}, Now).size());
   const auto Events = Table.replaceAll({target("b")}, Now);
   LONGS_EQUAL(1, Events.size());
-  STRCMP_EQUAL("a", std::get<TargetGone>(Events[0]).Id.c_str());
+  STRCMP_EQUAL("a", std::get<TargetRemoved>(Events[0]).Id.c_str());
 }
 
 TEST(TargetTable, TellsADrainOnce) {
@@ -38,7 +38,7 @@
   Target Leaving = target("a");
   Leaving.Draining = true;
   const auto Events = Table.update(Leaving, Now);
-  CHECK(std::holds_alternative<TargetDrains>(Events.at(0)));
+  CHECK(std::holds_alternative<TargetDraining>(Events.at(0)));
   CHECK(Table.update(Leaving, Now).empty());
 }
 
@@ -48,19 +48,19 @@
 // Cause: the empty list was taken at its word.
 TEST(TargetTable, KeepsEntriesThatLapsedWhileTheStoreWasAway) {
   Table.replaceAll({target("a"), target("b")}, Now);
-  Table.storeLost(Now);
-  pass(milliseconds(8000));
-  Table.storeLost(Now);
-  pass(milliseconds(200));
+  Table.recordStoreFailure(Now);
+  advance(milliseconds(8000));
+  Table.recordStoreFailure(Now);
+  advance(milliseconds(200));
   CHECK(Table.replaceAll({}, Now).empty());
   LONGS_EQUAL(2, Table.all().size());
-  pass(milliseconds(1000));
+  advance(milliseconds(1000));
   Table.update(target("a"), Now);
   CHECK(Table.tick(Now).empty());
-  pass(milliseconds(1000));
+  advance(milliseconds(1000));
   const auto Events = Table.tick(Now);
   LONGS_EQUAL(1, Events.size());
-  STRCMP_EQUAL("b", std::get<TargetGone>(Events[0]).Id.c_str());
+  STRCMP_EQUAL("b", std::get<TargetRemoved>(Events[0]).Id.c_str());
   CHECK(Table.find("a") != nullptr);
 }
 
@@ -71,10 +71,10 @@
 // Cause: the grace for entries that lapsed counted from the first answer.
 TEST(TargetTable, CountsTheGraceFromTheLastFailure) {
   Table.replaceAll({target("a")}, Now);
-  Table.storeLost(Now);
-  pass(milliseconds(800));
+  Table.recordStoreFailure(Now);
+  advance(milliseconds(800));
   CHECK(Table.replaceAll({}, Now).empty());
-  pass(milliseconds(1600));
+  advance(milliseconds(1600));
   LONGS_EQUAL(1, Table.tick(Now).size());
 }
 
@@ -88,10 +88,10 @@
 
 TEST(TargetTable, DoesNotEndTheGraceDuringAnotherOutage) {
   Table.replaceAll({target("a")}, Now);
-  Table.storeLost(Now);
+  Table.recordStoreFailure(Now);
   Table.replaceAll({}, Now);
-  Table.storeLost(Now);
-  pass(milliseconds(5000));
+  Table.recordStoreFailure(Now);
+  advance(milliseconds(5000));
   CHECK(Table.tick(Now).empty());
   CHECK(Table.find("a") != nullptr);
 }
@@ -101,18 +101,18 @@
   BootTime Now{std::chrono::seconds(100)};
 
   static Target entry(int64_t Started, uint64_t Heartbeat) {
-    Target Made;
-    Made.Id = "a";
-    Made.Service = "s";
-    Made.Address = {"10.0.0.1", 80};
-    Made.Started = StartTime(milliseconds(Started));
-    Made.Heartbeat = Heartbeat;
-    return Made;
+    Target Entry;
+    Entry.Id = "a";
+    Entry.Service = "s";
+    Entry.Address = {"10.0.0.1", 80};
+    Entry.Started = StartTime(milliseconds(Started));
+    Entry.Heartbeat = Heartbeat;
+    return Entry;
   }
   void expectRestart(const std::vector<TargetEvent> &Events) {
     LONGS_EQUAL(2, Events.size());
-    CHECK(std::holds_alternative<TargetGone>(Events[0]));
-    CHECK(std::holds_alternative<TargetCame>(Events[1]));
+    CHECK(std::holds_alternative<TargetRemoved>(Events[0]));
+    CHECK(std::holds_alternative<TargetAdded>(Events[1]));
   }
 };
 
@@ -159,25 +159,25 @@
 // Failure: a server that had left gets requests again, as a store that came
 // back from a copy lists it.
 TEST(TargetTable, TakesNoOldEntryOfAServerThatIsGone) {
-  Target Last = target("a");
-  Last.Heartbeat = 7;
-  Table.replaceAll({Last}, Now);
+  Target LastEntry = target("a");
+  LastEntry.Heartbeat = 7;
+  Table.replaceAll({LastEntry}, Now);
   Table.remove("a", Now);
-  pass(milliseconds(5000));
-  Target Copied = Last;
+  advance(milliseconds(5000));
+  Target Copied = LastEntry;
   Copied.Heartbeat = 5;
   CHECK(Table.replaceAll({Copied}, Now).empty());
-  CHECK(Table.replaceAll({Last}, Now).empty());
+  CHECK(Table.replaceAll({LastEntry}, Now).empty());
   CHECK(Table.all().empty());
 }
 
 // Failure: a server that goes on, or starts again, is never used.
 TEST(TargetTable, TakesAGoneServerBackThatWrites) {
-  Target Last = target("a");
-  Last.Heartbeat = 7;
-  Table.replaceAll({Last}, Now);
+  Target LastEntry = target("a");
+  LastEntry.Heartbeat = 7;
+  Table.replaceAll({LastEntry}, Now);
   Table.remove("a", Now);
-  Target Next = Last;
+  Target Next = LastEntry;
   Next.Heartbeat = 8;
   LONGS_EQUAL(1, Table.update(Next, Now).size());
   Table.remove("a", Now);
--- a/Tests/LibEngine/TestEngineModel.cpp
+++ b/Tests/LibEngine/TestEngineModel.cpp
@@ -21,7 +21,7 @@
   double FixedMs;
   double TokensPerMs;
   double MillionPairsMs;
-  Milliseconds read(const ReadSize &Size) const {
+  Milliseconds read(const PrefillSize &Size) const {
     return Milliseconds(FixedMs + Size.Tokens / TokensPerMs +
                         Size.MillionPairs * MillionPairsMs);
   }
@@ -31,13 +31,13 @@
 constexpr Engine Fast{7, 672, 0.04};
 
 /// \p Kept tokens before \p Computed ones.
-ReadSize size(double Computed, double Kept) {
+PrefillSize size(double Computed, double Kept) {
   return {Computed, Computed * (Kept + Computed / 2) / 1e6};
 }
 
-Milliseconds estimate(const EngineFigures &By, const ReadSize &Size) {
-  return By.ReadFixed + By.ReadThousandTokens * Size.Tokens / 1000 +
-         By.ReadMillionPairs * Size.MillionPairs;
+Milliseconds estimate(const EngineParameters &By, const PrefillSize &Size) {
+  return By.PrefillFixed + By.PrefillPerThousandTokens * Size.Tokens / 1000 +
+         By.PrefillPerMillionPairs * Size.MillionPairs;
 }
 
 } // namespace
@@ -49,20 +49,20 @@
 
   /// Measures \p Count reads of many sizes, each delayed by up to \p Waits of
   /// itself by what nobody told of.
-  void measure(const Engine &At, int Count, double Waits = 0) {
+  void measure(const Engine &Tested, int Count, double Waits = 0) {
     std::lognormal_distribution<double> Tokens(7.5, 1);
     std::uniform_real_distribution<double> Kept(0, 13000);
     std::uniform_real_distribution<double> Wait(0, Waits);
     for (int Each = 0; Each < Count; ++Each) {
-      const ReadSize Size = size(Tokens(Random), Kept(Random));
-      Model.observeRead(Size, At.read(Size) * (1 + Wait(Random)), 1);
+      const PrefillSize Size = size(Tokens(Random), Kept(Random));
+      Model.observePrefill(Size, Tested.read(Size) * (1 + Wait(Random)), 1);
     }
   }
-  void expectWithin(double Share, const Engine &At) {
-    for (const ReadSize &Size :
+  void expectWithin(double Share, const Engine &Tested) {
+    for (const PrefillSize &Size :
          {size(1200, 400), size(3700, 13300), size(17000, 0)}) {
-      const double Truth = At.read(Size).count();
-      DOUBLES_EQUAL(Truth, estimate(Model.figures(Now), Size).count(),
+      const double Truth = Tested.read(Size).count();
+      DOUBLES_EQUAL(Truth, estimate(Model.parameters(Now), Size).count(),
                     Truth * Share);
     }
   }
@@ -80,10 +80,10 @@
 
 // Load: a rush at a cold start: all that comes first are large prompts.
 TEST(EngineModel, TakesOneLargeReadForAFirstHint) {
-  const ReadSize Large = size(17000, 0);
-  Model.observeRead(Large, Slow.read(Large), 1);
+  const PrefillSize Large = size(17000, 0);
+  Model.observePrefill(Large, Slow.read(Large), 1);
   const double Truth = Slow.read(Large).count();
-  DOUBLES_EQUAL(Truth, estimate(Model.figures(Now), Large).count(),
+  DOUBLES_EQUAL(Truth, estimate(Model.parameters(Now), Large).count(),
                 Truth * 0.15);
 }
 
@@ -92,9 +92,9 @@
 TEST(EngineModel, IsNotMisledMuchByWaitsThatNobodyToldOf) {
   measure(Slow, 30);
   measure(Slow, 20, 0.2);
-  const ReadSize Common = size(3700, 13300);
+  const PrefillSize Common = size(3700, 13300);
   for (int Each = 0; Each < 3; ++Each)
-    Model.observeRead(Common, Slow.read(Common) * 10, 1);
+    Model.observePrefill(Common, Slow.read(Common) * 10, 1);
   expectWithin(0.35, Slow);
 }
 
@@ -112,32 +112,33 @@
   std::swap(Model, Peer);
   measure(Slow, 30);
   std::swap(Model, Peer);
-  Model.peerTold("other", Peer.own(), Now);
+  Model.recordPeerParameters("other", Peer.localParameters(), Now);
   expectWithin(0.15, Slow);
 }
 
 TEST(EngineModel, ForgetsPeersThatAreGone) {
-  EngineFigures Odd;
-  Odd.ReadThousandTokens = Milliseconds(1000);
-  Odd.ReadWeight = 50;
-  Model.peerTold("gone", Odd, Now);
+  EngineParameters Odd;
+  Odd.PrefillPerThousandTokens = Milliseconds(1000);
+  Odd.PrefillWeight = 50;
+  Model.recordPeerParameters("gone", Odd, Now);
   Now += seconds(60);
-  DOUBLES_EQUAL(5, Model.figures(Now).ReadThousandTokens.count(), 0.001);
+  DOUBLES_EQUAL(5, Model.parameters(Now).PrefillPerThousandTokens.count(),
+                0.001);
 }
 
 TEST(EngineModel, LearnsWhatReadingBesideTokensCosts) {
   for (int Each = 0; Each < 6; ++Each)
-    Model.observeDecodeRead(Milliseconds(20), Milliseconds(44), 1);
-  DOUBLES_EQUAL(2.2, Model.figures(Now).DecodeReadFactor, 0.1);
+    Model.observeDecodePrefill(Milliseconds(20), Milliseconds(44), 1);
+  DOUBLES_EQUAL(2.2, Model.parameters(Now).DecodePrefillFactor, 0.1);
 }
 
 TEST(EngineModel, LearnsWhatAStartCostsBesideItsTransfer) {
   for (int Each = 0; Each < 6; ++Each) {
-    Model.observeStart(Milliseconds(2), Milliseconds(19), 1);
-    Model.observeStart(Milliseconds(10), Milliseconds(27), 1);
+    Model.observeDecodeStart(Milliseconds(2), Milliseconds(19), 1);
+    Model.observeDecodeStart(Milliseconds(10), Milliseconds(27), 1);
   }
-  DOUBLES_EQUAL(17, Model.figures(Now).StartFixed.count(), 1);
-  DOUBLES_EQUAL(1, Model.figures(Now).TransferFactor, 0.1);
+  DOUBLES_EQUAL(17, Model.parameters(Now).DecodeStartFixed.count(), 1);
+  DOUBLES_EQUAL(1, Model.parameters(Now).TransferFactor, 0.1);
 }
 
 // Symptom: after a restart of all gateways every prompt goes to the few decode
@@ -148,23 +149,24 @@
 // Cause: only reads at prefill engines taught what reading costs.
 TEST(EngineModel, UnlearnsAFigureThatIsFarTooLow) {
   for (int Each = 0; Each < 10; ++Each)
-    Model.observeRead(size(17000, 0), Milliseconds(30), 1);
-  CHECK(estimate(Model.figures(Now), size(17000, 0)).count() < 50);
+    Model.observePrefill(size(17000, 0), Milliseconds(30), 1);
+  CHECK(estimate(Model.parameters(Now), size(17000, 0)).count() < 50);
   constexpr double BesideStreams = 0.1;
   for (int Each = 0; Each < 80; ++Each)
-    Model.observeRead(size(3700, 13300), Slow.read(size(3700, 13300)),
-                      BesideStreams);
+    Model.observePrefill(size(3700, 13300), Slow.read(size(3700, 13300)),
+                         BesideStreams);
   const double Truth = Slow.read(size(3700, 13300)).count();
-  DOUBLES_EQUAL(Truth, estimate(Model.figures(Now), size(3700, 13300)).count(),
+  DOUBLES_EQUAL(Truth,
+                estimate(Model.parameters(Now), size(3700, 13300)).count(),
                 Truth * 0.35);
 }
 
 // No measurement makes a cost negative, whatever noise is in it.
 TEST(EngineModel, NeverEstimatesLessThanNothing) {
-  Model.observeRead(size(10000, 0), Milliseconds(1), 1);
-  Model.observeRead(size(100, 0), Milliseconds(500), 1);
-  const EngineFigures Found = Model.figures(Now);
-  CHECK(Found.ReadFixed.count() >= 0);
-  CHECK(Found.ReadThousandTokens.count() >= 0);
-  CHECK(Found.ReadMillionPairs.count() >= 0);
+  Model.observePrefill(size(10000, 0), Milliseconds(1), 1);
+  Model.observePrefill(size(100, 0), Milliseconds(500), 1);
+  const EngineParameters Solution = Model.parameters(Now);
+  CHECK(Solution.PrefillFixed.count() >= 0);
+  CHECK(Solution.PrefillPerThousandTokens.count() >= 0);
+  CHECK(Solution.PrefillPerMillionPairs.count() >= 0);
 }
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -87,7 +87,7 @@
       "stage":"prefill","models":[],"sequence":4})");
   CHECK(Read.has_value());
   CHECK(Read.value().Draining);
-  CHECK(Read.value().Does == dispatch::Stage::Prefill);
+  CHECK(Read.value().EngineStage == dispatch::Stage::Prefill);
   LONGS_EQUAL(8080, Read.value().Address.Port);
 }
 
@@ -96,7 +96,7 @@
       decodeServer("i-1", R"({"service":"b","address":"10.0.0.1:1","zone":"z",
       "version":"v1","slots":6,"state":"ready","coldRemainingMs":0,
       "sequence":4})");
-  CHECK(Read.value().Does == dispatch::Stage::None);
+  CHECK(Read.value().EngineStage == dispatch::Stage::None);
   CHECK(!Read.value().Draining);
 }
 
