--- a/Libraries/LibEngine/EngineModel.cpp
+++ b/Libraries/LibEngine/EngineModel.cpp
@@ -1,6 +1,6 @@
-//===- EngineModel.cpp - What engines of one service need -----------------===//
+//===- EngineModel.cpp - Learned cost model of engines --------------------===//
 //
-// Three linear costs, and the mean of what processes learned.
+// Three linear cost models, and the mean over the processes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,17 +12,17 @@
 
 constexpr double TokensPerUnit = 1000;
 
-// Doubts are wide against what engines of today show: 30 to 1,000 tokens a
-// millisecond, 1 to 30 ms for a first step. Means are those of a fast engine:
-// a gateway that knows nothing yet must rather send than refuse, since only
-// what it sends teaches it.
+// The standard deviations are wide compared to the range of current engines, 30
+// to 1,000 tokens per millisecond and 1 to 30 ms for the first step. The means
+// are those of a fast engine: without measurements a gateway has to send
+// requests rather than reject them, because it learns only from requests sent.
 constexpr std::array<CoefficientPrior, 4> PrefillPrior = {
     {{5, 20}, {5, 20}, {0.1, 0.5}, {1, 5}}};
 constexpr std::array<CoefficientPrior, 1> DecodePrefillPrior = {{{3, 2}}};
 constexpr std::array<CoefficientPrior, 2> DecodeStartPrior = {
     {{5, 20}, {1, 0.5}}};
 
-/// A weighted mean that begins with one's own figure.
+/// Weighted mean, starting with the value of this process.
 class Mean {
 public:
   Mean(double Value, double Weight) : m_Sum(Value * Weight), m_Weight(Weight) {}
@@ -37,7 +37,7 @@
   double m_Weight;
 };
 
-/// Weight of figures that rest on no measurement: enough to divide by.
+/// Weight of parameters without measurements; avoids a division by zero.
 constexpr double MinimumWeight = 1e-6;
 
 } // namespace
@@ -83,9 +83,9 @@
 }
 
 void EngineModel::recordPeerParameters(const std::string &Peer,
-                                       const EngineParameters &PeerParameters,
+                                       const EngineParameters &Parameters,
                                        BootTime Now) {
-  m_Peers[Peer] = {PeerParameters, Now};
+  m_Peers[Peer] = {Parameters, Now};
   m_MeanComputedAt.reset();
 }
 
@@ -98,21 +98,23 @@
 }
 
 EngineParameters EngineModel::mean(BootTime Now) const {
-  const double Read = m_LocalParameters.PrefillWeight + MinimumWeight;
-  Mean Fixed(m_LocalParameters.PrefillFixed.count(), Read);
-  Mean Tokens(m_LocalParameters.PrefillPerThousandTokens.count(), Read);
-  Mean Pairs(m_LocalParameters.PrefillPerMillionPairs.count(), Read);
-  Mean Fetch(m_LocalParameters.FetchFixed.count(), Read);
+  const double PrefillWeight = m_LocalParameters.PrefillWeight + MinimumWeight;
+  Mean Fixed(m_LocalParameters.PrefillFixed.count(), PrefillWeight);
+  Mean Tokens(m_LocalParameters.PrefillPerThousandTokens.count(),
+              PrefillWeight);
+  Mean Pairs(m_LocalParameters.PrefillPerMillionPairs.count(), PrefillWeight);
+  Mean Fetch(m_LocalParameters.FetchFixed.count(), PrefillWeight);
   Mean DecodeFactor(m_LocalParameters.DecodePrefillFactor,
                     m_LocalParameters.DecodePrefillWeight + MinimumWeight);
-  const double Starts = m_LocalParameters.DecodeStartWeight + MinimumWeight;
-  Mean Start(m_LocalParameters.DecodeStartFixed.count(), Starts);
-  Mean Transfer(m_LocalParameters.TransferFactor, Starts);
+  const double StartWeight =
+      m_LocalParameters.DecodeStartWeight + MinimumWeight;
+  Mean Start(m_LocalParameters.DecodeStartFixed.count(), StartWeight);
+  Mean Transfer(m_LocalParameters.TransferFactor, StartWeight);
   EngineParameters Combined = m_LocalParameters;
-  for (const auto &[Peer, Each] : m_Peers) {
-    if (Now - Each.At > PeerLifetime)
+  for (const auto &[Peer, Report] : m_Peers) {
+    if (Now - Report.At > PeerLifetime)
       continue;
-    const EngineParameters &PeerValues = Each.Parameters;
+    const EngineParameters &PeerValues = Report.Parameters;
     Fixed.add(PeerValues.PrefillFixed.count(), PeerValues.PrefillWeight);
     Tokens.add(PeerValues.PrefillPerThousandTokens.count(),
                PeerValues.PrefillWeight);
--- a/Libraries/LibEngine/EngineModel.h
+++ b/Libraries/LibEngine/EngineModel.h
@@ -1,13 +1,15 @@
-//===- EngineModel.h - What engines of one service need ---------*- C++ -*-===//
+//===- EngineModel.h - Learned cost model of engines ------------*- C++ -*-===//
 //
-// How long the engines of a service take to read prompts, to start a run whose
-// prompt has been read elsewhere, and to read a prompt between the tokens of
-// other requests. Nothing of it is configured: engines of two deployments
-// differ eighteenfold in reading, and figures of one made a gateway refuse half
-// of the requests of the other while its engines were idle.
+// Learns how long the engines of a service take for prefill, for the start of
+// decode after a prefill on another engine, and for prefill interleaved with
+// decode. Nothing of this is configured: the prefill speed of engines differs
+// by a factor of eighteen between deployments, and with the parameters of one
+// deployment a gateway of another rejects half of its requests while its
+// engines are idle.
 //
-// A gateway sees one answer in as many as there are gateways, so gateways tell
-// each other their figures, and one that has just started begins with them.
+// Each gateway sees only its share of the answers, so gateways exchange their
+// parameters, and a gateway that has just started begins with those of its
+// peers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,35 +25,36 @@
 
 namespace figlift::engine {
 
-/// Times as the estimates compute them, with fractions.
+/// Fractional milliseconds for estimates.
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-/// What an engine has to compute of a prompt.
+/// The part of a prompt that an engine has to compute.
 struct PrefillSize {
   double Tokens = 0;
-  /// Pairs of a computed token and one before it, in millions: attention.
+  /// Attention pairs (a computed token and a token before it), in millions.
   double MillionPairs = 0;
-  /// Parts are fetched from another engine first.
+  /// Whether parts are fetched from another engine first.
   bool Fetches = false;
 };
 
-/// What is known of engines; also what gateways tell each other.
+/// Parameters of the cost model; exchanged between gateways.
 struct EngineParameters {
-  /// Of each read, whatever its size. It does not hold up other prompts.
+  /// Fixed time of each prefill. Does not delay other prompts.
   Milliseconds PrefillFixed{5};
-  /// Engine time of reading at a prefill engine.
+  /// Engine time of prefill on a prefill engine.
   Milliseconds PrefillPerThousandTokens{5};
   Milliseconds PrefillPerMillionPairs{0.1};
-  /// Of a fetch in front of a read, beside the transfer.
+  /// Fixed time of a fetch before a prefill, without the transfer.
   Milliseconds FetchFixed{1};
-  /// Reading at a decode engine takes this many times as long.
+  /// Prefill on a decode engine takes this many times as long.
   double DecodePrefillFactor = 3;
-  /// From the sending of a run whose prompt has been read to its first event,
-  /// beside the transfer of the KV cache.
+  /// Time from sending a decode request whose prompt has been prefilled to its
+  /// first event, without the transfer of the KV cache.
   Milliseconds DecodeStartFixed{5};
-  /// Transfers take this many times as long as their size and the link say.
+  /// Ratio between the actual transfer time and the one computed from size and
+  /// link.
   double TransferFactor = 1;
-  /// \name Measurements behind the figures of each kind of work.
+  /// \name Number of measurements behind the parameters of each kind of work.
   /// @{
   double PrefillWeight = 0;
   double DecodePrefillWeight = 0;
@@ -63,26 +66,27 @@
 public:
   EngineModel();
 
-  /// \name Measurements. \p Purity, 0 to 1: the share of the time that belongs
-  /// to the work for sure, not to what stood in front of it.
+  /// \name Measurements. \p AttributableShare, 0 to 1: the share of the
+  /// measured time that certainly belongs to the work and not to queueing
+  /// before it.
   /// @{
-  /// \p Took is without the transfer of parts that were fetched.
+  /// \p Measured excludes the transfer of fetched parts.
   void observePrefill(const PrefillSize &Size, Milliseconds Measured,
                       double AttributableShare);
-  /// \p AtPrefillEngine: what the same read takes there.
+  /// \p AtPrefillEngine: time of the same prefill on a prefill engine.
   void observeDecodePrefill(Milliseconds AtPrefillEngine, Milliseconds Measured,
                             double AttributableShare);
-  /// \p Transfer: by its size and the link.
+  /// \p Transfer: computed from its size and the link.
   void observeDecodeStart(Milliseconds Transfer, Milliseconds Measured,
                           double AttributableShare);
   /// @}
 
   void recordPeerParameters(const std::string &Peer,
-                            const EngineParameters &PeerParameters,
-                            BootTime Now);
-  /// What this process measured itself.
+                            const EngineParameters &Parameters, BootTime Now);
+  /// Parameters measured by this process.
   const EngineParameters &localParameters() const { return m_LocalParameters; }
-  /// Of this process and its peers, each by its measurements.
+  /// Mean of the parameters of this process and its peers, weighted by their
+  /// measurements.
   const EngineParameters &parameters(BootTime Now);
 
 private:
@@ -90,10 +94,11 @@
     EngineParameters Parameters;
     BootTime At{};
   };
-  /// What a process that has gone told is forgotten by then; a peer that is
-  /// cut off for some seconds still counts.
+  /// Parameters of a peer expire after this time. Long enough that a peer that
+  /// is disconnected for some seconds still counts.
   static constexpr std::chrono::seconds PeerLifetime{30};
-  /// Without news the mean is formed anew after this, for peers that have gone.
+  /// Without changes the mean is recomputed after this time, to drop expired
+  /// peers.
   static constexpr std::chrono::seconds MeanLifetime{1};
 
   EngineParameters mean(BootTime Now) const;
@@ -101,12 +106,12 @@
   LinearCost<4> m_Prefill;
   LinearCost<1> m_DecodePrefill;
   LinearCost<2> m_DecodeStart;
-  /// Equals the figures of the three above.
+  /// Coefficients of the three models above.
   EngineParameters m_LocalParameters;
   std::map<std::string, PeerParameters> m_Peers;
-  /// Asked for several times with each request, and changed more seldom.
+  /// Cached because each request reads it several times and it changes rarely.
   EngineParameters m_Mean;
-  /// When m_Mean was formed; unset once a measurement or a peer has changed it.
+  /// When m_Mean was computed; unset after a new measurement or peer report.
   std::optional<BootTime> m_MeanComputedAt;
 };
 
--- a/Libraries/LibEngine/LinearCost.h
+++ b/Libraries/LibEngine/LinearCost.h
@@ -1,16 +1,16 @@
-//===- LinearCost.h - A cost learned from noisy measurements ----*- C++ -*-===//
+//===- LinearCost.h - Cost model learned from measurements ------*- C++ -*-===//
 //
-// A time that is a sum of known quantities, each times an unknown figure: a
-// fixed part, tokens, pairs of tokens. The figures are learned by least squares
-// with a prior: before the first measurement they are the prior's, and since
-// its doubt is wide, a handful of measurements outweighs it. Older measurements
-// fade, so that the figures follow engines that change.
+// Models a time as a sum of known quantities (a fixed part, tokens, pairs of
+// tokens), each multiplied by an unknown coefficient. The coefficients are
+// learned by least squares with a prior. The prior has a large standard
+// deviation, so a few measurements outweigh it. The weight of old measurements
+// decays, so that the coefficients follow engines that change.
 //
-// Measurements are noisy in one direction: work that nobody told of stood in
-// front. So once the figures rest on some measurements, a single one counts
-// as at most ClipFactor times what was expected. Many in a row that are all off
-// to the same side are no noise: the engines have changed, and what was known
-// of them is let go.
+// Measurements are biased upwards by queued work that had not been reported. So
+// once the coefficients rest on some measurements, a new one is clipped to
+// within ClipFactor of the expected value. Many consecutive deviations to the
+// same side are not noise: the engines have changed, and the older measurements
+// are discounted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,10 +24,9 @@
 
 namespace figlift::engine {
 
-/// One unknown figure before anything was measured.
+/// Prior distribution of a coefficient.
 struct CoefficientPrior {
   double Mean = 0;
-  /// Standard deviation: how far off the mean may well be.
   double StandardDeviation = 1;
 };
 
@@ -41,8 +40,8 @@
       m_Coefficients[Index] = Prior[Index].Mean;
   }
 
-  /// \p Took is the cost measured for \p Quantities. \p Purity, 0 to 1: the
-  /// share of what was measured that belongs to them for sure.
+  /// \p Measured is the cost measured for \p Quantities. \p AttributableShare,
+  /// 0 to 1: the share of it that certainly belongs to them.
   void observe(const Coefficients &Quantities, double Measured,
                double AttributableShare) {
     const double Expected = estimate(Quantities);
@@ -71,25 +70,25 @@
     return Sum;
   }
   const Coefficients &coefficients() const { return m_Coefficients; }
-  /// Measurements that the figures rest on, the faded ones counted less.
+  /// Number of measurements behind the coefficients, after decay.
   double weight() const { return m_Weight; }
 
 private:
-  /// Of one measurement, as a share of itself: steps of an engine, travel and
-  /// turns of the loop.
+  /// Relative noise of one measurement, from engine steps, network latency and
+  /// event loop iterations.
   static constexpr double RelativeNoise = 0.1;
-  /// Milliseconds; no clock of ours is finer under load.
+  /// Milliseconds; time measurements are no more precise under load.
   static constexpr double MinimumNoise = 1;
-  /// A measurement weighs a third after about fifty further ones: some seconds
-  /// of one gateway's share of the work.
+  /// Reduces the weight of a measurement to a third after about fifty further
+  /// ones, which is some seconds of one gateway's share of the work.
   static constexpr double Decay = 0.98;
-  /// Enough measurements that an odd one among them is outweighed.
+  /// Number of measurements that outweighs a single outlier.
   static constexpr double ConfidentWeight = 5;
   static constexpr double ClipFactor = 1.5;
-  /// With one measurement in five delayed that much, this many in a row come
-  /// once in 400,000.
+  /// If one measurement in five is delayed by more than ClipFactor, a run of
+  /// this length occurs by chance once in 400,000.
   static constexpr int ChangeRunLength = 8;
-  /// What is left of the weight of measurements from before a change.
+  /// Remaining share of the weight of measurements from before a change.
   static constexpr double RetainedAtChange = 0.02;
 
   void detectChange(double Measured, double Expected) {
@@ -103,15 +102,15 @@
       return;
     m_DeviationRun = 0;
     for (Coefficients &Row : m_Squares)
-      for (double &Each : Row)
-        Each *= RetainedAtChange;
-    for (double &Each : m_Products)
-      Each *= RetainedAtChange;
+      for (double &Value : Row)
+        Value *= RetainedAtChange;
+    for (double &Value : m_Products)
+      Value *= RetainedAtChange;
     m_Weight *= RetainedAtChange;
   }
 
-  /// Figures below zero make no sense of a cost: one that comes out so is
-  /// left out, and the others are found without it.
+  /// Costs are not negative: a coefficient that comes out negative is fixed at
+  /// zero, and the others are solved again without it.
   void solve() {
     std::array<bool, Count> IsFixedAtZero{};
     for (size_t Round = 0; Round < Count; ++Round) {
@@ -123,8 +122,8 @@
       IsFixedAtZero[static_cast<size_t>(Lowest - m_Coefficients.begin())] =
           true;
     }
-    for (double &Each : m_Coefficients)
-      Each = std::max(0.0, Each);
+    for (double &Value : m_Coefficients)
+      Value = std::max(0.0, Value);
   }
 
   /// Gaussian elimination; the prior makes the matrix positive definite.
@@ -161,15 +160,15 @@
   }
 
   std::array<CoefficientPrior, Count> m_Prior;
-  /// Weighted sums over measurements: products of quantities with each other,
-  /// and with what was measured.
+  /// Weighted sums over the measurements: products of quantities with each
+  /// other, and with the measured cost.
   std::array<Coefficients, Count> m_Squares{};
   Coefficients m_Products{};
   double m_Weight = 0;
-  /// Measurements in a row that were far above (positive) or below what was
-  /// expected.
+  /// Number of consecutive measurements far above (positive) or far below
+  /// (negative) the expected value.
   int m_DeviationRun = 0;
-  /// The solution of the sums and the prior; none is below zero.
+  /// Solution of the sums and the prior; never negative.
   Coefficients m_Coefficients{};
 };
 
