--- a/Libraries/LibDispatch/Prompt.h
+++ b/Libraries/LibDispatch/Prompt.h
@@ -1,7 +1,7 @@
-//===- Prompt.h - What is known of a request's prompt -----------*- C++ -*-===//
+//===- Prompt.h - Size and shared parts of a prompt -------------*- C++ -*-===//
 //
-// Sizes and parts of a prompt. Requests share leading parts, and an engine
-// that still keeps the KV cache of a part does not compute it again.
+// Requests share leading prompt parts. An engine that still holds the KV cache
+// of a part does not compute it again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,17 +20,17 @@
 
 struct Prompt {
   uint32_t Tokens = 0;
-  /// Most tokens that may be generated.
+  /// Maximum number of tokens to generate.
   uint32_t MaximumOutput = 0;
-  /// In the order of the prompt. The last one belongs to this request alone.
+  /// In prompt order. The last part is unique to this request.
   std::vector<PromptPart> Parts;
 
-  /// The last part that other requests share: the subject of the request.
-  /// 0 when there is none.
+  /// The last part that is shared with other requests: the subject of the
+  /// request. 0 when there is none.
   uint64_t subject() const {
     return Parts.size() < 2 ? 0 : Parts[Parts.size() - 2].Id;
   }
-  /// Tokens that other requests share, beyond the first \p Kept ones.
+  /// Number of shared tokens after the first \p CachedTokens tokens.
   uint32_t sharedTokensBeyond(uint32_t CachedTokens) const {
     const uint32_t UniqueTokens = Parts.empty() ? Tokens : Parts.back().Tokens;
     return Tokens > UniqueTokens + CachedTokens
--- a/Libraries/LibDispatch/Target.h
+++ b/Libraries/LibDispatch/Target.h
@@ -1,6 +1,6 @@
-//===- Target.h - Servers as the platform lists them ------------*- C++ -*-===//
+//===- Target.h - Entries of the platform's server list ---------*- C++ -*-===//
 //
-// Typed entries of the list of servers.
+// Typed entries of the server list.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,21 +16,21 @@
 
 namespace figlift::dispatch {
 
-/// Which part of a model's work an engine does.
+/// The stage of inference that an engine performs.
 enum class Stage {
-  /// A plain service.
+  /// Plain service without inference stages.
   None,
-  /// Reads prompts and hands the KV cache on.
+  /// Processes prompts and transfers the KV cache to a decode engine.
   Prefill,
-  /// Generates tokens; reads prompts too, more slowly.
+  /// Generates tokens. Can also prefill prompts, but more slowly.
   Decode,
 };
 
-/// When a server started, by the time of day. A server may start again under
-/// the id that it had; then this differs, and it knows nothing of before.
+/// Wall-clock time at which a server started. A server that restarts under the
+/// same id has another start time and none of its earlier state.
 using StartTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// Names one start of a server.
+/// Identifies one start of a server.
 struct ServerStart {
   std::string TargetId;
   std::optional<StartTime> Started;
@@ -41,30 +41,30 @@
 /// One start of a server.
 struct Target {
   std::string Id;
-  /// Absent where servers do not tell.
+  /// Unset if the server does not report it.
   std::optional<StartTime> Started;
-  /// Counts what this start wrote about itself: an entry with a lower number
-  /// was written earlier, whenever it arrives.
+  /// Number of entries that this start has written. An entry with a lower
+  /// number was written earlier, regardless of when it arrives.
   uint64_t Heartbeat = 0;
   std::string Service;
   Endpoint Address;
   std::string Zone;
-  /// Requests that it works on at once.
+  /// Number of requests that are processed concurrently.
   unsigned Slots = 1;
-  /// It leaves soon and takes no new work.
+  /// The server is about to leave and accepts no new work.
   bool Draining = false;
   Stage EngineStage = Stage::None;
 
   ServerStart start() const { return {Id, Started}; }
   bool operator==(const Target &) const = default;
-  /// Whether \p Other says the same of the same start, though at another
-  /// heartbeat.
+  /// Whether \p Other describes the same start with the same values, except
+  /// for the heartbeat.
   bool equalsIgnoringHeartbeat(Target Other) const {
     Other.Heartbeat = Heartbeat;
     return Other == *this;
   }
-  /// Whether this was written before \p Other, about an earlier start or by an
-  /// earlier heartbeat of the same one.
+  /// Whether this entry was written before \p Other: by an earlier start, or
+  /// with an earlier heartbeat of the same start.
   bool isOlderThan(const Target &Other) const {
     if (Started != Other.Started)
       return Started < Other.Started;
