--- a/Libraries/LibDispatch/LoadTracker.cpp
+++ b/Libraries/LibDispatch/LoadTracker.cpp
@@ -1,8 +1,7 @@
-//===- LoadTracker.cpp - Work at the targets, as this process knows it
-//-------===//
+//===- LoadTracker.cpp - Outstanding work per target ----------------------===//
 //
-// Sums over own and peers' work; running means that decay towards "as planned"
-// while a target gets no work.
+// Sums over the work of this process and its peers, and moving averages that
+// decay towards the planned values while a target receives no work.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +14,13 @@
 
 namespace {
 
-/// \p First, doubled \p Times, \p Most at most.
+/// Exponential backoff: \p First, doubled \p Repetitions times.
 std::chrono::milliseconds backoffTime(std::chrono::milliseconds First,
-                                      unsigned Times,
-                                      std::chrono::milliseconds Most) {
+                                      unsigned Repetitions,
+                                      std::chrono::milliseconds Maximum) {
   constexpr unsigned MaximumDoublings = 10;
-  return std::min(First * (1U << std::min(Times, MaximumDoublings)), Most);
+  return std::min(First * (1U << std::min(Repetitions, MaximumDoublings)),
+                  Maximum);
 }
 
 } // namespace
@@ -28,8 +28,8 @@
 LoadTracker::LoadTracker(LoadTrackerOptions Options)
     : m_Options(Options), m_PeerLifetime(Options.PeerLifetime) {}
 
-void LoadTracker::targetAdded(const Target &Which, uint64_t KvCapacityTokens) {
-  m_Entries[Which.Id].Cache.setCapacity(KvCapacityTokens);
+void LoadTracker::targetAdded(const Target &Entry, uint64_t KvCapacityTokens) {
+  m_Entries[Entry.Id].Cache.setCapacity(KvCapacityTokens);
 }
 
 void LoadTracker::targetRemoved(const std::string &Id) { m_Entries.erase(Id); }
@@ -40,64 +40,64 @@
 }
 
 uint64_t LoadTracker::recordSent(const std::string &TargetId,
-                                 const Work &What) {
+                                 const Work &Item) {
   const uint64_t Ticket = ++m_LastTicket;
   if (const auto Found = m_Entries.find(TargetId); Found != m_Entries.end())
-    Found->second.Own[Ticket] = What;
+    Found->second.LocalWork[Ticket] = Item;
   return Ticket;
 }
 
-void LoadTracker::recordOutcome(Entry &Which, double Slowness, double Failure,
+void LoadTracker::recordOutcome(Entry &State, double Slowness, double Failure,
                                 BootTime Now) {
   const double Weight = m_Options.Smoothing;
-  const double Before = decayed(Which.Slowness, 1, Which, Now);
-  const double Failures = decayed(Which.Failures, 0, Which, Now);
-  Which.Slowness =
-      std::clamp(Before + Weight * (Slowness - Before),
+  const double Previous = decayed(State.Slowness, 1, State, Now);
+  const double Failures = decayed(State.Failures, 0, State, Now);
+  State.Slowness =
+      std::clamp(Previous + Weight * (Slowness - Previous),
                  m_Options.MinimumSlowness, m_Options.MaximumSlowness);
-  Which.Failures = Failures + Weight * (Failure - Failures);
-  Which.LastOutcome = Now;
+  State.Failures = Failures + Weight * (Failure - Failures);
+  State.LastOutcome = Now;
   if (Failure != 0)
     return;
-  Which.ConsecutiveRejections = 0;
-  Which.ConsecutiveFailures /= 2;
-  Which.Errors -= Which.Errors * Weight;
+  State.ConsecutiveRejections = 0;
+  State.ConsecutiveFailures /= 2;
+  State.Errors -= State.Errors * Weight;
 }
 
 void LoadTracker::recordRejection(const std::string &TargetId, BootTime Now) {
   const auto Found = m_Entries.find(TargetId);
   if (Found == m_Entries.end())
     return;
-  Entry &Which = Found->second;
-  const auto For =
-      backoffTime(m_Options.RejectionBackoff, Which.ConsecutiveRejections++,
+  Entry &State = Found->second;
+  const auto Backoff =
+      backoffTime(m_Options.RejectionBackoff, State.ConsecutiveRejections++,
                   m_Options.MaximumRejectionBackoff);
-  Which.ExcludedUntil = std::max(Which.ExcludedUntil, Now + For);
+  State.ExcludedUntil = std::max(State.ExcludedUntil, Now + Backoff);
 }
 
 bool LoadTracker::isEjected(const std::string &TargetId, BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  return Which && Now < Which->EjectedUntil;
+  const Entry *State = find(TargetId);
+  return State && Now < State->EjectedUntil;
 }
 
 void LoadTracker::recordError(const std::string &TargetId, BootTime Now) {
   const auto Found = m_Entries.find(TargetId);
   if (Found == m_Entries.end())
     return;
-  Entry &Which = Found->second;
-  const double Before = errorShare(TargetId, Now);
-  Which.Errors = Before + (1 - Before) * m_Options.Smoothing;
-  Which.LastError = Now;
+  Entry &State = Found->second;
+  const double Previous = errorShare(TargetId, Now);
+  State.Errors = Previous + (1 - Previous) * m_Options.Smoothing;
+  State.LastError = Now;
 }
 
 double LoadTracker::errorShare(const std::string &TargetId,
                                BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  if (!Which)
+  const Entry *State = find(TargetId);
+  if (!State)
     return 0;
   const double HalfLives =
-      Milliseconds(Now - Which->LastError) / m_Options.DecayHalfLife;
-  return Which->Errors * std::exp2(-std::max(0.0, HalfLives));
+      Milliseconds(Now - State->LastError) / m_Options.DecayHalfLife;
+  return State->Errors * std::exp2(-std::max(0.0, HalfLives));
 }
 
 void LoadTracker::excludeUntil(const std::string &TargetId, BootTime Until) {
@@ -106,8 +106,8 @@
 }
 
 bool LoadTracker::isExcluded(const std::string &TargetId, BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  return Which && Now < Which->ExcludedUntil;
+  const Entry *State = find(TargetId);
+  return State && Now < State->ExcludedUntil;
 }
 
 void LoadTracker::recordAnswer(const std::string &TargetId, uint64_t Ticket,
@@ -115,8 +115,8 @@
   const auto Found = m_Entries.find(TargetId);
   if (Found == m_Entries.end())
     return;
-  const auto Item = Found->second.Own.find(Ticket);
-  if (Item == Found->second.Own.end())
+  const auto Item = Found->second.LocalWork.find(Ticket);
+  if (Item == Found->second.LocalWork.end())
     return;
   Item->second.PrefillCost = Milliseconds(0);
   if (Item->second.Expected <= Milliseconds(0))
@@ -129,13 +129,13 @@
 
 bool LoadTracker::isCurrent(const std::string &TargetId,
                             uint64_t Ticket) const {
-  const Entry *Which = find(TargetId);
-  return Which && Which->Own.contains(Ticket);
+  const Entry *State = find(TargetId);
+  return State && State->LocalWork.contains(Ticket);
 }
 
 void LoadTracker::recordEnd(const std::string &TargetId, uint64_t Ticket) {
   if (const auto Found = m_Entries.find(TargetId); Found != m_Entries.end())
-    Found->second.Own.erase(Ticket);
+    Found->second.LocalWork.erase(Ticket);
 }
 
 void LoadTracker::recordFailure(const std::string &TargetId, uint64_t Ticket,
@@ -144,13 +144,13 @@
   const auto Found = m_Entries.find(TargetId);
   if (Found == m_Entries.end())
     return;
-  Entry &Which = Found->second;
-  recordOutcome(Which, decayed(Which.Slowness, 1, Which, Now), 1, Now);
-  // All requests at a target fail at once when its connection breaks: they
-  // count as one failure.
-  if (Now >= Which.EjectedUntil)
-    Which.EjectedUntil =
-        Now + backoffTime(m_Options.EjectionTime, Which.ConsecutiveFailures++,
+  Entry &State = Found->second;
+  recordOutcome(State, decayed(State.Slowness, 1, State, Now), 1, Now);
+  // If a connection is lost, all requests on it fail together. They count as
+  // one failure.
+  if (Now >= State.EjectedUntil)
+    State.EjectedUntil =
+        Now + backoffTime(m_Options.EjectionTime, State.ConsecutiveFailures++,
                           m_Options.MaximumEjectionTime);
 }
 
@@ -200,8 +200,8 @@
   if (m_Peers.empty() || Now - m_OldestReport <= m_PeerLifetime)
     return;
   m_OldestReport = Now;
-  std::erase_if(m_Peers, [&](const auto &Load) {
-    const PeerView &View = Load.second;
+  std::erase_if(m_Peers, [&](const auto &Peer) {
+    const PeerView &View = Peer.second;
     if (Now - View.At > m_PeerLifetime) {
       addToSums(View, -1);
       return true;
@@ -213,22 +213,22 @@
 
 std::vector<PeerLoad> LoadTracker::localLoads() const {
   std::vector<PeerLoad> Loads;
-  for (const auto &[Id, Which] : m_Entries)
-    if (!Which.Own.empty())
-      Loads.push_back(localLoad(Id, Which));
+  for (const auto &[Id, State] : m_Entries)
+    if (!State.LocalWork.empty())
+      Loads.push_back(localLoad(Id, State));
   return Loads;
 }
 
-PeerLoad LoadTracker::localLoad(const std::string &Id, const Entry &Which) {
-  // Nothing takes less than this; it also keeps the turnover finite.
-  constexpr Milliseconds ShortestWork{1};
+PeerLoad LoadTracker::localLoad(const std::string &Id, const Entry &State) {
+  // No work takes less time. Also keeps the completion rate finite.
+  constexpr Milliseconds MinimumCost{1};
   PeerLoad Load;
   Load.TargetId = Id;
-  Load.Items = static_cast<uint32_t>(Which.Own.size());
-  for (const auto &[Ticket, Item] : Which.Own) {
+  Load.Items = static_cast<uint32_t>(State.LocalWork.size());
+  for (const auto &[Ticket, Item] : State.LocalWork) {
     Load.Cost += Item.Cost;
     Load.PrefillCost += Item.PrefillCost;
-    Load.CompletionRate += 1 / std::max(ShortestWork, Item.Cost).count();
+    Load.CompletionRate += 1 / std::max(MinimumCost, Item.Cost).count();
   }
   return Load;
 }
@@ -236,17 +236,17 @@
 PeerLoad LoadTracker::total(const std::string &TargetId, BootTime Now) const {
   expireSilentPeers(Now);
   PeerLoad Total;
-  if (const Entry *Which = find(TargetId))
-    Total = localLoad(TargetId, *Which);
+  if (const Entry *State = find(TargetId))
+    Total = localLoad(TargetId, *State);
   const auto Peers = m_PeerSums.find(TargetId);
   if (Peers == m_PeerSums.end())
     return Total;
-  const Sum &Told = Peers->second;
-  Total.Cost += std::chrono::microseconds(Told.CostMicros);
-  Total.PrefillCost += std::chrono::microseconds(Told.PrefillMicros);
-  Total.Items += static_cast<uint32_t>(Told.Items);
+  const Sum &PeerSum = Peers->second;
+  Total.Cost += std::chrono::microseconds(PeerSum.CostMicros);
+  Total.PrefillCost += std::chrono::microseconds(PeerSum.PrefillMicros);
+  Total.Items += static_cast<uint32_t>(PeerSum.Items);
   Total.CompletionRate +=
-      static_cast<double>(Told.CompletionsPerMillionMs) / 1e6;
+      static_cast<double>(PeerSum.CompletionsPerMillionMs) / 1e6;
   return Total;
 }
 
@@ -270,26 +270,26 @@
 }
 
 size_t LoadTracker::localItems(const std::string &TargetId) const {
-  const Entry *Which = find(TargetId);
-  return Which ? Which->Own.size() : 0;
+  const Entry *State = find(TargetId);
+  return State ? State->LocalWork.size() : 0;
 }
 
-double LoadTracker::decayed(double Value, double Baseline, const Entry &Which,
+double LoadTracker::decayed(double Value, double Baseline, const Entry &State,
                             BootTime Now) const {
   const double HalfLives =
-      Milliseconds(Now - Which.LastOutcome) / m_Options.DecayHalfLife;
+      Milliseconds(Now - State.LastOutcome) / m_Options.DecayHalfLife;
   return Baseline + (Value - Baseline) * std::exp2(-std::max(0.0, HalfLives));
 }
 
 double LoadTracker::slowness(const std::string &TargetId, BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  return Which ? decayed(Which->Slowness, 1, *Which, Now) : 1;
+  const Entry *State = find(TargetId);
+  return State ? decayed(State->Slowness, 1, *State, Now) : 1;
 }
 
 double LoadTracker::failureShare(const std::string &TargetId,
                                  BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  return Which ? decayed(Which->Failures, 0, *Which, Now) : 0;
+  const Entry *State = find(TargetId);
+  return State ? decayed(State->Failures, 0, *State, Now) : 0;
 }
 
 KvCacheView &LoadTracker::cache(const std::string &TargetId) {
@@ -302,21 +302,21 @@
 }
 
 bool LoadTracker::cacheReported(const std::string &TargetId) const {
-  const Entry *Which = find(TargetId);
-  return Which && Which->CacheReported;
+  const Entry *State = find(TargetId);
+  return State && State->CacheReported;
 }
 
 uint32_t LoadTracker::cachedTokens(const std::string &TargetId,
-                                   const Prompt &What) const {
-  const Entry *Which = find(TargetId);
-  return Which ? Which->Cache.cachedTokens(What) : 0;
+                                   const Prompt &Input) const {
+  const Entry *State = find(TargetId);
+  return State ? State->Cache.cachedTokens(Input) : 0;
 }
 
 uint32_t LoadTracker::cachedTokensWithPending(const std::string &TargetId,
-                                              const Prompt &What,
+                                              const Prompt &Input,
                                               BootTime Now) const {
-  const Entry *Which = find(TargetId);
-  return Which ? Which->Cache.cachedTokensWithPending(What, Now) : 0;
+  const Entry *State = find(TargetId);
+  return State ? State->Cache.cachedTokensWithPending(Input, Now) : 0;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/LoadTracker.h
+++ b/Libraries/LibDispatch/LoadTracker.h
@@ -1,10 +1,9 @@
-//===- LoadTracker.h - Work at the targets, as this process knows it -*- C++
-//-*-===//
+//===- LoadTracker.h - Outstanding work per target --------------*- C++ -*-===//
 //
-// What a target has to do decides when new work there would be done. Reports
-// of the targets lag, so the book counts what this process has sent and has
-// not seen end, what its peers say they have, and how much longer answers took
-// than predicted.
+// Estimates from the work at a target when new work there would complete. Load
+// reports of the targets lag behind, so the tracker counts the requests that
+// this process has sent and that have not ended, the load that peers report,
+// and the ratio between actual and predicted answer times.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,56 +26,57 @@
 
 using engine::Milliseconds;
 
-/// One piece of work at a target, from its sending to its end.
+/// One work item at a target, from sending to its end.
 struct Work {
-  /// Time that the target needs for the part of it that queues.
+  /// Target time of the part that queues.
   Milliseconds Cost{0};
-  /// Expected from sending to the first answer; 0: its time is no verdict on
-  /// the target.
+  /// Expected time from sending to the first answer. 0: the answer time is not
+  /// a sample of the target's speed.
   Milliseconds Expected{0};
-  /// The part of the cost that is reading a prompt: prompts are read one after
-  /// the other, so it holds up those that come later, up to the first answer.
+  /// Part of the cost that is prefill. An engine prefills one prompt after the
+  /// other, so until the first answer this delays the items behind it.
   Milliseconds PrefillCost{0};
   BootTime SentAt{};
 };
 
-/// A process's outstanding work at one target, as it tells its peers.
+/// Outstanding work of one process at one target, as reported to peers.
 struct PeerLoad {
   std::string TargetId;
   Milliseconds Cost{0};
   uint32_t Items = 0;
-  /// Pieces of it that end in a millisecond, if all of them run.
+  /// Items that complete per millisecond if all of them run.
   double CompletionRate = 0;
-  /// The part of the cost that is reading prompts.
+  /// Part of the cost that is prefill.
   Milliseconds PrefillCost{0};
 };
 
 struct LoadTrackerOptions {
-  /// Weight of the newest answer in the running means. A tenth follows a
-  /// target that turns slow within about ten answers, and one stray answer
-  /// moves it by a tenth only.
+  /// Weight of the newest sample in the moving averages. With 0.1 the average
+  /// follows a target that becomes slow within about ten answers, and a single
+  /// outlier moves it by a tenth only.
   double Smoothing = 0.1;
-  /// What peers told is forgotten after this, or after ReportsMissed of their
-  /// intervals, whichever is longer. With a fixed time peers of a large fleet,
-  /// which report more seldom, would be forgotten between two reports.
+  /// A peer report expires after this time or after MaximumMissedReports
+  /// report intervals, whichever is longer. Peers of a large fleet report less
+  /// often, so with a fixed time their reports would expire before the next.
   std::chrono::milliseconds PeerLifetime{500};
   int MaximumMissedReports = 4;
-  /// A target that looked slow and gets no work is believed to be as fast as
-  /// planned again with this half-life, so that it is tried again.
+  /// Half-life with which the measured slowness and the failure share of a
+  /// target without work decay, so that the target is tried again.
   std::chrono::milliseconds DecayHalfLife{2000};
-  /// How long a target is left out that turned work away once; doubles with
-  /// each time in a row, up to MaximumLeftOut. A full engine has room again
-  /// after about one read of a prompt.
+  /// How long a target is excluded after it has rejected work. Doubles with
+  /// each consecutive rejection, up to MaximumRejectionBackoff. A full engine
+  /// has a free slot again after about one prefill.
   std::chrono::milliseconds RejectionBackoff{30};
   std::chrono::milliseconds MaximumRejectionBackoff{1000};
-  /// How long a target rests that failed once; doubles with each failure in a
-  /// row, up to MaximumRest, and a success halves it: a target that goes down
-  /// and up by turns earns trust back slowly. One that is down fails at once,
-  /// so it always looks free; without the rest each gateway tried it several
-  /// times a second, and one request in twenty was lost on such a day.
+  /// How long a target is ejected after a failure. Doubles with each
+  /// consecutive failure, up to MaximumEjectionTime; a success halves the count
+  /// of failures, so that a target that fails and recovers alternately is
+  /// trusted again only slowly. A target that is down fails immediately and so
+  /// always looks idle: without ejection each gateway tries it several times a
+  /// second, which loses one request in twenty.
   std::chrono::milliseconds EjectionTime{200};
   std::chrono::milliseconds MaximumEjectionTime{3200};
-  /// Bounds of the ratio between measured and planned time.
+  /// Bounds of the ratio between actual and planned time.
   double MinimumSlowness = 0.3;
   double MaximumSlowness = 10;
 };
@@ -85,96 +85,98 @@
 public:
   explicit LoadTracker(LoadTrackerOptions Options = {});
 
-  void targetAdded(const Target &Which, uint64_t KvCapacityTokens);
+  void targetAdded(const Target &Entry, uint64_t KvCapacityTokens);
   void targetRemoved(const std::string &Id);
 
-  /// \name Own work. Tickets name it until its end.
+  /// \name Work of this process, identified by tickets.
   /// @{
-  uint64_t recordSent(const std::string &TargetId, const Work &What);
-  /// The (first part of the) response came: a verdict on the target's speed.
+  uint64_t recordSent(const std::string &TargetId, const Work &Item);
+  /// The (first part of the) response has arrived: a sample of the target's
+  /// speed.
   void recordAnswer(const std::string &TargetId, uint64_t Ticket, BootTime Now);
-  /// It is no longer at the target, for whatever reason.
+  /// The work item is no longer at the target, for whatever reason.
   void recordEnd(const std::string &TargetId, uint64_t Ticket);
-  /// Whether the ticket is of work at this start of the target: what comes of
-  /// work that an earlier start had says nothing of this one.
+  /// Whether the ticket belongs to the current start of the target. The outcome
+  /// of work that was sent to an earlier start is not a sample of this one.
   bool isCurrent(const std::string &TargetId, uint64_t Ticket) const;
-  /// The target answered it with an error of its own, and may do so by right.
+  /// The target answered with an error, which may be caused by the request.
   void recordError(const std::string &TargetId, BootTime Now);
-  /// The target failed it; it has ended.
+  /// The target failed the work item, which has ended.
   void recordFailure(const std::string &TargetId, uint64_t Ticket,
                      BootTime Now);
   /// @}
 
-  /// \name Targets that turn work away. Each arrival there counts against the
-  /// fleet's budget of repeats, so the next request does not try it at once.
+  /// \name Targets that reject work. Each rejected request uses up the fleet's
+  /// retry budget, so the next request does not try the target at once.
   /// @{
-  /// It was full or busy: left out for a moment, longer each time in a row.
+  /// The target was full or busy. Excludes it for a moment, longer with each
+  /// consecutive rejection.
   void recordRejection(const std::string &TargetId, BootTime Now);
-  /// It will not take work before \p Until: it changes its stage, or another
-  /// server has its address.
+  /// The target accepts no work before \p Until: it changes its stage, or
+  /// another server has its address.
   void excludeUntil(const std::string &TargetId, BootTime Until);
   bool isExcluded(const std::string &TargetId, BootTime Now) const;
-  /// It has failed lately, and is tried again later.
+  /// Whether the target is ejected after recent failures.
   bool isEjected(const std::string &TargetId, BootTime Now) const;
   /// @}
 
-  /// How often peers report.
+  /// Sets the interval at which peers report.
   void setReportInterval(std::chrono::microseconds Interval);
-  /// Replaces what \p Peer told before.
+  /// Replaces the previous report of \p Peer.
   void recordPeerReport(const std::string &Peer,
                         const std::vector<PeerLoad> &Loads, BootTime Now);
   std::vector<PeerLoad> localLoads() const;
 
-  /// Planned time of the work that waits or runs there, of all processes.
+  /// Planned time of the queued and running work of all processes.
   Milliseconds backlog(const std::string &TargetId, BootTime Now) const;
-  /// Planned time of the prompts that wait there to be read, or are being read.
+  /// Planned time of the prompts that are queued for prefill or in prefill.
   Milliseconds prefillBacklog(const std::string &TargetId, BootTime Now) const;
-  /// Pieces of work there, of all processes.
+  /// Number of work items of all processes.
   double items(const std::string &TargetId, BootTime Now) const;
-  /// Pieces that end there in a millisecond, if all of them run. A few long
-  /// streams hold slots for seconds while the others change hands in
-  /// milliseconds, so the wait for a slot does not follow from the backlog.
+  /// Items that complete per millisecond if all of them run. A few long streams
+  /// hold their slots for seconds while other slots become free within
+  /// milliseconds, so the wait for a slot cannot be derived from the backlog.
   double completionRate(const std::string &TargetId, BootTime Now) const;
   size_t localItems(const std::string &TargetId) const;
-  /// Measured time over planned time; 1 is as planned.
+  /// Ratio between actual and planned time; 1 is as planned.
   double slowness(const std::string &TargetId, BootTime Now) const;
-  /// Share of the recent work that failed there.
+  /// Share of the recent work that failed.
   double failureShare(const std::string &TargetId, BootTime Now) const;
-  /// Share of its recent answers that were errors; forgiven like a failure.
+  /// Share of recent answers that were errors. Decays like the failure share.
   double errorShare(const std::string &TargetId, BootTime Now) const;
   KvCacheView &cache(const std::string &TargetId);
-  /// The target has told what it keeps, or will not. Until then a prompt that
-  /// it keeps looks like one that it has to compute, and the time that it takes
-  /// says nothing of its speed.
+  /// The target has reported its cached parts, or will not do so. Until then a
+  /// cached prompt looks like one that has to be computed, and the time that it
+  /// takes is not a sample of the target's speed.
   void setCacheReported(const std::string &TargetId);
   bool cacheReported(const std::string &TargetId) const;
-  uint32_t cachedTokens(const std::string &TargetId, const Prompt &What) const;
-  /// With what is on its way there, in front of a prompt that is sent now.
+  uint32_t cachedTokens(const std::string &TargetId, const Prompt &Input) const;
+  /// Includes the parts of prompts queued before a prompt that is sent now.
   uint32_t cachedTokensWithPending(const std::string &TargetId,
-                                   const Prompt &What, BootTime Now) const;
+                                   const Prompt &Input, BootTime Now) const;
 
 private:
-  /// Sums over this process's and its peers' work at one target.
+  /// Sum of the work of this process and its peers at one target.
   PeerLoad total(const std::string &TargetId, BootTime Now) const;
 
   struct Entry {
-    std::map<uint64_t, Work> Own;
+    std::map<uint64_t, Work> LocalWork;
     KvCacheView Cache;
     bool CacheReported = false;
     double Slowness = 1;
     double Failures = 0;
     BootTime LastOutcome{};
     BootTime ExcludedUntil{};
-    /// Times that it turned work away since its last answer.
+    /// Rejections since the last answer.
     unsigned ConsecutiveRejections = 0;
     BootTime EjectedUntil{};
-    /// Failures in a row, halved by each success.
+    /// Halved by each success.
     unsigned ConsecutiveFailures = 0;
     double Errors = 0;
     BootTime LastError{};
   };
-  /// Work at one target, in whole numbers: what is added to a sum and taken
-  /// away again later leaves nothing behind, as rounded numbers would.
+  /// Work at one target in integers: adding a load and subtracting it later
+  /// leaves no rounding error in the sum.
   struct Sum {
     int64_t CostMicros = 0;
     int64_t PrefillMicros = 0;
@@ -192,25 +194,24 @@
 
   void addToSums(const PeerView &View, int64_t Sign) const;
   void expireSilentPeers(BootTime Now) const;
-  static PeerLoad localLoad(const std::string &Id, const Entry &Which);
+  static PeerLoad localLoad(const std::string &Id, const Entry &State);
   const Entry *find(const std::string &TargetId) const;
-  double decayed(double Value, double Baseline, const Entry &Which,
+  double decayed(double Value, double Baseline, const Entry &State,
                  BootTime Now) const;
-  void recordOutcome(Entry &Which, double Slowness, double Failure,
+  void recordOutcome(Entry &State, double Slowness, double Failure,
                      BootTime Now);
 
   LoadTrackerOptions m_Options;
   BootClock::duration m_PeerLifetime;
   std::map<std::string, Entry> m_Entries;
-  /// \name Peers' work. A question adds one sum to the own work: walking all
-  /// peers took some 100 look-ups for each engine, and a plan asks for each
-  /// engine several times. Silent peers are forgotten by the next question, so
-  /// questions change both.
+  /// \name Work of peers. Kept as sums because a plan queries each engine
+  /// several times, and iterating over all peers takes about 100 lookups for
+  /// each engine. Queries remove the reports of silent peers, hence mutable.
   /// @{
   mutable std::map<std::string, PeerView> m_Peers;
-  /// Equals the sum over m_Peers, by target.
+  /// Sum over m_Peers by target.
   mutable std::unordered_map<std::string, Sum> m_PeerSums;
-  /// No peer was heard before this.
+  /// No report in m_Peers is older than this.
   mutable BootTime m_OldestReport{};
   /// @}
   uint64_t m_LastTicket = 0;
--- a/Tests/LibDispatch/TestLoadTracker.cpp
+++ b/Tests/LibDispatch/TestLoadTracker.cpp
@@ -1,7 +1,7 @@
-//===- TestLoadTracker.cpp - Work at the targets
-//-----------------------------===//
+//===- TestLoadTracker.cpp - Outstanding work per target ------------------===//
 //
-// Own and peers' work, measured speed, and targets that turn work away.
+// Work of this process and its peers, measured speed, and targets that reject
+// work.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,159 +14,158 @@
 using std::chrono::milliseconds;
 
 TEST_GROUP(LoadTracker) {
-  LoadTracker Book;
+  LoadTracker Loads;
   BootTime Now{std::chrono::seconds(100)};
   Target Engine;
 
   void setup() override {
     Engine.Id = "e";
-    Book.targetAdded(Engine, 10000);
+    Loads.targetAdded(Engine, 10000);
   }
   uint64_t start(double Cost) {
-    return Book.recordSent(
+    return Loads.recordSent(
         "e", {Milliseconds(Cost), Milliseconds(Cost), Milliseconds(0), Now});
   }
 };
 
-TEST(LoadTracker, AddsWhatPeersTellForAShortTime) {
+TEST(LoadTracker, AddsPeerReportsUntilTheyExpire) {
   start(10);
-  Book.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
-  DOUBLES_EQUAL(15, Book.backlog("e", Now).count(), 1e-9);
-  DOUBLES_EQUAL(3, Book.items("e", Now), 1e-9);
+  Loads.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
+  DOUBLES_EQUAL(15, Loads.backlog("e", Now).count(), 1e-9);
+  DOUBLES_EQUAL(3, Loads.items("e", Now), 1e-9);
   Now += milliseconds(600);
-  DOUBLES_EQUAL(10, Book.backlog("e", Now).count(), 1e-9);
+  DOUBLES_EQUAL(10, Loads.backlog("e", Now).count(), 1e-9);
 }
 
-// Symptom: an engine without work looks busy for ever, or one with work free.
-// Sequence: peers report again and again, fall silent at unlike times, and come
-// back. Cause: sums are kept, so each report has to take back the one before.
-TEST(LoadTracker, KeepsItsSumsEqualToWhatPeersToldLast) {
+// The sums over peers are updated incrementally: each report has to replace the
+// previous one, also after peers have been silent for different times.
+// Otherwise an idle engine looks busy forever, or a busy one idle.
+TEST(LoadTracker, KeepsSumsEqualToTheLastPeerReports) {
   for (int Round = 0; Round < 100; ++Round) {
-    Book.recordPeerReport("p", {{"e", Milliseconds(0.1 * Round), 3, 0.1}}, Now);
-    Book.recordPeerReport("q", {{"e", Milliseconds(0.7), 1, 1 / 3.0}}, Now);
+    Loads.recordPeerReport("p", {{"e", Milliseconds(0.1 * Round), 3, 0.1}},
+                           Now);
+    Loads.recordPeerReport("q", {{"e", Milliseconds(0.7), 1, 1 / 3.0}}, Now);
     Now += milliseconds(10);
   }
-  DOUBLES_EQUAL(10.6, Book.backlog("e", Now).count(), 0.01);
-  DOUBLES_EQUAL(4, Book.items("e", Now), 1e-9);
+  DOUBLES_EQUAL(10.6, Loads.backlog("e", Now).count(), 0.01);
+  DOUBLES_EQUAL(4, Loads.items("e", Now), 1e-9);
   Now += milliseconds(300);
-  Book.recordPeerReport("q", {}, Now);
-  DOUBLES_EQUAL(9.9, Book.backlog("e", Now).count(), 0.01);
+  Loads.recordPeerReport("q", {}, Now);
+  DOUBLES_EQUAL(9.9, Loads.backlog("e", Now).count(), 0.01);
   Now += milliseconds(300);
-  DOUBLES_EQUAL(0, Book.backlog("e", Now).count(), 1e-9);
-  DOUBLES_EQUAL(0, Book.completionRate("e", Now), 1e-9);
-  Book.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
-  DOUBLES_EQUAL(2, Book.items("e", Now), 1e-9);
+  DOUBLES_EQUAL(0, Loads.backlog("e", Now).count(), 1e-9);
+  DOUBLES_EQUAL(0, Loads.completionRate("e", Now), 1e-9);
+  Loads.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
+  DOUBLES_EQUAL(2, Loads.items("e", Now), 1e-9);
 }
 
-// Symptom: in a fleet of 400 each process plans as if it were alone.
-// Sequence: reports come each 515 ms; each is forgotten before the next.
-// Cause: a lifetime that did not follow the interval.
-TEST(LoadTracker, KeepsPeersThatReportSeldom) {
-  Book.setReportInterval(milliseconds(515));
-  Book.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
-  DOUBLES_EQUAL(2, Book.items("e", Now + milliseconds(1500)), 1e-9);
-  DOUBLES_EQUAL(0, Book.items("e", Now + milliseconds(2500)), 1e-9);
+// In a fleet of 400 processes reports arrive every 515 ms. With a lifetime that
+// does not follow the interval each report expires before the next, and each
+// process plans as if it were alone.
+TEST(LoadTracker, KeepsReportsOfPeersWithALongInterval) {
+  Loads.setReportInterval(milliseconds(515));
+  Loads.recordPeerReport("p", {{"e", Milliseconds(5), 2, 0.4}}, Now);
+  DOUBLES_EQUAL(2, Loads.items("e", Now + milliseconds(1500)), 1e-9);
+  DOUBLES_EQUAL(0, Loads.items("e", Now + milliseconds(2500)), 1e-9);
 }
 
 TEST(LoadTracker, CountsWorkUntilItEnds) {
   const uint64_t Ticket = start(10);
-  Book.recordAnswer("e", Ticket, Now);
-  LONGS_EQUAL(1, Book.localItems("e"));
-  Book.recordEnd("e", Ticket);
-  LONGS_EQUAL(0, Book.localItems("e"));
+  Loads.recordAnswer("e", Ticket, Now);
+  LONGS_EQUAL(1, Loads.localItems("e"));
+  Loads.recordEnd("e", Ticket);
+  LONGS_EQUAL(0, Loads.localItems("e"));
 }
 
-// Load: one engine of several turns five times slower; its health answers stay
-// good. Grounds: within ten answers it must look at least twice as slow.
-TEST(LoadTracker, SeesATargetThatTurnsSlow) {
+// An engine becomes five times slower while its health checks still pass.
+// Within ten answers it must look at least twice as slow.
+TEST(LoadTracker, DetectsATargetThatBecomesSlow) {
   for (int Index = 0; Index < 10; ++Index) {
     const uint64_t Ticket = start(10);
     Now += milliseconds(50);
-    Book.recordAnswer("e", Ticket, Now);
-    Book.recordEnd("e", Ticket);
+    Loads.recordAnswer("e", Ticket, Now);
+    Loads.recordEnd("e", Ticket);
   }
-  CHECK(Book.slowness("e", Now) > 2);
+  CHECK(Loads.slowness("e", Now) > 2);
   Now += std::chrono::seconds(20);
-  DOUBLES_EQUAL(1, Book.slowness("e", Now), 0.01);
+  DOUBLES_EQUAL(1, Loads.slowness("e", Now), 0.01);
 }
 
-// Symptom: the wait for a slot is planned at a second where it is ten
-// milliseconds, and requests are refused.
-// Sequence: a few streams of seconds hold slots; the others hold theirs for
-// milliseconds. Cause: the wait went by the sum of the work.
-TEST(LoadTracker, MeasuresHowFastSlotsChangeHands) {
+// A few streams hold their slots for seconds, the others for milliseconds. If
+// the wait for a slot is derived from the sum of the work, it is planned as one
+// second where it is ten milliseconds, and requests are rejected.
+TEST(LoadTracker, ComputesTheCompletionRate) {
   start(3000);
   start(10);
-  DOUBLES_EQUAL(0.1, Book.completionRate("e", Now), 0.001);
+  DOUBLES_EQUAL(0.1, Loads.completionRate("e", Now), 0.001);
 }
 
-// Load: an engine answers 503 to everything for three seconds while it changes
-// its stage; each arrival there counts against the budget of repeats.
-TEST(LoadTracker, LeavesOutATargetThatTurnsWorkAwayLongerEachTime) {
-  Book.recordRejection("e", Now);
-  CHECK(Book.isExcluded("e", Now + milliseconds(20)));
-  CHECK(!Book.isExcluded("e", Now + milliseconds(40)));
-  Book.recordRejection("e", Now);
-  Book.recordRejection("e", Now);
-  CHECK(Book.isExcluded("e", Now + milliseconds(100)));
+// An engine answers 503 to all requests for three seconds while it changes its
+// stage. Each of them uses up the retry budget.
+TEST(LoadTracker, ExcludesARejectingTargetWithBackoff) {
+  Loads.recordRejection("e", Now);
+  CHECK(Loads.isExcluded("e", Now + milliseconds(20)));
+  CHECK(!Loads.isExcluded("e", Now + milliseconds(40)));
+  Loads.recordRejection("e", Now);
+  Loads.recordRejection("e", Now);
+  CHECK(Loads.isExcluded("e", Now + milliseconds(100)));
   for (int Index = 0; Index < 40; ++Index)
-    Book.recordRejection("e", Now);
-  CHECK(!Book.isExcluded("e", Now + milliseconds(1001)));
+    Loads.recordRejection("e", Now);
+  CHECK(!Loads.isExcluded("e", Now + milliseconds(1001)));
 }
 
-TEST(LoadTracker, ForgetsRefusalsAfterAnAnswer) {
-  Book.recordRejection("e", Now);
-  Book.recordRejection("e", Now);
+TEST(LoadTracker, ResetsTheBackoffAfterAnAnswer) {
+  Loads.recordRejection("e", Now);
+  Loads.recordRejection("e", Now);
   const uint64_t Ticket = start(10);
-  Book.recordAnswer("e", Ticket, Now);
+  Loads.recordAnswer("e", Ticket, Now);
   Now += std::chrono::seconds(1);
-  Book.recordRejection("e", Now);
-  CHECK(!Book.isExcluded("e", Now + milliseconds(31)));
+  Loads.recordRejection("e", Now);
+  CHECK(!Loads.isExcluded("e", Now + milliseconds(31)));
 }
 
-TEST(LoadTracker, RemembersFailures) {
+TEST(LoadTracker, CountsFailures) {
   for (int Index = 0; Index < 5; ++Index)
-    Book.recordFailure("e", start(1), Now);
-  CHECK(Book.failureShare("e", Now) > 0.4);
-  LONGS_EQUAL(0, Book.localItems("e"));
+    Loads.recordFailure("e", start(1), Now);
+  CHECK(Loads.failureShare("e", Now) > 0.4);
+  LONGS_EQUAL(0, Loads.localItems("e"));
 }
 
-TEST(LoadTracker, KnowsNothingOfTargetsThatWent) {
+TEST(LoadTracker, DropsRemovedTargets) {
   const uint64_t Ticket = start(10);
-  Book.targetRemoved("e");
-  Book.recordEnd("e", Ticket);
-  DOUBLES_EQUAL(0, Book.backlog("e", Now).count(), 0);
-  DOUBLES_EQUAL(1, Book.slowness("e", Now), 0);
+  Loads.targetRemoved("e");
+  Loads.recordEnd("e", Ticket);
+  DOUBLES_EQUAL(0, Loads.backlog("e", Now).count(), 0);
+  DOUBLES_EQUAL(1, Loads.slowness("e", Now), 0);
 }
 
-// Load: servers that go down and up by turns. Grounds: a server that is down
-// fails at once and so looks free; each try of it loses a request.
-TEST(LoadTracker, LetsATargetRestLongerEachTimeThatItFails) {
-  Book.recordFailure("e", start(1), Now);
-  CHECK(Book.isEjected("e", Now));
-  // The rest of what was on the same connection.
-  Book.recordFailure("e", start(1), Now);
+// Servers fail and recover alternately. A server that is down fails immediately
+// and so looks idle, and each attempt loses a request.
+TEST(LoadTracker, EjectsAFailingTargetWithBackoff) {
+  Loads.recordFailure("e", start(1), Now);
+  CHECK(Loads.isEjected("e", Now));
+  // Another request on the same connection.
+  Loads.recordFailure("e", start(1), Now);
   Now += milliseconds(210);
-  CHECK(!Book.isEjected("e", Now));
-  Book.recordFailure("e", start(1), Now);
+  CHECK(!Loads.isEjected("e", Now));
+  Loads.recordFailure("e", start(1), Now);
   Now += milliseconds(210);
-  CHECK(Book.isEjected("e", Now));
+  CHECK(Loads.isEjected("e", Now));
   Now += milliseconds(200);
-  CHECK(!Book.isEjected("e", Now));
+  CHECK(!Loads.isEjected("e", Now));
 }
 
-// Symptom: a server that failed requests for a while gets none for the rest of
-// the day, and a slow one is never tried again. Sequence: it answers with
-// errors, then with none. Cause: errors were never forgiven, and each of them
-// put off the forgiving of everything else.
-TEST(LoadTracker, ForgivesErrorsAndLetsThemPutOffNothing) {
-  Book.recordFailure("e", start(1), Now);
-  const double Failures = Book.failureShare("e", Now);
-  Book.recordError("e", Now);
-  CHECK(Book.errorShare("e", Now) > 0.09);
+// A server answers with errors for a while and then recovers. If errors do not
+// decay, or if each of them postpones the decay of failures and slowness, the
+// server gets no more requests for the rest of the day.
+TEST(LoadTracker, DecaysErrorsIndependentlyOfFailures) {
+  Loads.recordFailure("e", start(1), Now);
+  const double Failures = Loads.failureShare("e", Now);
+  Loads.recordError("e", Now);
+  CHECK(Loads.errorShare("e", Now) > 0.09);
   Now += milliseconds(2000);
-  Book.recordError("e", Now);
-  DOUBLES_EQUAL(Failures / 2, Book.failureShare("e", Now), 1e-9);
+  Loads.recordError("e", Now);
+  DOUBLES_EQUAL(Failures / 2, Loads.failureShare("e", Now), 1e-9);
   Now += milliseconds(20000);
-  CHECK(Book.errorShare("e", Now) < 0.001);
+  CHECK(Loads.errorShare("e", Now) < 0.001);
 }
