--- a/Libraries/LibDispatch/EngineCosts.cpp
+++ b/Libraries/LibDispatch/EngineCosts.cpp
@@ -1,6 +1,6 @@
-//===- EngineCosts.cpp - Time that an engine needs for a prompt -----------===//
+//===- EngineCosts.cpp - Cost model of prompts on an engine ---------------===//
 //
-// Linear in the tokens to compute, with the quadratic part of attention.
+// Linear in the tokens to compute, plus the quadratic cost of attention.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,8 @@
   const double Total = Input.Tokens;
   const double Computed =
       Total - std::min(Total, static_cast<double>(CachedTokens));
-  // Each computed token attends to all before it: on average those that are
-  // kept and half of the computed ones.
+  // Each computed token attends to all tokens before it: on average the cached
+  // tokens and half of the computed ones.
   return {Computed, Computed * (Total - Computed / 2) / 1e6};
 }
 
@@ -31,7 +31,7 @@
                       static_cast<double>(m_Traits.KvBytesPerToken);
   if (m_Traits.LinkMbps <= 0)
     return Milliseconds(0);
-  // A megabit a second is a kilobit a millisecond.
+  // 1 Mbit/s = 1 kbit/ms.
   return Milliseconds(Bits / (m_Traits.LinkMbps * 1e3)) *
          (SameZone ? 1 : CrossZoneFactor);
 }
--- a/Libraries/LibDispatch/EngineCosts.h
+++ b/Libraries/LibDispatch/EngineCosts.h
@@ -1,8 +1,8 @@
-//===- EngineCosts.h - Time that an engine needs for a prompt ---*- C++ -*-===//
+//===- EngineCosts.h - Cost model of prompts on an engine -------*- C++ -*-===//
 //
-// What one prompt costs an engine, by what was learned of engines and what is
-// configured of them. Measured deviations of a single engine are in
-// LoadTracker::slowness().
+// Estimates the time that a prompt takes on an engine from the learned
+// parameters and the configured traits of the engines of a service.
+// LoadTracker::slowness() covers the deviation of a single engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,48 +21,53 @@
               const EngineTraits &Traits)
       : m_Parameters(Parameters), m_Traits(Traits) {}
 
-  /// What is to be computed of a prompt of which \p Cached tokens are kept.
+  /// Size of the prefill of a prompt with \p CachedTokens cached tokens.
   static engine::PrefillSize uncachedSize(const Prompt &Input,
                                           uint32_t CachedTokens);
-  /// Time of a prefill engine that no other prompt gets meanwhile.
+  /// Exclusive compute time on a prefill engine.
   Milliseconds prefill(const engine::PrefillSize &Size) const;
   Milliseconds prefill(const Prompt &Input, uint32_t CachedTokens) const {
     return prefill(uncachedSize(Input, CachedTokens));
   }
-  /// The same at a decode engine, between the tokens of its streams.
+  /// Prefill time on a decode engine, interleaved with the decode of its
+  /// streams.
   Milliseconds prefillWhileDecoding(const engine::PrefillSize &Size) const {
     return prefill(Size) * m_Parameters.DecodePrefillFactor;
   }
   double decodePrefillFactor() const {
     return m_Parameters.DecodePrefillFactor;
   }
-  /// Of each read besides; other prompts are computed meanwhile.
+  /// Additional fixed time of each prefill, during which the engine computes
+  /// other prompts.
   Milliseconds prefillFixed() const { return m_Parameters.PrefillFixed; }
-  /// From the sending of a run to its first event, beside transfer and reading.
+  /// Time from sending a decode request to its first event, without transfer
+  /// and prefill.
   Milliseconds decodeStartFixed() const {
     return m_Parameters.DecodeStartFixed;
   }
-  /// Of \p Tokens tokens of KV cache, by their size and the link.
+  /// Transfer time of the KV cache of \p Tokens tokens, computed from their
+  /// size and the link.
   Milliseconds nominalTransfer(uint32_t Tokens, bool SameZone) const;
-  /// The same as engines really take it.
+  /// Transfer time corrected by the learned transfer factor.
   Milliseconds transfer(uint32_t Tokens, bool SameZone) const {
     return nominalTransfer(Tokens, SameZone) * m_Parameters.TransferFactor;
   }
-  /// A fetch of parts in front of a read.
+  /// Time to fetch parts before a prefill.
   Milliseconds fetch(uint32_t Tokens, bool SameZone) const {
     return m_Parameters.FetchFixed + transfer(Tokens, SameZone);
   }
   const EngineTraits &traits() const { return m_Traits; }
-  /// Whether reads have been measured well enough to judge an engine by them.
+  /// Whether the parameters rest on enough measurements to judge an engine by
+  /// them.
   bool calibrated() const {
     return m_Parameters.PrefillWeight >= CalibratedWeight;
   }
 
 private:
-  /// A transfer between availability zones, against one inside a zone, as the
-  /// platform describes it.
+  /// Ratio between the transfer times across and within availability zones, as
+  /// specified by the platform.
   static constexpr double CrossZoneFactor = 2;
-  /// As many measurements as there are figures of a read.
+  /// As many measurements as there are prefill parameters.
   static constexpr double CalibratedWeight = 4;
 
   engine::EngineParameters m_Parameters;
