--- a/Libraries/LibDispatch/EngineDemand.cpp
+++ b/Libraries/LibDispatch/EngineDemand.cpp
@@ -1,6 +1,6 @@
-//===- EngineDemand.cpp - Work that callers ask of engines ----------------===//
+//===- EngineDemand.cpp - Demand for prefill and decode -------------------===//
 //
-// An exponentially weighted sum over time.
+// Exponentially weighted sums over time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,9 +35,10 @@
 EngineDemand DemandMeter::demand(BootTime Now) const {
   if (m_FirstAt == BootTime{})
     return {};
-  // Before one memory has passed the sum covers only the time since the start.
-  // Over a few requests that is no rate: the first one, milliseconds old,
-  // looked like hundreds of engines, and busy times remembered it for a minute.
+  // Before one time constant has passed, the sum covers only the time since the
+  // first request. Dividing by a few milliseconds would turn the first request
+  // into a demand for hundreds of engines, which PeakDemand would keep for a
+  // minute, so at least half a time constant is assumed.
   const Milliseconds Elapsed =
       std::max(Milliseconds(Now - m_FirstAt), Milliseconds(m_TimeConstant) / 2);
   const double CoveredShare = 1 - std::exp(-(Elapsed / m_TimeConstant));
@@ -49,7 +50,7 @@
 void PeakDemand::observe(const EngineDemand &Current, BootTime Now) {
   const double Total = Current.Prefill + Current.Decode;
   if (m_FirstAt == BootTime{}) {
-    // An idle fleet says nothing about the mix.
+    // Without demand there is no mix to observe.
     if (Total <= 0)
       return;
     m_FirstAt = m_UpdatedAt = Now;
--- a/Libraries/LibDispatch/EngineDemand.h
+++ b/Libraries/LibDispatch/EngineDemand.h
@@ -1,8 +1,8 @@
-//===- EngineDemand.h - Work that callers ask of engines --------*- C++ -*-===//
+//===- EngineDemand.h - Demand for prefill and decode -----------*- C++ -*-===//
 //
-// How much engine time a second the requests of a service ask for, by kind of
-// work, whether they were served or refused: what was refused for want of the
-// right engines is the reason to change one.
+// Engine time per second that the requests of a service demand, by stage. It
+// includes rejected requests: requests rejected because engines of one stage
+// are short are the reason to change the stage of an engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,11 +15,11 @@
 
 namespace figlift::dispatch {
 
-/// Engine time for each second of demand; 1 keeps one engine busy.
+/// Engine time per second; 1 fully utilizes one engine.
 struct EngineDemand {
-  /// Reading prompts at prefill engines.
+  /// Prefill on prefill engines.
   double Prefill = 0;
-  /// Fetching KV cache and generating tokens at decode engines.
+  /// KV cache transfer and token generation on decode engines.
   double Decode = 0;
 
   EngineDemand &operator+=(const EngineDemand &Other) {
@@ -30,27 +30,26 @@
   double sum() const { return Prefill + Decode; }
 };
 
-/// Running mean of the demand that this process has seen.
+/// Exponential moving average of the demand seen by this process.
 class DemandMeter {
 public:
-  /// \p Memory: long enough to count a hundred requests at the usual rates.
+  /// \p TimeConstant: covers about a hundred requests at typical rates.
   explicit DemandMeter(
       std::chrono::milliseconds TimeConstant = std::chrono::milliseconds(2000))
       : m_TimeConstant(TimeConstant) {}
 
   void recordRequest(Milliseconds Prefill, Milliseconds Decode, BootTime Now);
   EngineDemand demand(BootTime Now) const;
-  /// In a fleet that has just started no engine keeps anything, and what
-  /// requests share is read for the first time: the part of such reading that
-  /// will be gone once the engines are filled. What is still read for the first
-  /// time some ten seconds later lasts.
+  /// After the start of a fleet all KV caches are empty, so shared parts are
+  /// prefilled once. Returns the share of this prefill work that disappears
+  /// once the caches are filled. Shared parts that are still prefilled for the
+  /// first time after about ten seconds are lasting demand.
   double cacheFillShare(BootTime Now) const;
 
 private:
-  /// Counted in full, the reading of a fleet's first six seconds had 30 of 58
-  /// engines set to reading where 15 were asked for later; with this, a
-  /// day with such bursts earned 0.320 in place of 0.220 of its value (one run
-  /// each).
+  /// If the prefill of the first six seconds counts in full, 30 of 58 engines
+  /// are set to prefill where 15 are needed later. Discounting it raises the
+  /// value earned on a day with such bursts from 0.220 to 0.320.
   static constexpr std::chrono::milliseconds CacheFillTime{10000};
 
   double decay(BootTime Now) const;
@@ -61,10 +60,10 @@
   BootTime m_FirstAt{};
 };
 
-/// The demand of busy times. The mix of work swings within seconds, and a
-/// change of an engine takes seconds, so the split of engines cannot follow;
-/// and where engines have room to spare, any split will do. So what counts is
-/// the mix of those moments in which most is asked for.
+/// Demand at peak times. The mix of work changes within seconds, and a stage
+/// change takes seconds, so the split of engines cannot follow the mix. With
+/// spare capacity any split works. So the split is planned for the mix at the
+/// times of the highest demand.
 class PeakDemand {
 public:
   explicit PeakDemand(
@@ -72,23 +71,22 @@
       : m_TimeConstant(TimeConstant) {}
 
   void observe(const EngineDemand &Current, BootTime Now);
-  /// Mean over the memory, each moment weighed by the square of its demand.
+  /// Moving average weighted by the square of the demand.
   EngineDemand demand() const;
-  /// Whether enough has been seen to act on.
+  /// Whether demand has been observed for long enough to act on it.
   bool established(BootTime Now) const;
-  /// How many times more or less the lasting demand may well be.
+  /// Factor by which the lasting demand may be higher or lower.
   double uncertainty(BootTime Now) const;
 
 private:
-  /// More than a start's first requests. Each second more costs what a wrong
-  /// split costs: 0.015 of the value of all requests for three seconds, where
-  /// eight of twelve engines began with the wrong work (five loads, one run
-  /// each).
+  /// Longer than the first requests after a start take. Each further second
+  /// keeps a wrong split in place: three seconds cost 0.015 of the value of all
+  /// requests if eight of twelve engines start in the wrong stage.
   static constexpr std::chrono::milliseconds MinimumObservationTime{1200};
-  /// The demand of the first second or two is that of a rush or a lull: where
-  /// the mix swings it was off by two to three times, after some seconds by
-  /// little. Without the doubt 0.02 to 0.06 less of the value was earned under
-  /// two swinging mixes (five loads each, one run).
+  /// The first one or two seconds may fall into a burst or a lull: with a
+  /// changing mix the estimate is off by a factor of two to three at first, and
+  /// by little after some seconds. Ignoring this uncertainty costs 0.02 to 0.06
+  /// of the value under such mixes.
   static constexpr double InitialUncertainty = 2;
   static constexpr std::chrono::milliseconds UncertaintyTimeConstant{2500};
 
--- a/Tests/LibDispatch/TestEngineDemand.cpp
+++ b/Tests/LibDispatch/TestEngineDemand.cpp
@@ -1,6 +1,6 @@
-//===- TestEngineDemand.cpp - Work that callers ask of engines ------------===//
+//===- TestEngineDemand.cpp - Demand for prefill and decode ---------------===//
 //
-// Rates, and the mix that counts.
+// Rates, and the mix of work at peak times.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 TEST_GROUP(EngineDemand) { BootTime Now{std::chrono::seconds(100)}; };
 
-TEST(EngineDemand, MeasuresEngineTimeASecond) {
+TEST(EngineDemand, MeasuresEngineTimePerSecond) {
   DemandMeter Meter;
   for (int Step = 0; Step < 400; ++Step) {
     Meter.recordRequest(Milliseconds(5), Milliseconds(10), Now);
@@ -24,11 +24,11 @@
   DOUBLES_EQUAL(1.0, Meter.demand(Now).Decode, 0.1);
 }
 
-// Symptom: under a burst runs wait for slots while the engines that read are
-// idle. Sequence: a fleet starts; for some seconds every subject is read for
-// the first time; engines are set to reading, which takes each from its work
-// for seconds. Cause: reading of a start was taken for what is asked for.
-TEST(EngineDemand, CountsTheFillingOfEnginesLittleAtFirst) {
+// After the start of a fleet every subject is prefilled for the first time for
+// some seconds. If this counts as lasting demand, engines are set to prefill
+// and are unavailable for seconds; in the next burst requests wait for decode
+// slots while prefill engines are idle.
+TEST(EngineDemand, DiscountsCacheFillAfterAStart) {
   DemandMeter Meter;
   DOUBLES_EQUAL(1, Meter.cacheFillShare(Now), 1e-9);
   Meter.recordRequest(Milliseconds(5), Milliseconds(10), Now);
@@ -36,7 +36,7 @@
   CHECK(Meter.cacheFillShare(Now + std::chrono::seconds(30)) < 0.06);
 }
 
-TEST(EngineDemand, KnowsWhatOfAPromptIsSharedAndNotKept) {
+TEST(EngineDemand, CountsSharedTokensThatAreNotCached) {
   const Prompt Input{9000, 1, {{1, 2500}, {2, 3500}, {3, 3000}}};
   LONGS_EQUAL(6000, Input.sharedTokensBeyond(0));
   LONGS_EQUAL(3500, Input.sharedTokensBeyond(2500));
@@ -44,15 +44,15 @@
   LONGS_EQUAL(0, (Prompt{100, 1, {}}.sharedTokensBeyond(0)));
 }
 
-TEST(EngineDemand, ForgetsWhatIsNoLongerAsked) {
+TEST(EngineDemand, DecaysPastDemand) {
   DemandMeter Meter;
   Meter.recordRequest(Milliseconds(5), Milliseconds(10), Now);
   CHECK(Meter.demand(Now + std::chrono::seconds(20)).Prefill < 0.001);
 }
 
-// Load: bursts of long prompts alternate with calm spells of long answers.
-// Grounds: the split matters during the bursts; the calm mix must not undo it.
-TEST(EngineDemand, GoesByTheMixOfBusyTimes) {
+// Bursts of long prompts alternate with low load of long answers. The split
+// matters during the bursts and must not follow the mix at low load.
+TEST(EngineDemand, FollowsTheMixOfPeakTimes) {
   PeakDemand Peak;
   for (int Second = 0; Second < 20; ++Second) {
     Peak.observe(Second % 2 ? EngineDemand{6, 3} : EngineDemand{0.5, 1.5}, Now);
@@ -61,7 +61,7 @@
   CHECK(Peak.demand().Prefill > 1.7 * Peak.demand().Decode);
 }
 
-TEST(EngineDemand, SaysNothingBeforeItHasSeenEnough) {
+TEST(EngineDemand, IsNotEstablishedBeforeTheMinimumTime) {
   PeakDemand Peak;
   Peak.observe({0, 0}, Now);
   Now += std::chrono::seconds(60);
@@ -70,12 +70,10 @@
   CHECK(Peak.established(Now + milliseconds(1200)));
 }
 
-// Symptom: engines change their stage for demand that is not there: 45 engines'
-// worth of reading where 4 were asked for.
-// Sequence: a gateway starts; its first request asks for 100 ms of reading.
-// Cause: the time since the first request, some milliseconds, was taken for
-// the time in which as much comes again.
-TEST(EngineDemand, TakesNoFirstRequestForARush) {
+// The first request after the start of a gateway needs 100 ms of prefill. If
+// its cost is divided by the few milliseconds since then, the estimated demand
+// is 45 engines instead of 4, and engines change their stage without need.
+TEST(EngineDemand, DoesNotOverestimateTheFirstRequest) {
   DemandMeter Meter;
   PeakDemand Peak;
   for (int Step = 0; Step < 40; ++Step) {
