--- a/Libraries/LibDispatch/PromptPlanner.cpp
+++ b/Libraries/LibDispatch/PromptPlanner.cpp
@@ -1,7 +1,7 @@
-//===- PromptPlanner.cpp - Where a prompt is read and run -----------------===//
+//===- PromptPlanner.cpp - Places prompts on engines ----------------------===//
 //
-// Scores each engine by waiting time and engine time; homes of subjects break
-// ties, so that all processes have a new subject read at the same engine.
+// Scores each engine by waiting time and engine time. The home of a subject
+// breaks ties, so that all processes prefill a new subject on the same engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 namespace {
 
 /// Rendezvous hashing: the engine with the highest weight is the home of a
-/// subject, and only the subjects of an engine that came or left move.
+/// subject. If an engine is added or removed, only its subjects move.
 uint64_t homeWeight(uint64_t Subject, const std::string &TargetId) {
   return XXH64(TargetId.data(), TargetId.size(), Subject);
 }
@@ -38,8 +38,8 @@
           m_Loads.failureShare(Engine.Id, Now) < m_Options.MaximumFailureShare);
 }
 
-/// Looked up once for a request: each engine that may read it compares all of
-/// them, and at 54 engines the look-ups were some thousands for each plan.
+/// Computed once per request because every prefill candidate compares all of
+/// them: with 54 engines a plan would otherwise need thousands of lookups.
 std::vector<PromptPlanner::CachedPrefix>
 PromptPlanner::cachedPrefixes(const PromptRequest &Request,
                               std::span<const Target *const> Engines) const {
@@ -52,23 +52,24 @@
   return Result;
 }
 
-/// Another engine may keep more of the prompt. A fetch of 13,000 tokens takes
-/// 10 to 20 ms where computing them again takes 360, and it takes none of the
-/// engine's computing time.
+/// Another engine may cache more of the prompt. Fetching 13,000 tokens takes 10
+/// to 20 ms, recomputing them 360 ms, and a fetch uses no compute time of the
+/// engine.
 PromptPlanner::PrefixSource
-PromptPlanner::cheapestPrefix(const PromptRequest &Request, const Target &At,
+PromptPlanner::cheapestPrefix(const PromptRequest &Request,
+                              const Target &Destination,
                               std::span<const CachedPrefix> Prefixes,
                               const EngineCosts &Costs, BootTime Now) const {
   const uint32_t LocalTokens =
-      m_Loads.cachedTokensWithPending(At.Id, Request.Input, Now);
+      m_Loads.cachedTokensWithPending(Destination.Id, Request.Input, Now);
   PrefixSource Best{LocalTokens, nullptr, 0};
   Milliseconds BestTime = Costs.prefill(Request.Input, LocalTokens);
   for (const auto &[Engine, CachedTokens] : Prefixes) {
-    if (Engine == &At || CachedTokens <= LocalTokens)
+    if (Engine == &Destination || CachedTokens <= LocalTokens)
       continue;
-    const Milliseconds Time =
-        Costs.fetch(CachedTokens - LocalTokens, Engine->Zone == At.Zone) +
-        Costs.prefill(Request.Input, CachedTokens);
+    const Milliseconds Time = Costs.fetch(CachedTokens - LocalTokens,
+                                          Engine->Zone == Destination.Zone) +
+                              Costs.prefill(Request.Input, CachedTokens);
     if (Time < BestTime) {
       Best = {CachedTokens, Engine, CachedTokens - LocalTokens};
       BestTime = Time;
@@ -77,14 +78,14 @@
   return Best;
 }
 
-/// The read of the request at \p At, computed as fast as at a prefill engine.
-PromptPlanner::Candidate
-PromptPlanner::prefillCandidate(const PromptRequest &Request, const Target &At,
-                                std::span<const CachedPrefix> Prefixes,
-                                const EngineCosts &Costs, Milliseconds Wait,
-                                double Slowness, BootTime Now) const {
-  const PrefixSource Prefix = cheapestPrefix(Request, At, Prefixes, Costs, Now);
-  Candidate Result{&At, Prefix.FetchSource, {}, Milliseconds(0)};
+/// Prefill of the request on \p Destination at the speed of a prefill engine.
+PromptPlanner::Candidate PromptPlanner::prefillCandidate(
+    const PromptRequest &Request, const Target &Destination,
+    std::span<const CachedPrefix> Prefixes, const EngineCosts &Costs,
+    Milliseconds Wait, double Slowness, BootTime Now) const {
+  const PrefixSource Prefix =
+      cheapestPrefix(Request, Destination, Prefixes, Costs, Now);
+  Candidate Result{&Destination, Prefix.FetchSource, {}, Milliseconds(0)};
   Result.Prefill.Size = EngineCosts::uncachedSize(Request.Input, Prefix.Tokens);
   Result.Prefill.Size.Fetches = Prefix.FetchSource != nullptr;
   Result.Prefill.Wait = Wait;
@@ -92,7 +93,7 @@
   Result.Cost = Result.Prefill.Compute;
   if (!Prefix.FetchSource)
     return Result;
-  const bool SameZone = Prefix.FetchSource->Zone == At.Zone;
+  const bool SameZone = Prefix.FetchSource->Zone == Destination.Zone;
   Result.Prefill.NominalTransfer =
       Costs.nominalTransfer(Prefix.FetchedTokens, SameZone);
   Result.Cost += Costs.fetch(Prefix.FetchedTokens, SameZone);
@@ -138,11 +139,11 @@
   const double Slots = std::max(1U, Traits.Slots);
   if (Items < Slots)
     return Milliseconds(0);
-  // Of the work there, what exceeds the slots has to end first; only what is in
-  // the slots ends.
-  const double Turnover = m_Loads.completionRate(Engine.Id, Now) * Slots /
-                          std::max(CurrentItems, Slots);
-  return Milliseconds((Items - Slots + 1) / std::max(1e-6, Turnover));
+  // The items that exceed the slots have to complete first, and only items
+  // that occupy a slot complete.
+  const double CompletionRate = m_Loads.completionRate(Engine.Id, Now) * Slots /
+                                std::max(CurrentItems, Slots);
+  return Milliseconds((Items - Slots + 1) / std::max(1e-6, CompletionRate));
 }
 
 std::optional<PromptPlanner::Candidate> PromptPlanner::bestSingleTarget(
@@ -156,7 +157,8 @@
         !usable(*Engine, Request, Filter, Now))
       continue;
     const double Slowness = m_Loads.slowness(Engine->Id, Now);
-    // Both a free slot and the end of the prompts in front are waited for.
+    // The request needs a free slot and has to wait for the prompts queued
+    // before it.
     const Milliseconds Wait =
         std::max(slotWait(*Engine, Costs.traits(), ExpectedArrivals, Now),
                  m_Loads.prefillBacklog(Engine->Id, Now)) *
@@ -176,15 +178,15 @@
 
 double PromptPlanner::expectedDecodes(std::span<const Target *const> Engines,
                                       BootTime Now) const {
-  double Reads = 0;
-  double Runners = 0;
+  double Prefills = 0;
+  double DecodeEngines = 0;
   for (const Target *Engine : Engines) {
     if (Engine->EngineStage == Stage::Prefill)
-      Reads += m_Loads.items(Engine->Id, Now);
+      Prefills += m_Loads.items(Engine->Id, Now);
     else
-      ++Runners;
+      ++DecodeEngines;
   }
-  return Runners > 0 ? Reads / Runners : 0;
+  return DecodeEngines > 0 ? Prefills / DecodeEngines : 0;
 }
 
 std::optional<DecodePlan> PromptPlanner::chooseDecodeTarget(
@@ -203,11 +205,12 @@
     std::span<const Target *const> Engines, const EngineCosts &Costs,
     double ExpectedArrivals, HealthFilter Filter, BootTime Now) const {
   std::optional<DecodePlan> Best;
-  // Everybody's view of the engines is as old as the reports, in which time
-  // each engine's work has changed hands several times over: whoever takes the
-  // engine that looks least busy meets all others there. So the subject has a
-  // home among them, too, in the zone of its reader first, where a transfer
-  // takes half as long and the parts that an engine has run stay.
+  // The view of the engines is as old as the last peer reports, and the work of
+  // an engine turns over several times between two reports. If all processes
+  // chose the engine that looks least busy, they would all choose the same one.
+  // So each subject also has a home among the decode engines, preferably in the
+  // zone of its prefill engine: a transfer takes half as long there, and the
+  // parts that the engine has decoded are still cached.
   Milliseconds BestScore{0};
   uint64_t BestWeight = 0;
   const uint64_t Subject = Request.Input.subject();
@@ -218,12 +221,12 @@
       continue;
     const double Slowness = m_Loads.slowness(Engine->Id, Now);
     const uint32_t Cached = m_Loads.cachedTokens(Engine->Id, Request.Input);
-    const uint32_t Moved =
+    const uint32_t TransferredTokens =
         Request.Input.Tokens - std::min(Request.Input.Tokens, Cached);
     const bool SameZone = PrefillTarget && PrefillTarget->Zone == Engine->Zone;
-    const Milliseconds Transfer = Costs.transfer(Moved, SameZone);
-    // A prompt that is being read there delays the first token by a piece of it
-    // only, which is part of what a start takes on average.
+    const Milliseconds Transfer = Costs.transfer(TransferredTokens, SameZone);
+    // A prefill in progress on the engine delays the first token only by one
+    // chunk. The average start time includes that delay.
     const Milliseconds Wait =
         slotWait(*Engine, Costs.traits(), ExpectedArrivals, Now) * Slowness;
     const Milliseconds Expected =
@@ -235,12 +238,15 @@
       continue;
     BestScore = Score;
     BestWeight = Weight;
-    Best = DecodePlan{
-        Engine->Id,
-        {},
-        Transfer + Costs.decodeStartFixed() + Request.GenerationTime,
-        Expected,
-        {{}, Wait, Milliseconds(0), Costs.nominalTransfer(Moved, SameZone)}};
+    Best =
+        DecodePlan{Engine->Id,
+                   {},
+                   Transfer + Costs.decodeStartFixed() + Request.GenerationTime,
+                   Expected,
+                   {{},
+                    Wait,
+                    Milliseconds(0),
+                    Costs.nominalTransfer(TransferredTokens, SameZone)}};
   }
   return Best;
 }
@@ -257,12 +263,12 @@
 Rejection PromptPlanner::reject(const PromptRequest &Request,
                                 std::string_view Reason,
                                 Milliseconds FirstEvent) const {
-  const Milliseconds Excess =
+  const Milliseconds Overrun =
       FirstEvent - Request.LatencyTarget * m_Options.LatencyTargetShare;
-  // Spread over as much time again, so that those refused together do not
-  // come back together.
+  // Jitter of the same length keeps requests that are rejected together from
+  // being retried together.
   const auto Wait = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Excess * (1 + Request.Draw) +
+      Overrun * (1 + Request.Draw) +
       Milliseconds(m_Options.MinimumRetryAfter) * Request.Draw);
   return {Reason, FirstEvent,
           std::clamp(Wait, m_Options.MinimumRetryAfter,
@@ -294,30 +300,30 @@
     const auto DecodeTarget =
         bestDecodeTarget(Request, PrefillTarget->Engine, Engines, Costs,
                          expectedDecodes(Engines, Now), Filter, Now);
-    const Milliseconds Read = PrefillTarget->Prefill.Wait +
-                              PrefillTarget->Cost + Costs.prefillFixed();
+    const Milliseconds PrefillEnd = PrefillTarget->Prefill.Wait +
+                                    PrefillTarget->Cost + Costs.prefillFixed();
     if (DecodeTarget) {
       SplitWait = PrefillTarget->Prefill.Wait + DecodeTarget->Prefill.Wait;
       SplitPlan = PrefillThenDecode{
-          PrefillTarget->Engine->Id,      PrefillTarget->fetchSourceId(),
-          PrefillTarget->Prefill.Compute, Read,
-          Read + DecodeTarget->Expected,  PrefillTarget->Prefill};
+          PrefillTarget->Engine->Id,           PrefillTarget->fetchSourceId(),
+          PrefillTarget->Prefill.Compute,      PrefillEnd,
+          PrefillEnd + DecodeTarget->Expected, PrefillTarget->Prefill};
     }
   }
-  const bool Small =
+  const bool IsSmall =
       Single->Prefill.Compute <= Request.EventGap * m_Options.PrefillGapShare;
-  // Reading apart takes a call more, of which the fixed part of a read is an
-  // upper bound; a small prompt is worth it only for a clear gain.
+  // A separate prefill needs one more call, whose cost is at most the fixed
+  // cost of a prefill. For a small prompt the gain has to exceed that.
   const bool UseSplitPlan =
-      SplitPlan && (!Small || SplitPlan->FirstEvent + Costs.prefillFixed() <
-                                  SingleFirstEvent);
-  const Milliseconds First =
+      SplitPlan && (!IsSmall || SplitPlan->FirstEvent + Costs.prefillFixed() <
+                                    SingleFirstEvent);
+  const Milliseconds FirstEvent =
       UseSplitPlan ? SplitPlan->FirstEvent : SingleFirstEvent;
   const Milliseconds Wait = UseSplitPlan ? SplitWait : Single->Prefill.Wait;
   if (!admits(Request, Wait + Request.ExpectedStartLag,
-              First + Request.ExpectedStartLag))
+              FirstEvent + Request.ExpectedStartLag))
     return reject(Request, "the first token would come too late",
-                  First + Request.ExpectedStartLag);
+                  FirstEvent + Request.ExpectedStartLag);
   if (UseSplitPlan)
     return *SplitPlan;
   return DecodePlan{Single->Engine->Id, Single->fetchSourceId(),
--- a/Libraries/LibDispatch/PromptPlanner.h
+++ b/Libraries/LibDispatch/PromptPlanner.h
@@ -1,14 +1,14 @@
-//===- PromptPlanner.h - Where a prompt is read and run ---------*- C++ -*-===//
+//===- PromptPlanner.h - Places prompts on engines --------------*- C++ -*-===//
 //
-// Chooses for one request: read the prompt at a prefill engine and run it at a
-// decode engine, run it at a decode engine alone, or refuse it now. The choice
-// goes by when the first token would reach the caller, and by the engine time
-// that the request takes away from others.
+// Chooses for each request between prefill on a prefill engine followed by
+// decode on a decode engine, both on one decode engine, and rejection. The
+// choice depends on when the first token would reach the caller and on the
+// engine time that the request costs.
 //
-// A request whose first token cannot come in time is refused at once and
-// before any work: under a burst the engines are otherwise busy with prompts
-// whose callers have left, and everyone is late. One sees it as a high share
-// of prompts that were read and never run.
+// A request whose first token cannot arrive in time is rejected before any work
+// starts. Otherwise, in a burst, engines prefill prompts whose callers have
+// already disconnected, and every request is late. The symptom is a high share
+// of prompts that are prefilled but never decoded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,57 +26,60 @@
 
 struct PromptRequest {
   Prompt Input;
-  /// Time from the first token to the last, as expected.
+  /// Expected time from the first token to the last.
   Milliseconds GenerationTime{0};
-  /// From now to the moment at which the first event is no longer on time.
+  /// Time until the first event would miss the latency target.
   Milliseconds TimeToLatencyTarget{0};
-  /// From now to the request's end.
+  /// Time until the request's deadline.
   Milliseconds TimeLeft{0};
-  /// The route's latency target.
+  /// Latency target of the route.
   Milliseconds LatencyTarget{0};
-  /// The shortest pause between events that any stream of the service is
-  /// allowed, to be on time.
+  /// Shortest pause between events that any stream of the service allows.
   Milliseconds EventGap{200};
-  /// How much later than planned answers of the service began lately.
+  /// Current start lag of the service: how much later than planned its answers
+  /// begin.
   Milliseconds ExpectedStartLag{0};
-  /// Targets that failed this request or must not get it.
+  /// Targets that failed this request or must not receive it.
   std::vector<std::string> Excluded;
   /// Uniform in [0, 1).
   double Draw = 0;
 };
 
-/// A read as it was planned; its time is measured against this.
+/// Planned times of a prefill, against which the actual time is compared.
 struct PrefillPlan {
   engine::PrefillSize Size;
-  /// Until the engine turns to it.
+  /// Time in the engine's queue.
   Milliseconds Wait{0};
-  /// Engine time of computing it.
+  /// Engine time of the computation.
   Milliseconds Compute{0};
-  /// Transfer of what is fetched first, by its size and the link.
+  /// Transfer time of the fetched parts, computed from their size and the link.
   Milliseconds NominalTransfer{0};
 };
 
-/// Read at Reader; where it runs is chosen when the prompt has been read.
+/// Prefill on one engine. The decode engine is chosen when prefill has ended.
 struct PrefillThenDecode {
   std::string PrefillTarget;
-  /// Engine to fetch shared parts from before reading; empty for none.
+  /// Engine to fetch shared parts from before prefill; empty for none.
   std::string FetchFrom;
-  /// Engine time of the read, and time until it ends.
+  /// Engine time of the prefill.
   Milliseconds Cost{0};
+  /// Time until the prefill ends.
   Milliseconds Expected{0};
-  /// Until the first event reaches the caller.
+  /// Time until the first event reaches the caller.
   Milliseconds FirstEvent{0};
   PrefillPlan Prefill;
 };
+/// Decode, either after a prefill on another engine or including the prefill.
 struct DecodePlan {
   std::string DecodeTarget;
-  /// As above, where the prompt is read at the runner.
+  /// Engine to fetch shared parts from if the prompt is prefilled on the decode
+  /// engine; empty for none.
   std::string FetchFrom;
   Milliseconds Cost{0};
-  /// Until the first event reaches this process.
+  /// Time until the first event reaches this process.
   Milliseconds Expected{0};
-  /// How the runner reads the prompt; of one that was read elsewhere only the
-  /// waiting, and the transfer of its KV cache.
+  /// Prefill on the decode engine. After a prefill on another engine this holds
+  /// only the queue time and the transfer of the KV cache.
   PrefillPlan Prefill;
 };
 struct Rejection {
@@ -87,40 +90,40 @@
 using PromptPlan = std::variant<PrefillThenDecode, DecodePlan, Rejection>;
 
 struct PromptPlannerOptions {
-  /// Share of the time to the latency target that a plan may use up; the rest
-  /// covers what the estimate does not see (peers' newest work).
+  /// Share of the time to the latency target that a plan may use. The rest
+  /// covers load that the estimate does not include (the newest work of peers).
   double LatencyTargetShare = 0.9;
-  /// A prompt that is late by its size alone may still wait this share of the
-  /// target: refusing all of them would starve the largest prompts.
+  /// A prompt that misses the latency target because of its size may still wait
+  /// for this share of the target: rejecting all of them would starve the
+  /// largest prompts.
   double LargePromptWaitShare = 0.35;
-  /// Share of the time to the deadline that a plan may use up.
+  /// Share of the time to the deadline that a plan may use.
   double DeadlineShare = 0.7;
-  /// Weight of engine time that a choice costs beyond the cheapest one,
-  /// against waiting: work spent twice is missing for the requests behind.
+  /// Weight of engine time against waiting time in the score of an engine:
+  /// engine time spent on repeated work is missing for the requests behind.
   double EngineTimeWeight = 1;
   /// Engines whose scores differ by less than this share of the latency target
-  /// count as equal, and the subject's home decides among them: the estimate
-  /// is no finer, and many processes with the same old view would all leave for
-  /// the same engine. With a margin of 30 ms for 120 ms in place of 3 ms, the
-  /// share of the value of all requests that was earned rose from 0.598 to
-  /// 0.610 in one load and from 0.742 to 0.765 in another (two runs each).
+  /// count as equal, and the home of the subject decides. The estimate is no
+  /// more precise than that, and with a smaller margin many processes with the
+  /// same outdated view would all move to the same engine. A margin of 30 ms
+  /// for a target of 120 ms earned 0.610 and 0.765 of the value of all requests
+  /// in two loads; a margin of 3 ms earned 0.598 and 0.742.
   double HomeMarginShare = 0.25;
-  /// A prompt that would hold up the streams of a decode engine for more than
-  /// this share of the pause that they are allowed is read at a prefill engine,
-  /// wherever one takes work. An event carries several tokens, and a read
-  /// delays each; streams also hold their slots longer. With all prompts free
-  /// to choose by their own time alone, 0.69 of the value of a load with bursts
-  /// was earned, with such prompts kept away from decode engines 0.80 (two runs
-  /// each). With 0.022 in place of 0.04 prompts crowd the prefill engines, and
-  /// 0.03 less was earned in two loads; 0.07 was no better (three runs each).
+  /// A prompt whose prefill would delay the streams of a decode engine by more
+  /// than this share of their event gap goes to a prefill engine if one is
+  /// available. An event carries several tokens, each of which a prefill
+  /// delays, and delayed streams hold their slots longer. In a load with bursts
+  /// this earned 0.80 of its value, against 0.69 without the limit. With 0.022
+  /// prompts overload the prefill engines and 0.03 less is earned in two loads;
+  /// 0.07 is no better than 0.04.
   double PrefillGapShare = 0.04;
-  /// Share of failed work from which a target is left out; it is forgiven with
-  /// the half-life of the load book.
+  /// A target with at least this share of failed work is avoided. The share
+  /// decays with the half-life of the load tracker.
   double MaximumFailureShare = 0.25;
-  /// Bounds of what a refused caller is told to wait. Bursts last seconds; a
-  /// caller who returns within one is refused again. With 150 ms to 1.5 s in
-  /// place of these, 44 in 1,000 requests of a heavy load were refused in the
-  /// end (three runs), with these 35 (two runs).
+  /// Bounds of the retry delay sent to rejected callers. Bursts last seconds,
+  /// so a caller that returns within a burst is rejected again. Under heavy
+  /// load 35 in 1,000 requests are finally rejected with these bounds, and 44
+  /// with 150 ms to 1.5 s.
   std::chrono::milliseconds MinimumRetryAfter{600};
   std::chrono::milliseconds MaximumRetryAfter{3000};
 };
@@ -129,25 +132,26 @@
 public:
   PromptPlanner(PromptPlannerOptions Options, LoadTracker &Loads);
 
-  /// \p Engines are the targets of the service that take new work.
+  /// \p Engines are the targets of the service that accept new work.
   PromptPlan plan(const PromptRequest &Request,
                   std::span<const Target *const> Engines,
                   const EngineCosts &Costs, BootTime Now) const;
 
-  /// Where a prompt runs that \p Reader has read; null if nowhere.
+  /// Chooses the decode engine for a prompt that \p PrefillTarget has
+  /// prefilled. Empty if no engine is available.
   std::optional<DecodePlan>
   chooseDecodeTarget(const PromptRequest &Request, const Target *PrefillTarget,
                      std::span<const Target *const> Engines,
                      const EngineCosts &Costs, BootTime Now) const;
 
 private:
-  /// A prompt as one engine would read it.
+  /// Prefill of a prompt on one engine.
   struct Candidate {
     const Target *Engine = nullptr;
-    /// Who sends parts that the engine itself does not keep; null for none.
+    /// Engine that sends the parts that are not cached; null for none.
     const Target *FetchSource = nullptr;
     PrefillPlan Prefill;
-    /// Computing and fetching.
+    /// Time to compute and fetch.
     Milliseconds Cost{0};
     Milliseconds score(double EngineTimeWeight) const {
       return Prefill.Wait + Cost * (1 + EngineTimeWeight);
@@ -157,15 +161,15 @@
     }
   };
 
-  /// Where the engine gets the parts of the prompt that it does not compute.
+  /// The leading part of a prompt that an engine does not compute.
   struct PrefixSource {
     uint32_t Tokens = 0;
+    /// Engine that sends the tokens that are not cached; null for none.
     const Target *FetchSource = nullptr;
-    /// Tokens that it sends.
     uint32_t FetchedTokens = 0;
   };
 
-  /// An engine that keeps leading parts of the prompt, and their tokens.
+  /// An engine that caches leading parts of the prompt.
   struct CachedPrefix {
     const Target *Engine = nullptr;
     uint32_t Tokens = 0;
@@ -174,16 +178,18 @@
   cachedPrefixes(const PromptRequest &Request,
                  std::span<const Target *const> Engines) const;
 
-  PrefixSource cheapestPrefix(const PromptRequest &Request, const Target &At,
+  PrefixSource cheapestPrefix(const PromptRequest &Request,
+                              const Target &Destination,
                               std::span<const CachedPrefix> Prefixes,
                               const EngineCosts &Costs, BootTime Now) const;
-  Candidate prefillCandidate(const PromptRequest &Request, const Target &At,
+  Candidate prefillCandidate(const PromptRequest &Request,
+                             const Target &Destination,
                              std::span<const CachedPrefix> Prefixes,
                              const EngineCosts &Costs, Milliseconds Wait,
                              double Slowness, BootTime Now) const;
-  /// Whether targets that failed lately are looked at. They are when there is
-  /// no other: when all engines fail a part of their work, a request does
-  /// better at any of them than refused.
+  /// Whether targets with recent failures are considered. They are used only
+  /// when there is no other target: if all engines fail part of their work, any
+  /// of them is better than a rejection.
   enum class HealthFilter { Healthy, Any };
   bool usable(const Target &Engine, const PromptRequest &Request,
               HealthFilter Filter, BootTime Now) const;
@@ -192,14 +198,16 @@
                     std::span<const Target *const> Engines,
                     std::span<const CachedPrefix> Prefixes,
                     const EngineCosts &Costs, BootTime Now) const;
+  /// Best decode engine for both prefill and decode.
   std::optional<Candidate> bestSingleTarget(
       const PromptRequest &Request, std::span<const Target *const> Engines,
       std::span<const CachedPrefix> Prefixes, const EngineCosts &Costs,
       HealthFilter Filter, BootTime Now) const;
-  /// \p Coming: pieces of work that will be there before this one.
+  /// Time until a slot is free. \p ExpectedArrivals: number of work items that
+  /// will arrive at the engine before this request.
   Milliseconds slotWait(const Target &Engine, const EngineTraits &Traits,
                         double ExpectedArrivals, BootTime Now) const;
-  /// Prompts that are being read, for each engine that may run them.
+  /// Number of prompts in prefill for each decode engine.
   double expectedDecodes(std::span<const Target *const> Engines,
                          BootTime Now) const;
   std::optional<DecodePlan>
--- a/Tests/LibDispatch/TestPromptPlanner.cpp
+++ b/Tests/LibDispatch/TestPromptPlanner.cpp
@@ -1,6 +1,7 @@
-//===- TestPromptPlanner.cpp - Where a prompt is read and run -------------===//
+//===- TestPromptPlanner.cpp - Places prompts on engines ------------------===//
 //
-// One load pattern a test; figures are those of the planner's options.
+// One load pattern per test. The numbers follow from the default options of
+// the planner.
 //
 //===----------------------------------------------------------------------===//
 
@@ -57,8 +58,8 @@
   PromptPlan plan() { return Planner.plan(Request, Engines, costs(), Now); }
   std::string prefillTarget() {
     const auto Plan = plan();
-    const auto *Split = std::get_if<PrefillThenDecode>(&Plan);
-    return Split ? Split->PrefillTarget : std::string();
+    const auto *SplitPlan = std::get_if<PrefillThenDecode>(&Plan);
+    return SplitPlan ? SplitPlan->PrefillTarget : std::string();
   }
   void load(const std::string &Id, double Cost, int Pieces = 1) {
     for (int Index = 0; Index < Pieces; ++Index)
@@ -71,20 +72,19 @@
   }
 };
 
-// Load: calm. Grounds: reading at a decode engine takes three times as long
-// and delays its streams.
-TEST(PromptPlanner, ReadsLargePromptsAtPrefillEngines) {
+// Prefill on a decode engine takes three times as long and delays its streams.
+TEST(PromptPlanner, PrefillsLargePromptsOnPrefillEngines) {
   CHECK(!prefillTarget().empty());
 }
 
-TEST(PromptPlanner, RunsSmallPromptsAtADecodeEngineAlone) {
+TEST(PromptPlanner, RunsSmallPromptsOnASingleDecodeEngine) {
   Request.Input = {200, 1, {{9, 200}}};
   CHECK(std::holds_alternative<DecodePlan>(plan()));
 }
 
-// Load: many processes see a new subject at the same time. Grounds: they must
-// have it read at one engine, or every engine computes it.
-TEST(PromptPlanner, HasANewSubjectReadAtOneHome) {
+// Many processes receive requests of a new subject at the same time. They have
+// to choose the same engine, or every engine computes the shared parts.
+TEST(PromptPlanner, PrefillsANewSubjectOnItsHome) {
   const std::string Home = prefillTarget();
   LoadTracker PeerLoads;
   for (const Target &Entry : Targets)
@@ -95,19 +95,18 @@
                std::get<PrefillThenDecode>(Plan).PrefillTarget.c_str());
 }
 
-// Load: one prefill engine has a queue of 60 ms, the other none. Grounds: the
-// shared parts cost 10 ms to compute, and the margin in which the home decides
-// is 30 ms.
-TEST(PromptPlanner, LeavesABusyHome) {
+// One prefill engine has a queue of 60 ms, the other none. Computing the shared
+// parts costs 10 ms, and the margin in which the home decides is 30 ms.
+TEST(PromptPlanner, AvoidsABusyHome) {
   const std::string Home = prefillTarget();
   cache(Home);
   load(Home, 60);
   CHECK(prefillTarget() != Home);
 }
 
-// Load: the home of a subject is busy and another engine has to read it.
-// Grounds: a transfer of 6,000 tokens takes 2 ms, computing them 10 ms.
-TEST(PromptPlanner, FetchesSharedPartsFromAnEngineThatKeepsThem) {
+// The home of a subject is busy, so another engine has to prefill the prompt.
+// Transferring 6,000 tokens takes 2 ms, computing them 10 ms.
+TEST(PromptPlanner, FetchesSharedPartsFromAnEngineThatCachesThem) {
   const std::string Home = prefillTarget();
   cache(Home);
   load(Home, 60);
@@ -116,7 +115,7 @@
                std::get<PrefillThenDecode>(Plan).FetchFrom.c_str());
 }
 
-TEST(PromptPlanner, DoesNotFetchWhatTheEngineKeeps) {
+TEST(PromptPlanner, DoesNotFetchCachedParts) {
   cache("read-1");
   cache("read-2");
   cache("run-1");
@@ -124,20 +123,19 @@
   CHECK(std::get<PrefillThenDecode>(Plan).FetchFrom.empty());
 }
 
-// Load: thirty processes see the same engine free at the same moment. Grounds:
-// their views are some tens of milliseconds old, so a difference of 20 ms moves
-// nobody from a subject's home.
-TEST(PromptPlanner, StaysAtTheHomeForSmallDifferences) {
+// Thirty processes see the same idle engine at the same time. Their views are
+// some tens of milliseconds old, so a difference of 20 ms must not move a
+// subject away from its home.
+TEST(PromptPlanner, StaysOnTheHomeForSmallDifferences) {
   const std::string Home = prefillTarget();
   cache(Home);
   load(Home, 20);
   STRCMP_EQUAL(Home.c_str(), prefillTarget().c_str());
 }
 
-// Load: a burst; both prefill engines have 150 ms of work. Grounds: the first
-// token would come after the target of 120 ms, and reading the prompt would
-// make the next ones late, too.
-TEST(PromptPlanner, RefusesAtOnceWhatWouldBeLate) {
+// In a burst both prefill engines have 150 ms of work. The first token would
+// miss the target of 120 ms, and the prefill would delay the next requests.
+TEST(PromptPlanner, RejectsRequestsThatWouldBeLate) {
   load("read-1", 150);
   load("read-2", 150);
   const auto Plan = plan();
@@ -145,29 +143,28 @@
   CHECK(std::get<Rejection>(Plan).RetryAfter >= milliseconds(600));
 }
 
-// Load: the largest tenth of prompts is late by its size alone. Grounds: a
-// door that goes by the first token would starve them; they may wait as long
-// as a small one.
-TEST(PromptPlanner, AdmitsLargePromptsThatAreLateByTheirSizeAlone) {
+// The largest tenth of the prompts misses the latency target because of its
+// size. Admission control by the first token alone would starve these prompts,
+// so they may wait as long as a small one.
+TEST(PromptPlanner, AdmitsLargePromptsThatAreLateOnlyBecauseOfTheirSize) {
   Request.Input.Tokens = 90000;
   Request.Input.Parts[2].Tokens = 84000;
   CHECK(std::holds_alternative<PrefillThenDecode>(plan()));
 }
 
-// Load: long answers hold all slots of one decode engine. Grounds: a slot there
-// changes hands once in 400 ms.
-TEST(PromptPlanner, RunsWhereSlotsAreFree) {
+// Long answers hold all slots of one decode engine, where a slot becomes free
+// only every 400 ms.
+TEST(PromptPlanner, DecodesWhereSlotsAreFree) {
   load("run-1", 3000, 8);
   const auto Runner =
       Planner.chooseDecodeTarget(Request, &Targets[0], Engines, costs(), Now);
   STRCMP_EQUAL("run-2", Runner->DecodeTarget.c_str());
 }
 
-// Symptom: in a burst engines reject half of the runs, one engine in this
-// moment, another in the next. Sequence: a hundred processes look for the
-// engine with the least work, with views as old as their reports. Cause: all
-// of them find the same one.
-TEST(PromptPlanner, SpreadsTheRunsOfUnlikeSubjects) {
+// A hundred processes with views as old as the last reports choose the engine
+// with the least work. If all choose the same one, the engines reject half of
+// the decode requests in a burst, each engine in turn.
+TEST(PromptPlanner, DistributesDecodeOfDifferentSubjects) {
   std::map<std::string, int> Runs;
   for (uint64_t Subject = 0; Subject < 100; ++Subject) {
     Request.Input.Parts[1].Id = 1000 + Subject;
@@ -180,9 +177,9 @@
     CHECK(Count >= 35);
 }
 
-// Grounds: a transfer between availability zones takes twice as long, on the
+// A transfer between availability zones takes twice as long and occupies the
 // links of both engines.
-TEST(PromptPlanner, RunsInTheZoneOfTheReader) {
+TEST(PromptPlanner, DecodesInTheZoneOfThePrefillTarget) {
   Targets[0].Zone = Targets[3].Zone = "y";
   for (uint64_t Subject = 0; Subject < 20; ++Subject) {
     Request.Input.Parts[1].Id = 1000 + Subject;
@@ -193,18 +190,18 @@
   }
 }
 
-// Load: answers begin 100 ms later than planned, whatever the plan. Grounds:
-// 16 ms of reading and starting are planned, of 108 ms that the target leaves.
-TEST(PromptPlanner, RefusesWhatWouldBeLateByTheLatenessOfOthers) {
+// All answers begin 100 ms later than planned. The plan takes 16 ms for prefill
+// and start, and may take 108 ms.
+TEST(PromptPlanner, AddsTheStartLagToThePlan) {
   CHECK(!std::holds_alternative<Rejection>(plan()));
   Request.ExpectedStartLag = Milliseconds(100);
   CHECK(std::holds_alternative<Rejection>(plan()));
 }
 
-// Load: a burst of reads at engines that are fast, in front of few slots.
-// Grounds: each prompt that is being read needs a slot right after; a door
-// that does not count them admits far more than can run.
-TEST(PromptPlanner, CountsPromptsThatAreBeingReadAsRunsToCome) {
+// A burst of prefills on fast engines in front of few decode slots. Each prompt
+// in prefill needs a slot next. Without counting them, admission control admits
+// far more requests than can run.
+TEST(PromptPlanner, CountsPromptsInPrefillAsExpectedDecodes) {
   load("read-1", 1, 30);
   load("read-2", 1, 30);
   load("run-1", 100, 8);
@@ -212,8 +209,8 @@
   CHECK(std::holds_alternative<Rejection>(plan()));
 }
 
-// Symptom: one request after the other fails at a server that answers its
-// health checks. Cause: only the load decided where requests go.
+// If only the load decides, request after request fails on a server that passes
+// its health checks.
 TEST(PromptPlanner, AvoidsAnEngineThatFailsRequests) {
   const std::string Home = prefillTarget();
   for (int Index = 0; Index < 6; ++Index)
@@ -225,15 +222,15 @@
   CHECK(prefillTarget() != Home);
 }
 
-TEST(PromptPlanner, RefusesWhereNothingRuns) {
+TEST(PromptPlanner, RejectsWithoutDecodeEngines) {
   Engines.resize(2);
   CHECK(std::holds_alternative<Rejection>(plan()));
 }
 
-// Symptom: every prompt is refused for two seconds. Sequence: all engines fail
-// more than a quarter of their work. Cause: engines that fail were left out
-// also where there was no other.
-TEST(PromptPlanner, GoesToAnEngineThatFailsWhenAllDo) {
+// All engines fail more than a quarter of their work. If failing engines are
+// avoided even when there is no other, every prompt is rejected for two
+// seconds.
+TEST(PromptPlanner, UsesFailingEnginesWhenAllFail) {
   for (const Target &Entry : Targets)
     for (int Index = 0; Index < 6; ++Index)
       Loads.recordFailure(
@@ -246,11 +243,10 @@
             .has_value());
 }
 
-// Load: prompts of 17,000 tokens at engines that read 37 tokens a millisecond,
-// eighteen times as slowly as those above. Grounds: the same engine is known
-// by its figures alone; a door or a queue in constants of other engines admits
-// eighteen times what can be read.
-TEST(PromptPlanner, PlansSlowEnginesByTheirOwnFigures) {
+// Prompts of 17,000 tokens on engines that prefill 37 tokens per millisecond,
+// eighteen times slower than those above. Limits that are constants derived
+// from other engines would admit eighteen times what the engines can prefill.
+TEST(PromptPlanner, PlansSlowEnginesByTheirOwnParameters) {
   Parameters.PrefillPerThousandTokens = Milliseconds(27.2);
   Request.Input = {17000, 1, {{1, 13300}, {3, 3700}}};
   Request.LatencyTarget = Request.TimeToLatencyTarget = Milliseconds(800);
@@ -263,10 +259,10 @@
   CHECK(std::holds_alternative<Rejection>(plan()));
 }
 
-// Load: short prompts beside streams that may pause for 300 ms. Grounds: what
-// one read takes from the streams is time, at whatever speed an engine reads;
-// 600 tokens are 3 ms at one engine and 50 ms at another.
-TEST(PromptPlanner, BoundsReadingBesideStreamsByTheirPauses) {
+// Short prompts on engines whose streams may pause for 300 ms. A prefill delays
+// the streams by its duration, which depends on the engine: 600 tokens take 3
+// ms on one engine and 50 ms on another.
+TEST(PromptPlanner, LimitsPrefillOnDecodeEnginesByTheEventGap) {
   Request.Input = {600, 1, {{9, 600}}};
   Request.EventGap = Milliseconds(300);
   load("read-1", 20);
@@ -276,9 +272,9 @@
   CHECK(std::holds_alternative<PrefillThenDecode>(plan()));
 }
 
-// Load: no prefill engine takes work; prompts are read at decode engines.
-// Grounds: prompts are read one after the other; slots do not show that.
-TEST(PromptPlanner, CountsPromptsThatWaitAtADecodeEngine) {
+// No prefill engine accepts work, so decode engines prefill. They prefill one
+// prompt after the other, which the number of free slots does not show.
+TEST(PromptPlanner, CountsQueuedPromptsOfADecodeEngine) {
   Engines.erase(Engines.begin(), Engines.begin() + 2);
   load("run-1", 80);
   STRCMP_EQUAL("run-2", std::get<DecodePlan>(plan()).DecodeTarget.c_str());
@@ -286,10 +282,10 @@
   CHECK(std::holds_alternative<Rejection>(plan()));
 }
 
-// Load: a rush for a subject that no engine keeps yet. Grounds: the second
-// request finds what the first one leaves; counted as a whole read it would be
-// refused, or read from the start at another engine.
-TEST(PromptPlanner, SendsASubjectWhereItIsBeingRead) {
+// A burst of requests of a subject that no engine has cached. The second
+// request can use the parts that the first one computes. Planned as a full
+// prefill it would be rejected, or computed again on another engine.
+TEST(PromptPlanner, CountsPendingPartsAsCached) {
   const std::string Home = prefillTarget();
   load(Home, 40);
   CHECK(prefillTarget() != Home);
