--- a/Libraries/LibDispatch/ServicePlanner.cpp
+++ b/Libraries/LibDispatch/ServicePlanner.cpp
@@ -1,6 +1,7 @@
-//===- ServicePlanner.cpp - Where a plain request runs --------------------===//
+//===- ServicePlanner.cpp - Places requests of plain services -------------===//
 //
-// Lowest expected time, failures weighed in; equal servers are drawn.
+// Takes the server with the lowest expected time weighted by its failures, and
+// a random one among equals.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
                                       BootTime Now) const {
   const double Slots = std::max(1U, Server.Slots);
   const double Items = m_Loads.items(Server.Id, Now);
-  // Work beyond the slots waits for a free one.
+  // Items beyond the number of slots wait for a free slot.
   const double Rounds = 1 + std::max(0.0, Items + 1 - Slots) / Slots;
   return m_Options.AssumedWork * m_Loads.slowness(Server.Id, Now) * Rounds;
 }
@@ -44,7 +45,7 @@
   const Target *Best = nullptr;
   double BestScore = 0;
   for (size_t Offset = 0; Offset < Servers.size(); ++Offset) {
-    // Beginning anywhere draws among equals.
+    // A random starting point selects randomly among equal servers.
     const size_t Index =
         (Offset + static_cast<size_t>(Request.Draw *
                                       static_cast<double>(Servers.size()))) %
@@ -68,7 +69,7 @@
                                  std::span<const Target *const> Servers,
                                  BootTime Now) const {
   const Target *Best = choose(Request, Servers, false, Now);
-  // A server that failed lately is better than none.
+  // An ejected server is better than none.
   if (!Best)
     Best = choose(Request, Servers, true, Now);
   if (!Best)
--- a/Libraries/LibDispatch/ServicePlanner.h
+++ b/Libraries/LibDispatch/ServicePlanner.h
@@ -1,8 +1,8 @@
-//===- ServicePlanner.h - Where a plain request runs ------------*- C++ -*-===//
+//===- ServicePlanner.h - Places requests of plain services -----*- C++ -*-===//
 //
-// Chooses a server of a plain service by the expected time to its answer:
-// work that is there, measured speed, and recent failures. A request that no
-// server would answer in time is refused at once.
+// Chooses a server of a plain service by its expected response time, which
+// depends on its outstanding work, measured speed and recent failures. A
+// request that no server would answer in time is rejected immediately.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,19 +37,19 @@
 using ServicePlan = std::variant<ServiceAssignment, ServiceRejection>;
 
 struct ServicePlannerOptions {
-  /// Work time to plan with before any answer was seen. Deviations are in
-  /// LoadTracker::slowness().
+  /// Assumed processing time. LoadTracker::slowness() corrects it by the
+  /// measured deviation of each server.
   Milliseconds AssumedWork{20};
-  /// Share of the time to the deadline that a plan may use up.
+  /// Share of the time to the deadline that a plan may use.
   double DeadlineShare = 0.8;
-  /// A recent failure makes a server look this many times as slow: an answer
-  /// from it may be worth nothing.
+  /// Weight of the failure share in the score: a failure share of 1 makes a
+  /// server count as this many times slower, because its answer may be useless.
   double FailurePenalty = 20;
-  /// Errors of its own that a server gives beyond those of the best one weigh
-  /// likewise, from this excess on: some requests fail at every server by
-  /// right, and a share of a few answers is uncertain by about as much.
+  /// Errors count like failures as far as the error share exceeds that of the
+  /// best server by more than this: some requests correctly fail on every
+  /// server, and a share taken from a few answers is about this uncertain.
   double ErrorMargin = 0.15;
-  /// What a refused caller is told to wait.
+  /// Retry delay sent to rejected callers.
   std::chrono::milliseconds RetryAfter{200};
 };
 
--- a/Tests/LibDispatch/TestServicePlanner.cpp
+++ b/Tests/LibDispatch/TestServicePlanner.cpp
@@ -1,6 +1,6 @@
-//===- TestServicePlanner.cpp - Where a plain request runs ----------------===//
+//===- TestServicePlanner.cpp - Places requests of plain services ---------===//
 //
-// Load, speed, failures, and a deadline that cannot be met.
+// Load, speed, failures, and deadlines that cannot be met.
 //
 //===----------------------------------------------------------------------===//
 
@@ -44,15 +44,15 @@
   STRCMP_EQUAL("b", chosen().c_str());
 }
 
-TEST(ServicePlanner, DrawsAmongEquals) {
+TEST(ServicePlanner, ChoosesRandomlyAmongEquals) {
   const std::string First = chosen();
   Request.Draw = 0.6;
   CHECK(chosen() != First);
 }
 
-// Load: one server of two turns slow. Grounds: after ten answers of five times
-// the time it must not be chosen while the other is free.
-TEST(ServicePlanner, LeavesASlowServer) {
+// One server of two becomes slow. After ten answers that take five times the
+// planned time it must not be chosen while the other one is idle.
+TEST(ServicePlanner, AvoidsASlowServer) {
   for (int Count = 0; Count < 10; ++Count) {
     const uint64_t Ticket = start("a");
     Now += std::chrono::milliseconds(100);
@@ -62,14 +62,14 @@
   STRCMP_EQUAL("b", chosen().c_str());
 }
 
-TEST(ServicePlanner, LeavesAServerThatFails) {
+TEST(ServicePlanner, AvoidsAFailingServer) {
   Loads.recordFailure("a", start("a"), Now);
   STRCMP_EQUAL("b", chosen().c_str());
 }
 
-// Load: a burst far above the slots. Grounds: a request that cannot be answered
-// in its time is refused at once and takes no slot from one that can.
-TEST(ServicePlanner, RefusesWhatCannotBeAnsweredInTime) {
+// In a burst far above the number of slots, a request that cannot be answered
+// in time is rejected immediately, so that it takes no slot from others.
+TEST(ServicePlanner, RejectsRequestsThatCannotBeAnsweredInTime) {
   for (int Count = 0; Count < 200; ++Count) {
     start("a");
     start("b");
@@ -77,15 +77,15 @@
   STRCMP_EQUAL("", chosen().c_str());
 }
 
-TEST(ServicePlanner, RefusesWithoutServers) {
+TEST(ServicePlanner, RejectsWithoutServers) {
   Request.Excluded = {"a", "b"};
   STRCMP_EQUAL("", chosen().c_str());
 }
 
-// Symptom: a third of the notices fail at one of four servers, whose health
-// check is good. Sequence: it answers part of the requests with errors of its
-// own. Cause: an error that a server signed was held against nobody.
-TEST(ServicePlanner, LeavesAServerThatGivesMoreErrorsThanTheOthers) {
+// One of four servers answers part of the requests with errors while its health
+// check passes. If error responses do not count against the server, a third of
+// the requests fail there.
+TEST(ServicePlanner, AvoidsAServerWithMoreErrorsThanTheOthers) {
   for (int Count = 0; Count < 5; ++Count) {
     Loads.recordError("a", Now);
     Loads.recordAnswer("b", start("b"), Now);
@@ -97,9 +97,9 @@
   }
 }
 
-// Load: a service whose requests fail by right at every server. Grounds: no
-// server is better for it, and load decides.
-TEST(ServicePlanner, TakesErrorsThatAllGiveForTheRequestsOwn) {
+// Some requests correctly fail on every server. No server is better than the
+// others then, so the load decides.
+TEST(ServicePlanner, IgnoresErrorsThatAllServersReturn) {
   for (int Count = 0; Count < 5; ++Count) {
     Loads.recordError("a", Now);
     Loads.recordError("b", Now);
@@ -113,7 +113,7 @@
   STRCMP_EQUAL("a", chosen().c_str());
 }
 
-TEST(ServicePlanner, GoesToAServerThatFailedWhenThereIsNoOther) {
+TEST(ServicePlanner, UsesAnEjectedServerWhenThereIsNoOther) {
   Loads.recordFailure("a", start("a"), Now);
   Loads.recordFailure("b", start("b"), Now);
   CHECK(!chosen().empty());
