--- a/Libraries/LibDispatch/StagePlanner.cpp
+++ b/Libraries/LibDispatch/StagePlanner.cpp
@@ -1,6 +1,6 @@
-//===- StagePlanner.cpp - How many engines read, how many run -------------===//
+//===- StagePlanner.cpp - Splits engines between the stages ---------------===//
 //
-// Tries every split and takes the best one step towards it.
+// Evaluates every split and changes one engine towards the best one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,7 @@
 StagePlanner::StagePlanner(bool IsInitialSplit, StagePlannerOptions Options)
     : m_Options(Options), m_SplitChosen(!IsInitialSplit) {}
 
-bool StagePlanner::viewIsStable(std::span<const Target *const> Engines,
+bool StagePlanner::isListStable(std::span<const Target *const> Engines,
                                 BootTime Now) {
   std::vector<std::string> EngineIds;
   for (const Target *Candidate : Engines)
@@ -38,18 +38,18 @@
     m_EngineIds = std::move(EngineIds);
     m_EngineIdsSince = Now;
   }
-  return Now - m_EngineIdsSince >= m_Options.StableViewTime;
+  return Now - m_EngineIdsSince >= m_Options.StableListTime;
 }
 
 void StagePlanner::eraseCompletedOrders(std::span<const Target *const> Engines,
                                         BootTime Now) {
-  std::erase_if(m_Pending, [&](const auto &Each) {
-    const Pending &Order = Each.second;
+  std::erase_if(m_Pending, [&](const auto &Entry) {
+    const Pending &Order = Entry.second;
     if (Now >= Order.Until)
       return true;
     const auto Found =
         std::find_if(Engines.begin(), Engines.end(), [&](const Target *Engine) {
-          return Engine->Id == Each.first;
+          return Engine->Id == Entry.first;
         });
     return Found == Engines.end() ||
            (*Found)->EngineStage == Order.DesiredStage ||
@@ -66,7 +66,7 @@
       m_SplitChosen = true;
 }
 
-/// The stage that the engine has, or will have once its order is carried out.
+/// The stage of the engine after its pending order.
 Stage StagePlanner::stageOf(const Target &Engine) const {
   const auto Found = m_Pending.find(Engine.Id);
   return Found == m_Pending.end() ? Engine.EngineStage
@@ -78,7 +78,7 @@
                              BootTime Now) const {
   if (m_Pending.empty())
     return true;
-  // Only the work that the engine does now loses by its absence.
+  // Only the current stage of the engine loses capacity.
   size_t Remaining = 0;
   for (const Target *Candidate : Engines)
     if (Candidate != &Engine && Candidate->EngineStage == Engine.EngineStage &&
@@ -90,8 +90,8 @@
          Load / double(Remaining) < m_Options.MaximumUtilizationAfterRemoval;
 }
 
-/// Number of reading engines for \p Demand, or \p Readers if no other number is
-/// clearly better.
+/// Number of prefill engines for \p Demand, or \p PrefillEngines if no other
+/// number is clearly better.
 size_t StagePlanner::bestPrefillCount(size_t All, size_t PrefillEngines,
                                       const EngineDemand &Demand) const {
   const double Current =
@@ -106,9 +106,10 @@
   size_t BestPrefillEngines = PrefillEngines;
   double Best = Current * (1 - m_Options.MinimumGain);
   for (size_t Count = 1; Count + ReservedDecode <= All; ++Count)
-    if (const double Each = highestUtilization(Demand, Count, All - Count);
-        Each < Best) {
-      Best = Each;
+    if (const double Utilization =
+            highestUtilization(Demand, Count, All - Count);
+        Utilization < Best) {
+      Best = Utilization;
       BestPrefillEngines = Count;
     }
   return BestPrefillEngines;
@@ -120,14 +121,15 @@
                    const LoadTracker &Loads, BootTime Now) {
   eraseCompletedOrders(Engines, Now);
   recordStageChanges(Engines);
-  if (!viewIsStable(Engines, Now))
+  if (!isListStable(Engines, Now))
     return std::nullopt;
   size_t PrefillEngines = 0;
   for (const Target *Candidate : Engines)
     if (stageOf(*Candidate) == Stage::Prefill)
       ++PrefillEngines;
-  // A change takes engines from one kind of work: it has to be right also when
-  // that work is asked for more than it seems, and the other less.
+  // A change removes an engine from one stage. It has to be an improvement even
+  // if the demand for that stage is higher, and for the other lower, than
+  // estimated.
   const size_t Increased = bestPrefillCount(
       Engines.size(), PrefillEngines,
       {Demand.Prefill / Uncertainty, Demand.Decode * Uncertainty});
--- a/Libraries/LibDispatch/StagePlanner.h
+++ b/Libraries/LibDispatch/StagePlanner.h
@@ -1,13 +1,13 @@
-//===- StagePlanner.h - How many engines read, how many run -----*- C++ -*-===//
+//===- StagePlanner.h - Splits engines between the stages -------*- C++ -*-===//
 //
 // Chooses the stage of each engine of a service from the demand of the whole
-// fleet: the split at which the busier kind of engine is least busy. An engine
-// that changes is away for seconds, so the split changes only for a clear
-// gain, never from a partial view of the engines, and one engine at a time
-// unless the others have room for its work.
+// fleet. The best split minimizes the utilization of the busier stage. An
+// engine that changes its stage is unavailable for seconds, so the split
+// changes only for a clear gain, never from a partial list of engines, and one
+// engine at a time unless the others have capacity for its work.
 //
-// One candidate of all gateways gives the orders, under a lease; this machine
-// says what it would order now.
+// Only the gateway that holds the lease sends orders. This class determines the
+// order to send next.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,65 +28,68 @@
 struct StageChange {
   std::string TargetId;
   Stage DesiredStage = Stage::Decode;
-  /// The start of the target that it was planned for.
+  /// Start of the target for which the change was planned.
   std::optional<StartTime> Start = std::nullopt;
   bool operator==(const StageChange &) const = default;
 };
 
 struct StagePlannerOptions {
-  /// The busier kind's utilization must fall by this share of itself.
+  /// Minimum relative decrease of the utilization of the busier stage.
   double MinimumGain = 0.15;
   /// Below this utilization the split does not matter. The first change may
-  /// come earlier: the split that the engines started with was no choice, and a
-  /// calm hour is the cheapest time to leave it.
+  /// happen at a lower utilization: the initial split is not planned, and
+  /// correcting it is cheapest under low load.
   double MinimumUtilization = 0.55;
   double MinimumUtilizationForFirstChange = 0.25;
-  /// A further engine is taken away only while the rest stay below this.
+  /// While an order is pending, a further engine changes only if the others of
+  /// its stage stay below this utilization.
   double MaximumUtilizationAfterRemoval = 0.6;
-  /// The engines must have been the same for this long: at a start they
-  /// register one after the other over some seconds.
-  std::chrono::milliseconds StableViewTime{1500};
-  /// An order without an answer may be carried out this much later, by the
-  /// platform's description of such orders, twelve seconds at most.
+  /// The list of engines must have been stable for this long: at a start,
+  /// engines register one after the other over some seconds.
+  std::chrono::milliseconds StableListTime{1500};
+  /// An unanswered order may still take effect within this time. The platform
+  /// specifies twelve seconds at most.
   std::chrono::milliseconds UnansweredOrderTime{12500};
-  /// After a refusal: the engine may be busy with another order.
+  /// Pause after a refusal: the engine may be busy with another order.
   std::chrono::milliseconds RefusalPause{4000};
-  /// Decode engines that are kept in any case, so that the loss of one does
-  /// not leave requests with nowhere to run.
+  /// Minimum number of decode engines, so that requests can still run after the
+  /// loss of one.
   size_t MinimumDecode = 2;
 };
 
 class StagePlanner {
 public:
-  /// \p FleetStarts: the engines' split is the one that they began with, and
-  /// nobody's choice yet.
+  /// \p IsInitialSplit: the engines still have the stages that they started
+  /// with, which no gateway has planned.
   explicit StagePlanner(bool IsInitialSplit, StagePlannerOptions Options = {});
 
-  /// \p Engines: those of the service, draining ones left out. \p Doubt, 1 and
-  /// more: the demand on either kind of work may be this many times what was
-  /// seen, or this part of it.
+  /// \p Engines: the engines of the service, without draining ones.
+  /// \p Uncertainty, at least 1: the demand for either stage may be higher or
+  /// lower by this factor.
   std::optional<StageChange> plan(std::span<const Target *const> Engines,
                                   const EngineDemand &Demand,
                                   double Uncertainty, const LoadTracker &Loads,
                                   BootTime Now);
 
-  /// An order was sent; no other goes out until it shows in the list, was
-  /// refused, or can no longer take effect.
+  /// Records that an order was sent. It stays pending until the list shows the
+  /// new stage, or it was refused and the pause has passed, or it can no longer
+  /// take effect.
   void recordOrder(const StageChange &Change, BootTime Now);
-  /// The engine is in that stage already.
+  /// Removes the pending order: the engine is already in that stage, or the
+  /// order was not sent.
   void clearOrder(const std::string &TargetId);
-  /// The engine did not take it; it is not asked again at once.
+  /// The engine refused the order. The next one follows after a pause.
   void recordRefusal(const std::string &TargetId, BootTime Now);
-  /// The engine accepted it; it is away until \p BackAt.
+  /// The engine accepted the order and is unavailable until \p AvailableAt.
   void recordAcceptance(const std::string &TargetId, BootTime AvailableAt);
   bool isUnavailable(const std::string &TargetId, BootTime Now) const;
 
 private:
   struct Pending {
     Stage DesiredStage = Stage::Decode;
-    /// The start that got the order; a later one knows nothing of it.
+    /// The start that received the order. A later start does not execute it.
     std::optional<StartTime> Start;
-    /// Nothing is known of it after this.
+    /// End of the time in which the order may take effect.
     BootTime Until{};
   };
 
@@ -98,15 +101,15 @@
                  BootTime Now) const;
   void eraseCompletedOrders(std::span<const Target *const> Engines,
                             BootTime Now);
-  bool viewIsStable(std::span<const Target *const> Engines, BootTime Now);
+  bool isListStable(std::span<const Target *const> Engines, BootTime Now);
   void recordStageChanges(std::span<const Target *const> Engines);
 
   StagePlannerOptions m_Options;
   std::map<std::string, Pending> m_Pending;
-  /// An order has been given, or one was seen carried out: another process may
-  /// have given it.
+  /// Whether the split has been planned: this process has sent an order, or an
+  /// engine has changed its stage on the order of another process.
   bool m_SplitChosen;
-  /// Stages as listed last, by engine.
+  /// Last listed stage by engine id.
   std::map<std::string, Stage> m_Listed;
   std::vector<std::string> m_EngineIds;
   BootTime m_EngineIdsSince{};
--- a/Tests/LibDispatch/TestStagePlanner.cpp
+++ b/Tests/LibDispatch/TestStagePlanner.cpp
@@ -1,6 +1,6 @@
-//===- TestStagePlanner.cpp - How many engines read, how many run ---------===//
+//===- TestStagePlanner.cpp - Splits engines between the stages -----------===//
 //
-// The split against demand, partial views, and orders in doubt.
+// The split for a demand, incomplete lists, and unanswered orders.
 //
 //===----------------------------------------------------------------------===//
 
@@ -40,22 +40,23 @@
   }
 };
 
-// Load: reading and running ask for as much, and two of eight engines read.
-TEST(StagePlanner, MovesOneEngineTowardsTheBusierWork) {
+// Equal demand for prefill and decode, with two prefill engines of eight.
+TEST(StagePlanner, MovesOneEngineToTheBusierStage) {
   const auto Change = plan({3, 3});
   CHECK(Change.has_value());
   CHECK(Change->DesiredStage == Stage::Prefill);
 }
 
-TEST(StagePlanner, LeavesASplitThatFits) { CHECK(!plan({1.5, 4.5})); }
+TEST(StagePlanner, KeepsAGoodSplit) { CHECK(!plan({1.5, 4.5})); }
 
-// Load: night. Grounds: an order costs as much as several requests.
-TEST(StagePlanner, LeavesIdleEnginesAlone) { CHECK(!plan({0.2, 0.02})); }
+// Under low load a stage change costs more than it gains: as much as several
+// requests.
+TEST(StagePlanner, KeepsTheSplitUnderLowLoad) { CHECK(!plan({0.2, 0.02})); }
 
-// Load: a calm spell of another mix after a first change. Grounds: while the
-// engines have room to spare, another change buys nothing and costs seconds of
-// an engine when the next burst comes.
-TEST(StagePlanner, DoesNotChangeBackInACalmSpell) {
+// Low load with another mix follows a first change. While the engines have
+// spare capacity, another change gains nothing, and undoing it in the next
+// burst makes an engine unavailable for seconds.
+TEST(StagePlanner, DoesNotChangeBackUnderLowLoad) {
   const auto Change = plan({1.5, 1.5});
   Planner.recordOrder(*Change, Now);
   Planner.clearOrder(Change->TargetId);
@@ -63,27 +64,26 @@
   CHECK(plan({4, 0.5}).has_value());
 }
 
-// Load: the mix swings by a tenth. Grounds: an engine is away for seconds.
-TEST(StagePlanner, DoesNotFollowSmallGains) { CHECK(!plan({1.6, 4.2})); }
+// The mix varies by a tenth. A change makes an engine unavailable for seconds.
+TEST(StagePlanner, IgnoresSmallGains) { CHECK(!plan({1.6, 4.2})); }
 
-// Symptom: right after a start engines change back and forth.
-// Sequence: engines register one after the other; the first ones listed read.
-// Cause: the split was planned from a part of the engines.
-TEST(StagePlanner, PlansNothingFromAViewThatChanges) {
+// After a start, engines register one after the other, prefill engines first. A
+// split planned from an incomplete list changes engines back and forth.
+TEST(StagePlanner, WaitsForAStableListOfEngines) {
   add(Stage::Decode);
   CHECK(!plan({3, 3}));
   Now += milliseconds(1600);
   CHECK(plan({3, 3}).has_value());
 }
 
-// Load: demand above what is there. Grounds: a second engine may not leave
-// while the first is away.
-TEST(StagePlanner, TakesOneEngineAwayAtATimeUnderLoad) {
+// The demand exceeds the capacity. A second engine must not change while the
+// first one is unavailable.
+TEST(StagePlanner, ChangesOneEngineAtATimeUnderLoad) {
   Planner.recordOrder(*plan({3, 3}), Now);
   CHECK(!plan({3, 3}));
 }
 
-TEST(StagePlanner, TakesSeveralWhileTheOthersHaveRoom) {
+TEST(StagePlanner, ChangesSeveralEnginesWithSpareCapacity) {
   const auto First = plan({1.7, 1.1});
   Planner.recordOrder(*First, Now);
   const auto Second = plan({1.7, 1.1});
@@ -91,10 +91,9 @@
   CHECK(Second->TargetId != First->TargetId);
 }
 
-// Symptom: an engine changes its stage long after the planner gave up on it,
-// and a second one has been changed in its place.
-// Sequence: an order has no answer and is carried out twelve seconds later.
-TEST(StagePlanner, CountsAnOrderInDoubtAsOneThatMayCome) {
+// An unanswered order may take effect up to twelve seconds later. If the
+// planner drops it earlier, a second engine changes as well.
+TEST(StagePlanner, KeepsAnUnansweredOrderPending) {
   const auto Change = plan({3, 3});
   Planner.recordOrder(*Change, Now);
   Now += milliseconds(12000);
@@ -103,12 +102,12 @@
   CHECK(plan({3, 3}).has_value());
 }
 
-TEST(StagePlanner, GoesOnWhenTheListShowsTheNewStage) {
+TEST(StagePlanner, ContinuesWhenTheListShowsTheNewStage) {
   const auto Change = plan({3, 3});
   Planner.recordOrder(*Change, Now);
-  for (Target &Each : Targets)
-    if (Each.Id == Change->TargetId)
-      Each.EngineStage = Stage::Prefill;
+  for (Target &Entry : Targets)
+    if (Entry.Id == Change->TargetId)
+      Entry.EngineStage = Stage::Prefill;
   CHECK(plan({3, 3}).has_value());
 }
 
@@ -121,29 +120,27 @@
   CHECK(plan({3, 3}).has_value());
 }
 
-TEST(StagePlanner, KeepsEnginesToRunAt) {
-  for (Target &Each : Targets)
-    Each.EngineStage = Stage::Prefill;
+TEST(StagePlanner, KeepsAMinimumOfDecodeEngines) {
+  for (Target &Entry : Targets)
+    Entry.EngineStage = Stage::Prefill;
   Targets[0].EngineStage = Targets[1].EngineStage = Stage::Decode;
   CHECK(!plan({10, 0.1}));
 }
 
-// Symptom: the split for bursts is given up right before one. Sequence: one
-// gateway changes an engine, the lease goes to another, and that one takes its
-// own first order for the fleet's, which may come from the mix of a calm spell.
-// Cause: each process knew of its own orders alone. Worth 0.05 of all value on
-// a day with two bursts (three runs).
-TEST(StagePlanner, KnowsThatAnotherGatewayHasChangedAnEngine) {
+// A gateway changes an engine, then the lease moves to another gateway. If that
+// one treats its first order as the first change of the fleet, it changes the
+// split at low load, right before the next burst. This costs 0.05 of the value
+// on a day with two bursts.
+TEST(StagePlanner, DetectsChangesOrderedByAnotherGateway) {
   Targets[5].EngineStage = Stage::Prefill;
   CHECK(!plan({0.4, 2.5}));
 }
 
-// Symptom: three engines are taken from running in the second second of a day,
-// and are missing there from the eighth on.
-// Sequence: a day begins with a rush of prompts; answers that last seconds
-// have only begun.
-// Cause: the first second's demand was taken for the day's.
-TEST(StagePlanner, MovesFewerEnginesWhileDemandIsInDoubt) {
+// At the start of a load, a burst of prompts arrives while answers that last
+// for seconds have only begun. If the demand of the first second counts as
+// lasting, three engines move away from decode in the second second and are
+// missing there from the eighth second on.
+TEST(StagePlanner, MovesFewerEnginesWhileDemandIsUncertain) {
   Uncertainty = 2;
   CHECK(!plan({2.6, 3}));
   CHECK(plan({5, 1}).has_value());
@@ -151,10 +148,10 @@
   CHECK(plan({2.6, 3}).has_value());
 }
 
-// Symptom: after a restart of all gateways an engine changes its stage in a
-// calm moment, and back in the next burst.
-// Cause: the split that was chosen before was taken for the engines' first.
-TEST(StagePlanner, KeepsTheSplitOfAFleetThatRuns) {
+// After a restart of all gateways the split has already been planned. If it
+// counts as the initial split, an engine changes its stage at low load, and
+// back in the next burst.
+TEST(StagePlanner, KeepsTheSplitAfterAGatewayRestart) {
   StagePlanner Restarted(false);
   Restarted.plan(Engines, {0, 0}, 1, Loads, Now);
   Now += milliseconds(2000);
