--- a/Libraries/LibDispatch/KvCacheView.cpp
+++ b/Libraries/LibDispatch/KvCacheView.cpp
@@ -1,6 +1,6 @@
-//===- KvCacheView.cpp - What an engine keeps, as far as known ------------===//
+//===- KvCacheView.cpp - Estimated content of a KV cache ------------------===//
 //
-// Least recently used order, by tokens.
+// LRU cache with a capacity in tokens.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Tokens of the leading parts that \p Counts accepts.
+/// Number of tokens in the leading parts that \p IsCached accepts.
 template <typename Predicate>
 uint32_t leadingTokens(const Prompt &Input, Predicate IsCached) {
   uint32_t Sum = 0;
@@ -51,7 +51,7 @@
   const auto Found = m_Index.find(Part.Id);
   if (Found == m_Index.end())
     return add(Part, Until);
-  // One that is there stays there.
+  // A cached part stays cached.
   if (Found->second->PendingUntil)
     Found->second->PendingUntil = Until;
 }
--- a/Libraries/LibDispatch/KvCacheView.h
+++ b/Libraries/LibDispatch/KvCacheView.h
@@ -1,14 +1,14 @@
-//===- KvCacheView.h - What an engine keeps, as far as known ----*- C++ -*-===//
+//===- KvCacheView.h - Estimated content of a KV cache ----------*- C++ -*-===//
 //
-// A bounded guess at the prompt parts in one engine's KV cache, from what this
-// process and its peers had it compute. Engines drop the parts that were used
-// least recently, and so does the guess, a little earlier.
+// A bounded estimate of the prompt parts in the KV cache of one engine, derived
+// from the prompts that this process and its peers have sent to it. Engines
+// evict the least recently used parts; the view evicts them slightly earlier.
 //
-// Parts that are on their way are known, too: an engine reads one prompt after
-// the other, so a prompt that is sent now finds what those in front of it
-// leave. Without this, requests of one subject that come while it is read for
-// the first time each look like a whole read: they are refused, or sent to
-// other engines that read it again.
+// The view includes pending parts: an engine prefills one prompt after the
+// other, so a prompt that is sent now can use the parts of the prompts queued
+// before it. Otherwise requests of one subject that arrive during its first
+// prefill would each be planned as a full prefill, and be rejected or sent to
+// other engines that compute the same parts again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,23 +32,23 @@
   void setCapacity(uint64_t Tokens);
   /// The engine has computed or fetched this part.
   void insert(const PromptPart &Part);
-  /// The engine will have computed it by \p Until, unless something fails.
+  /// The engine is expected to have computed the part by \p Until.
   void addPending(const PromptPart &Part, BootTime Until);
-  /// What was expected does not come.
+  /// A pending part will not be computed.
   void removePending(uint64_t PartId);
-  /// Whether the engine keeps it now.
+  /// Whether the part is cached now.
   bool contains(uint64_t PartId) const;
-  /// Tokens of the leading parts that are all kept now.
+  /// Number of tokens in the leading parts that are cached now.
   uint32_t cachedTokens(const Prompt &Input) const;
-  /// The same, with those that come in front of a prompt that is sent at
-  /// \p Now.
+  /// Includes the pending parts, for a prompt that is sent at \p Now.
   uint32_t cachedTokensWithPending(const Prompt &Input, BootTime Now) const;
   void clear();
 
 private:
   struct Entry {
     PromptPart Part;
-    /// Unset: it is there. Otherwise it counts as coming until then.
+    /// Unset if the part is cached. Otherwise the time until which it counts as
+    /// pending.
     std::optional<BootTime> PendingUntil;
   };
   using Entries = std::list<Entry>;
--- a/Tests/LibDispatch/TestKvCacheView.cpp
+++ b/Tests/LibDispatch/TestKvCacheView.cpp
@@ -1,6 +1,6 @@
-//===- TestKvCacheView.cpp - What an engine keeps -------------------------===//
+//===- TestKvCacheView.cpp - Estimated content of a KV cache --------------===//
 //
-// Leading parts, and what is dropped first.
+// Leading parts, eviction order, and pending parts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
   LONGS_EQUAL(80, Cache.cachedTokens(Input));
 }
 
-TEST(KvCacheView, DropsWhatWasUsedLeastRecently) {
+TEST(KvCacheView, EvictsTheLeastRecentlyUsedPart) {
   Cache.insert({1, 40});
   Cache.insert({2, 40});
   Cache.insert({1, 40});
@@ -31,17 +31,16 @@
   CHECK(!Cache.contains(2));
 }
 
-TEST(KvCacheView, ShrinksWithItsCapacity) {
+TEST(KvCacheView, EvictsWhenItsCapacityShrinks) {
   Cache.insert({1, 40});
   Cache.setCapacity(10);
   CHECK(!Cache.contains(1));
 }
 
-// Symptom: a rush for a subject that nobody has read yet: its first request is
-// served, the others are refused, or read elsewhere from the start.
-// Sequence: several requests of one subject come while the first is read.
-// Cause: what the engine will keep by the time it turns to them did not count.
-TEST(KvCacheView, CountsWhatIsOnItsWayInFrontOfAPrompt) {
+// Several requests of a new subject arrive during the prefill of the first one.
+// If the parts that will be cached by the time of their prefill do not count,
+// they are rejected or computed again on other engines.
+TEST(KvCacheView, CountsPendingParts) {
   const figlift::BootTime Now{std::chrono::seconds(100)};
   Cache.addPending({1, 40}, Now + std::chrono::milliseconds(500));
   Cache.addPending({2, 40}, Now + std::chrono::milliseconds(500));
