--- a/Libraries/LibDispatch/KvReuse.cpp
+++ b/Libraries/LibDispatch/KvReuse.cpp
@@ -1,6 +1,6 @@
-//===- KvReuse.cpp - Whether a rejected run is worth sending again --------===//
+//===- KvReuse.cpp - Whether to retry with the same KV cache --------------===//
 //
-// A running share that decays towards "worth it".
+// Moving average of the failure share, decaying to 0.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Libraries/LibDispatch/KvReuse.h
+++ b/Libraries/LibDispatch/KvReuse.h
@@ -1,11 +1,12 @@
-//===- KvReuse.h - Whether a rejected run is worth sending again -*- C++
-//-*-===//
+//===- KvReuse.h - Whether to retry with the same KV cache ------*- C++ -*-===//
 //
-// An engine rejects a run because it is full, or because the KV cache that was
-// read for it is gone; its answer does not say which. In the first case another
-// engine runs it without a second read. In the second every further engine
-// rejects it, and only a new read helps. What the last such runs came to tells
-// the two apart: caches are lost by many at once, when engines drop them early.
+// An engine rejects a decode request because it is full, or because the KV
+// cache that was prefilled for the request has been evicted. Its answer does
+// not distinguish the two. In the first case another engine can decode without
+// a second prefill. In the second case every other engine rejects the request,
+// too, and only a new prefill helps. The outcome of recent retries separates
+// the two cases: if engines evict caches early, many requests are affected at
+// the same time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,21 +20,21 @@
 
 class KvReuse {
 public:
-  /// Whether runs that were sent again with the same KV cache mostly began.
+  /// Whether most of the recent retries with the same KV cache succeeded.
   bool shouldRetry(BootTime Now) const;
-  /// One that was sent again has begun, or was rejected once more.
+  /// Records whether a retry was started or rejected again.
   void recordRetry(bool Started, BootTime Now);
 
 private:
   static constexpr double Smoothing = 0.2;
-  /// Below this the second read is cheaper than one more rejection.
+  /// Below this a second prefill is cheaper than one more rejection.
   static constexpr double MinimumSuccessShare = 0.5;
-  /// Doubt fades with this half-life, so that it is tried again.
+  /// The failure share decays with this half-life, so that retries resume.
   static constexpr std::chrono::milliseconds HalfLife{1500};
 
   double failureShare(BootTime Now) const;
 
-  /// Share of rejections among the last ones, at m_At.
+  /// Share of rejections among the recent retries, as of m_UpdatedAt.
   double m_FailureShare = 0;
   BootTime m_UpdatedAt{};
 };
--- a/Tests/LibDispatch/TestKvReuse.cpp
+++ b/Tests/LibDispatch/TestKvReuse.cpp
@@ -1,6 +1,6 @@
-//===- TestKvReuse.cpp - Whether a rejected run is worth sending again ----===//
+//===- TestKvReuse.cpp - Whether to retry with the same KV cache ----------===//
 //
-// Full engines against caches that are gone.
+// Full engines and evicted caches.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,17 +16,17 @@
   BootTime Now{std::chrono::seconds(100)};
 };
 
-// Load: a burst; one engine in three is full.
-TEST(KvReuse, GoesOnWhileMostRunsBegin) {
+// In a burst one engine in three is full.
+TEST(KvReuse, RetriesWhileMostRetriesSucceed) {
   for (int Attempt = 0; Attempt < 60; ++Attempt)
     Reuse.recordRetry(Attempt % 3 != 0, Now);
   CHECK(Reuse.shouldRetry(Now));
 }
 
-// Symptom: callers are refused by engines that have room. Sequence: engines
-// drop the KV cache of reads at once; each run is rejected by two engines.
-// Cause: the rejections were taken for those of full engines.
-TEST(KvReuse, StopsWhenCachesAreGone) {
+// Engines evict the KV caches of prefills immediately, so two engines reject
+// each decode request. If the rejections are attributed to full engines,
+// callers are rejected although engines have free slots.
+TEST(KvReuse, StopsWhenCachesAreEvicted) {
   for (int Attempt = 0; Attempt < 5; ++Attempt)
     Reuse.recordRetry(false, Now);
   CHECK(!Reuse.shouldRetry(Now));
