--- a/Libraries/LibDispatch/TargetTable.cpp
+++ b/Libraries/LibDispatch/TargetTable.cpp
@@ -1,6 +1,6 @@
-//===- TargetTable.cpp - The servers that may get work --------------------===//
+//===- TargetTable.cpp - Cached view of the server list -------------------===//
 //
-// Merges whole lists and single changes into one table.
+// Merges complete lists and single changes into one table.
 //
 //===----------------------------------------------------------------------===//
 
@@ -83,7 +83,7 @@
   Out.emplace_back(TargetRemoved{Id});
 }
 
-/// Whether \p Entry says nothing later of a server than was known when it went.
+/// Whether \p Entry is no newer than the last entry of a removed server.
 bool TargetTable::isStaleRemovedEntry(const Target &Entry) {
   const auto Found = m_Removed.find(Entry.Id);
   if (Found == m_Removed.end())
@@ -138,8 +138,8 @@
 
 std::vector<TargetEvent> TargetTable::tick(BootTime Now) {
   std::vector<TargetEvent> Out;
-  std::erase_if(m_Removed, [&](const auto &Each) {
-    return Now - Each.second.second > m_Options.RemovedEntryRetention;
+  std::erase_if(m_Removed, [&](const auto &Removed) {
+    return Now - Removed.second.second > m_Options.RemovedEntryRetention;
   });
   if (!m_GraceUntil || Now < *m_GraceUntil || m_StoreUnavailable)
     return Out;
--- a/Libraries/LibDispatch/TargetTable.h
+++ b/Libraries/LibDispatch/TargetTable.h
@@ -1,16 +1,16 @@
-//===- TargetTable.h - The servers that may get work ------------*- C++ -*-===//
+//===- TargetTable.h - Cached view of the server list -----------*- C++ -*-===//
 //
-// Keeps the platform's list of servers as this process believes it. While the
-// store is away the last list stays in use: a request must not wait for the
-// store. Entries that lapsed meanwhile are back a little after its return, so
-// an entry that is missing then is kept for that time; a server that really
-// left is found by the identity check of its successor, or by its silence.
+// Last known state of the platform's server list. While the store is
+// unavailable the last list stays in use, because requests must not wait for
+// the store. Entries that expire during the outage are registered again shortly
+// after it, so missing entries are kept for that time. A server that has really
+// left is detected by the identity check of its successor or by its silence.
 //
-// A server that starts again under its id is another target: what was believed
-// of it (work, cache, speed, connections) is dropped. A write that was held up
-// on its way to the store can put an older entry in place of a newer one; taken
-// at its word, it would bring back an earlier start, or a server that leaves.
-// A store that comes back from a copy lists again what was gone before.
+// A server that restarts under the same id is a new target: its tracked state
+// (work, cache, speed, connections) is dropped. A delayed write to the store
+// can replace a newer entry by an older one; applying it would restore an
+// earlier start or the non-draining state of a server that is leaving. A store
+// that is restored from a copy lists servers that had been removed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,7 @@
 
 namespace figlift::dispatch {
 
-/// \name What changed for the rest of the process.
+/// \name Changes to the table.
 /// @{
 struct TargetAdded {
   Target Entry;
@@ -49,14 +49,16 @@
     std::variant<TargetAdded, TargetChanged, TargetDraining, TargetRemoved>;
 
 struct TargetTableOptions {
-  /// Servers re-register within two seconds of the store's return.
+  /// Servers register again within two seconds after an outage of the store.
   std::chrono::milliseconds ReregistrationTime{2000};
-  /// The store may have returned any time after the last call that failed. An
-  /// entry that is missing this long after that call is gone: counted from the
-  /// first answer alone, a server that had left got requests for longer than
-  /// the platform allows, as calls are rare while the store is away.
+  /// The store may have become available at any time after the last failed
+  /// call. An entry that is missing this long after that call is removed.
+  /// Calls are rare during an outage, so if the time counted from the first
+  /// answer only, a server that has left would receive requests for longer than
+  /// the platform allows.
   std::chrono::milliseconds TimeAfterLastFailure{2300};
-  /// A copy that is older than this brings back servers that were gone.
+  /// Restoring the store from a copy older than this brings back removed
+  /// servers.
   std::chrono::milliseconds RemovedEntryRetention{30000};
 };
 
@@ -64,21 +66,21 @@
 public:
   explicit TargetTable(TargetTableOptions Options = {});
 
-  /// The store could not be reached, or turned this process away.
+  /// The store was unreachable or rejected the call.
   void recordStoreFailure(BootTime Now);
   bool storeUnavailable() const { return m_StoreUnavailable; }
-  /// A whole list as of one moment.
+  /// Applies a complete list.
   std::vector<TargetEvent> replaceAll(const std::vector<Target> &Listed,
                                       BootTime Now);
-  /// One entry was written.
+  /// Applies one written entry.
   std::vector<TargetEvent> update(const Target &Entry, BootTime Now);
-  /// One entry was removed.
+  /// Applies the removal of one entry.
   std::vector<TargetEvent> remove(const std::string &Id, BootTime Now);
-  /// Passes time: missing entries whose grace is over are gone.
+  /// Removes missing entries whose grace period has ended.
   std::vector<TargetEvent> tick(BootTime Now);
 
   const std::map<std::string, Target> &all() const { return m_Targets; }
-  /// Whether servers are kept that the store no longer lists.
+  /// Whether the table holds servers that the store no longer lists.
   bool hasMissingTargets() const { return !m_Missing.empty(); }
   const Target *find(const std::string &Id) const;
 
@@ -91,18 +93,18 @@
 
   TargetTableOptions m_Options;
   std::map<std::string, Target> m_Targets;
-  /// Entries that looked older than what is known of their target, by id. A
-  /// second one that is newer than the first shows a server whose clock or
-  /// count went back, and is believed.
+  /// Entries that look older than the current entry of their target, by id. A
+  /// second entry that is newer than the first comes from a server whose clock
+  /// or heartbeat went back, and is accepted.
   std::map<std::string, Target> m_SuspectEntries;
-  /// Servers that are gone, with their last entries and since when.
+  /// Removed servers with their last entries and the times of removal.
   std::map<std::string, std::pair<Target, BootTime>> m_Removed;
-  /// Entries that the store no longer lists, and may list again.
+  /// Entries that the store does not list now and may list again.
   std::set<std::string> m_Missing;
   bool m_StoreUnavailable = false;
-  /// The last call that failed.
+  /// Time of the last failed call.
   BootTime m_LastFailure{};
-  /// Until then a missing entry may be on its way back.
+  /// End of the grace period for missing entries.
   std::optional<BootTime> m_GraceUntil;
 };
 
--- a/Tests/LibDispatch/TestTargetTable.cpp
+++ b/Tests/LibDispatch/TestTargetTable.cpp
@@ -1,6 +1,6 @@
-//===- TestTargetTable.cpp - The servers that may get work ----------------===//
+//===- TestTargetTable.cpp - Cached view of the server list ---------------===//
 //
-// Whole lists, single changes, and a store that goes away.
+// Complete lists, single changes, and outages of the store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,14 +26,14 @@
   void advance(milliseconds Time) { Now += Time; }
 };
 
-TEST(TargetTable, TellsWhatCameAndWent) {
+TEST(TargetTable, ReportsAddedAndRemovedTargets) {
   LONGS_EQUAL(2, Table.replaceAll({target("a"), target("b")}, Now).size());
   const auto Events = Table.replaceAll({target("b")}, Now);
   LONGS_EQUAL(1, Events.size());
   STRCMP_EQUAL("a", std::get<TargetRemoved>(Events[0]).Id.c_str());
 }
 
-TEST(TargetTable, TellsADrainOnce) {
+TEST(TargetTable, ReportsADrainOnce) {
   Table.update(target("a"), Now);
   Target Leaving = target("a");
   Leaving.Draining = true;
@@ -42,11 +42,10 @@
   CHECK(Table.update(Leaving, Now).empty());
 }
 
-// Symptom: after an outage of the store all requests are refused for seconds.
-// Sequence: entries lapse while the store is away; it returns with an empty
-// list; the servers register again over the next two seconds.
-// Cause: the empty list was taken at its word.
-TEST(TargetTable, KeepsEntriesThatLapsedWhileTheStoreWasAway) {
+// Entries expire during an outage of the store, which then returns an empty
+// list until the servers have registered again, within two seconds. If the
+// empty list is applied, all requests are rejected for that time.
+TEST(TargetTable, KeepsEntriesThatExpiredDuringAStoreOutage) {
   Table.replaceAll({target("a"), target("b")}, Now);
   Table.recordStoreFailure(Now);
   advance(milliseconds(8000));
@@ -64,12 +63,11 @@
   CHECK(Table.find("a") != nullptr);
 }
 
-// Symptom: a server gets requests three seconds after its entry was removed.
-// Sequence: this process alone is cut off from the store; a server leaves; the
-// store takes calls again right after the last one that failed, and the next
-// call comes 800 ms later.
-// Cause: the grace for entries that lapsed counted from the first answer.
-TEST(TargetTable, CountsTheGraceFromTheLastFailure) {
+// Only this process loses its connection to the store, and a server leaves. The
+// store is reachable again right after the last failed call, but the next call
+// follows 800 ms later. If the grace period starts with the first answer, the
+// server gets requests three seconds after its entry was removed.
+TEST(TargetTable, StartsTheGracePeriodAtTheLastFailure) {
   Table.replaceAll({target("a")}, Now);
   Table.recordStoreFailure(Now);
   advance(milliseconds(800));
@@ -78,15 +76,15 @@
   LONGS_EQUAL(1, Table.tick(Now).size());
 }
 
-// Symptom: a server that left long ago gets requests again and again.
-// Cause: the grace after an outage applied to every removal since.
-TEST(TargetTable, DropsEntriesAtOnceWhileTheStoreIsSound) {
+// The grace period after an outage must not apply to every later removal, or
+// servers that have left keep getting requests.
+TEST(TargetTable, RemovesEntriesImmediatelyWithoutAnOutage) {
   Table.replaceAll({target("a")}, Now);
   LONGS_EQUAL(1, Table.remove("a", Now).size());
   CHECK(Table.find("a") == nullptr);
 }
 
-TEST(TargetTable, DoesNotEndTheGraceDuringAnotherOutage) {
+TEST(TargetTable, DoesNotEndTheGracePeriodDuringAnotherOutage) {
   Table.replaceAll({target("a")}, Now);
   Table.recordStoreFailure(Now);
   Table.replaceAll({}, Now);
@@ -116,23 +114,21 @@
   }
 };
 
-// Symptom: prompts wait for a cache that is empty; new work counts on slots
-// that an earlier start had taken.
-// Sequence: a server crashes and starts again under its id.
-// Cause: only the id told one start from another.
-TEST(RestartedTargets, AreOtherTargets) {
+// A server crashes and restarts under the same id. If starts are distinguished
+// only by the id, prompts are planned with a cache that is empty, and slots
+// used by the earlier start count as occupied.
+TEST(RestartedTargets, AreNewTargets) {
   Table.update(entry(1000, 9), Now);
   expectRestart(Table.update(entry(2000, 1), Now));
   expectRestart(Table.replaceAll({entry(3000, 1)}, Now));
   CHECK(Table.update(entry(3000, 2), Now).empty());
 }
 
-// Symptom: connections and cache of a good server are dropped, again and
-// again; or a server that leaves gets work once more.
-// Sequence: a write of an earlier start, or of an earlier heartbeat, reaches
-// the store seconds late.
-// Cause: what was written last was taken for what is newest.
-TEST(RestartedTargets, AreNotUndoneByALateWrite) {
+// An entry written by an earlier start, or with an earlier heartbeat, reaches
+// the store seconds late. If the last write counts as the newest, connections
+// and cache view of a healthy server are dropped repeatedly, or a draining
+// server gets work again.
+TEST(RestartedTargets, AreNotRevertedByADelayedWrite) {
   Table.update(entry(2000, 1), Now);
   CHECK(Table.update(entry(1000, 9), Now).empty());
   CHECK(Table.find("a")->Started == StartTime(milliseconds(2000)));
@@ -145,20 +141,19 @@
   CHECK(Table.find("a")->Draining);
 }
 
-// Symptom: nothing that a server says is heard any more.
-// Sequence: its clock goes back, then it starts again: it seems to have
-// started earlier than before.
-// Cause: whatever seemed older was passed over for good.
-TEST(RestartedTargets, AreBelievedWhenTheirClockWentBack) {
+// The clock of a server goes back and the server restarts, so that it seems to
+// have started earlier than before. If entries that seem older are ignored
+// forever, no update of the server is applied any more.
+TEST(RestartedTargets, AreAcceptedWhenTheirClockWentBack) {
   Table.update(entry(5000, 9), Now);
   CHECK(Table.update(entry(1000, 1), Now).empty());
   CHECK(Table.update(entry(1000, 1), Now).empty());
   expectRestart(Table.update(entry(1000, 2), Now));
 }
 
-// Failure: a server that had left gets requests again, as a store that came
-// back from a copy lists it.
-TEST(TargetTable, TakesNoOldEntryOfAServerThatIsGone) {
+// A store that was restored from a copy lists a removed server, which must not
+// get requests again.
+TEST(TargetTable, IgnoresOldEntriesOfARemovedServer) {
   Target LastEntry = target("a");
   LastEntry.Heartbeat = 7;
   Table.replaceAll({LastEntry}, Now);
@@ -171,8 +166,8 @@
   CHECK(Table.all().empty());
 }
 
-// Failure: a server that goes on, or starts again, is never used.
-TEST(TargetTable, TakesAGoneServerBackThatWrites) {
+// A removed server that continues or restarts must be used again.
+TEST(TargetTable, AddsARemovedServerThatWritesAgain) {
   Target LastEntry = target("a");
   LastEntry.Heartbeat = 7;
   Table.replaceAll({LastEntry}, Now);
@@ -181,7 +176,7 @@
   Next.Heartbeat = 8;
   LONGS_EQUAL(1, Table.update(Next, Now).size());
   Table.remove("a", Now);
-  // Its count begins anew, and it does not tell when it started.
+  // The heartbeat restarts, and the server does not report its start time.
   Next.Heartbeat = 1;
   CHECK(Table.update(Next, Now).empty());
   Next.Heartbeat = 2;
