--- a/Libraries/LibDispatch/StreamTimes.cpp
+++ b/Libraries/LibDispatch/StreamTimes.cpp
@@ -1,6 +1,6 @@
-//===- StreamTimes.cpp - How long streams of one route last ---------------===//
+//===- StreamTimes.cpp - Mean stream duration of a route ------------------===//
 //
-// Two sums that fade alike.
+// Two sums with the same exponential decay.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,9 +16,11 @@
 StreamTimes::Sums StreamTimes::sumsAt(BootTime Now) const {
   const double Retained = std::exp(-std::max(
       0.0, Milliseconds(Now - m_UpdatedAt) / Milliseconds(TimeConstant)));
-  // What runs all the time from m_At to now, faded likewise.
-  const Milliseconds RunningSince = Milliseconds(TimeConstant) * (1 - Retained);
-  return {m_Sums.Running * Retained + RunningSince * m_Running,
+  // Contribution of the streams that run from m_UpdatedAt until now, with the
+  // same decay.
+  const Milliseconds TimePerStream =
+      Milliseconds(TimeConstant) * (1 - Retained);
+  return {m_Sums.Running * Retained + TimePerStream * m_Running,
           m_Sums.Ended * Retained};
 }
 
@@ -40,8 +42,8 @@
 
 Milliseconds StreamTimes::mean(BootTime Now) const {
   const Sums Current = sumsAt(Now);
-  // One more end is taken as due: without it the mean of the first streams
-  // would be that of the longest ones.
+  // Counting one more end keeps the longest of the first streams from
+  // dominating the mean.
   return Current.Running / (Current.Ended + 1);
 }
 
--- a/Libraries/LibDispatch/StreamTimes.h
+++ b/Libraries/LibDispatch/StreamTimes.h
@@ -1,13 +1,14 @@
-//===- StreamTimes.h - How long streams of one route last -------*- C++ -*-===//
+//===- StreamTimes.h - Mean stream duration of a route ----------*- C++ -*-===//
 //
-// From the first event of a stream to its end. What callers allow as the most
-// output says little about it, and neither do the streams that have ended soon
-// after a start: the short ones end first. With those alone, the time that
-// streams ask of engines came out at a quarter of the truth for seconds, and
-// engines were taken away from running.
+// Duration of a stream from its first event to its end. It cannot be derived
+// from the maximum output that callers request, nor, soon after a start, from
+// the ended streams alone: short streams end first, so the mean is a quarter of
+// the actual value for some seconds, and too many engines are moved away from
+// decode.
 //
-// By Little's law the mean is the number that run, summed over time, for each
-// one that ended in that time; streams that still run count, too.
+// By Little's law the mean is the number of running streams, integrated over
+// time, divided by the number of streams that ended in that time. This includes
+// streams that are still running.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,13 +24,13 @@
 class StreamTimes {
 public:
   void recordStart(BootTime Now);
-  /// One that began has ended, for whatever reason.
+  /// A recorded stream has ended, for whatever reason.
   void recordEnd(BootTime Now);
-  /// 0 before the first one began.
+  /// 0 before the first stream.
   engine::Milliseconds mean(BootTime Now) const;
 
 private:
-  /// Several times as long as the longest streams last.
+  /// Several times the duration of the longest streams.
   static constexpr std::chrono::seconds TimeConstant{20};
 
   struct Sums {
@@ -40,7 +41,7 @@
   void advance(BootTime Now);
 
   unsigned m_Running = 0;
-  /// As of m_At; both fade with the memory.
+  /// As of m_UpdatedAt; both decay with the time constant.
   Sums m_Sums;
   BootTime m_UpdatedAt{};
 };
--- a/Tests/LibDispatch/TestStreamTimes.cpp
+++ b/Tests/LibDispatch/TestStreamTimes.cpp
@@ -1,6 +1,6 @@
-//===- TestStreamTimes.cpp - How long streams of one route last -----------===//
+//===- TestStreamTimes.cpp - Mean stream duration of a route --------------===//
 //
-// A steady load, a start, and silence.
+// Steady load, start of a load, and no streams.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
   BootTime Now{std::chrono::seconds(100)};
   std::multimap<BootTime, int> Ends;
 
-  /// One stream each 100 ms, every fourth lasts 4 s, the others 200 ms.
+  /// Starts a stream every 100 ms. Every fourth lasts 4 s, the others 200 ms.
   void play(milliseconds Duration) {
     const BootTime Until = Now + Duration;
     for (int Number = 0; Now < Until; ++Number) {
@@ -39,19 +39,18 @@
   DOUBLES_EQUAL(1150, Times.mean(Now).count(), 115);
 }
 
-// Symptom: soon after a start engines are taken away from running that are
-// missing there seconds later.
-// Sequence: streams of four seconds and of a fifth begin together; after a
-// second only short ones have ended.
-// Cause: the mean of those that had ended, a sixth of the truth.
-TEST(StreamTimes, CountsStreamsThatStillRun) {
+// Streams of 4 s and of 200 ms start together, and after a second only short
+// ones have ended. The mean of the ended streams is a sixth of the actual
+// value, so engines would be moved away from decode and be missing there
+// seconds later.
+TEST(StreamTimes, CountsRunningStreams) {
   play(milliseconds(1500));
   CHECK(Times.mean(Now).count() > 400);
   play(milliseconds(4500));
   DOUBLES_EQUAL(1150, Times.mean(Now).count(), 400);
 }
 
-TEST(StreamTimes, KnowsNothingBeforeTheFirst) {
+TEST(StreamTimes, StartsAtZero) {
   DOUBLES_EQUAL(0, Times.mean(Now).count(), 0);
   Times.recordStart(Now);
   DOUBLES_EQUAL(500, Times.mean(Now + milliseconds(500)).count(), 10);
