--- a/Libraries/LibDispatch/StartLag.cpp
+++ b/Libraries/LibDispatch/StartLag.cpp
@@ -1,7 +1,8 @@
-//===- StartLag.cpp - How much later than planned answers begin -----------===//
+//===- StartLag.cpp - Delay of answers against their plans ----------------===//
 //
-// A quantile by steps: up by its share for an answer above it, down by the
-// rest for one below, which balances where that share is below.
+// Stochastic quantile estimate: each answer above the estimate raises it in
+// proportion to the quantile q, each answer below lowers it in proportion to
+// 1 - q, which balances where the share q of the answers is below.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Libraries/LibDispatch/StartLag.h
+++ b/Libraries/LibDispatch/StartLag.h
@@ -1,13 +1,13 @@
-//===- StartLag.h - How much later than planned answers begin ---*- C++ -*-===//
+//===- StartLag.h - Delay of answers against their plans --------*- C++ -*-===//
 //
-// What a plan does not see (work that other processes sent since their last
-// reports, queues on links) delays all engines of a service alike. One process
-// sends each engine a request or two a second, too few to learn an engine's
-// delay from, but to all of them together it sends enough to notice within a
-// quarter of a second that the service falls behind. Without this the plans of
-// an overloaded service stay good while its answers come late: too much is
-// admitted, engines queue what they can and turn the rest away, and few are
-// served in time.
+// Load that a plan does not include (requests that other processes have sent
+// since their last reports, queues on links) delays all engines of a service
+// alike. One process sends one or two requests a second to each engine, too few
+// to measure the delay of a single engine. All its requests to the service are
+// enough to detect within a quarter of a second that the service falls behind.
+// Without this, plans for an overloaded service predict answers in time while
+// the answers are late: too many requests are admitted, engines queue some and
+// reject the others, and few are served in time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,17 +19,17 @@
 
 namespace figlift::dispatch {
 
-/// Follows the lateness that four of five answers stay below: a plan that adds
-/// it is kept four times out of five, however widely engines differ.
+/// Estimates the 80th percentile of the start lag: a plan that adds it is met
+/// by four of five answers, however much the engines differ.
 class StartLag {
 public:
   using Milliseconds = std::chrono::duration<double, std::milli>;
 
-  /// An answer that was planned to begin after \p Planned, this lag left out,
-  /// began after \p Measured. \p Target: its latency target.
+  /// Records an answer that began after \p Measured. \p Planned is the planned
+  /// time without the lag, \p Target the latency target.
   void observe(Milliseconds Planned, Milliseconds Measured, Milliseconds Target,
                BootTime Now);
-  /// An engine was full: it would have begun later than the lag allows for.
+  /// Records that an engine was full. Counts as an answer above the lag.
   void recordRejection(Milliseconds Target, BootTime Now) {
     step(true, Target, Now);
   }
@@ -37,19 +37,20 @@
 
 private:
   static constexpr double Quantile = 0.8;
-  /// Of the latency target. At twenty answers a second it rises by half of the
-  /// target within a third of a second when all of them are late, and falls as
-  /// much within one second when all are as planned.
+  /// Share of the latency target. At twenty answers a second the lag rises by
+  /// half of the target within a third of a second if all answers are late, and
+  /// falls by as much within one second if all are as planned.
   static constexpr double StepShare = 0.1;
-  /// Of the latency target: with more, a process would refuse what it plans to
-  /// begin at once, learn nothing, and go on refusing.
+  /// Share of the latency target. With a higher maximum a process would reject
+  /// requests that could start immediately, get no new measurements, and keep
+  /// rejecting.
   static constexpr double MaximumShare = 0.6;
-  /// What is not measured is forgotten.
+  /// The lag decays with this half-life while there are no measurements.
   static constexpr std::chrono::milliseconds HalfLife{2000};
 
   void step(bool IsAboveLag, Milliseconds Target, BootTime Now);
 
-  /// At m_At; between 0 and MaximumShare of the last target.
+  /// As of m_UpdatedAt; between 0 and MaximumShare of the last target.
   Milliseconds m_Lag{0};
   BootTime m_UpdatedAt{};
 };
--- a/Tests/LibDispatch/TestStartLag.cpp
+++ b/Tests/LibDispatch/TestStartLag.cpp
@@ -1,6 +1,6 @@
-//===- TestStartLag.cpp - How much later than planned answers begin -------===//
+//===- TestStartLag.cpp - Delay of answers against their plans ------------===//
 //
-// Steps up and down, and their bounds.
+// Rise, fall, and bounds of the estimate.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
   BootTime Now{std::chrono::seconds(100)};
   const Milliseconds Target{200};
 
-  /// \p Count answers, 50 ms apart.
+  /// Observes \p Count answers, 50 ms apart.
   void answers(int Count, double Measured) {
     for (int Index = 0; Index < Count; ++Index) {
       Now += milliseconds(50);
@@ -27,21 +27,21 @@
   }
 };
 
-// Load: a burst in which each answer comes 200 ms later than planned. Grounds:
-// within a third of a second the door has to allow for half of the target.
+// In a burst each answer begins 200 ms later than planned. Within a third of a
+// second admission control has to account for half of the latency target.
 TEST(StartLag, RisesWithinAThirdOfASecond) {
   answers(7, 260);
   CHECK(Lag.current(Now) >= Target * 0.45);
 }
 
-TEST(StartLag, FallsOnceAnswersComeAsPlanned) {
+TEST(StartLag, FallsOnceAnswersBeginAsPlanned) {
   answers(20, 260);
   answers(40, 60);
   CHECK(Lag.current(Now) <= Target * 0.1);
 }
 
-// Grounds: four of five answers stay below it, not the mean: engines differ.
-TEST(StartLag, FollowsTheLatestFifth) {
+// The estimate is the 80th percentile rather than the mean, as engines differ.
+TEST(StartLag, FollowsTheEightiethPercentile) {
   for (int Index = 0; Index < 40; ++Index) {
     answers(4, 70);
     answers(1, 100);
@@ -50,10 +50,10 @@
   CHECK(Lag.current(Now) < Milliseconds(45));
 }
 
-// Symptom: a process refuses everybody though its engines are idle again.
-// Sequence: it refuses all after a burst, so nothing is measured any more.
-// Cause: it believes what it measured last.
-TEST(StartLag, NeverShutsOutWhatWouldBeginAtOnce) {
+// A process that rejects all requests after a burst gets no new measurements.
+// If the last estimate persists, it keeps rejecting although its engines are
+// idle.
+TEST(StartLag, NeverRejectsRequestsThatCouldStartImmediately) {
   answers(100, 1000);
   CHECK(Lag.current(Now) <= Target * 0.6);
   CHECK(Lag.current(Now + milliseconds(2000)) <= Target * 0.3);
