--- a/Libraries/LibDispatch/LoadTracker.cpp
+++ b/Libraries/LibDispatch/LoadTracker.cpp
@@ -28,8 +28,9 @@
 LoadTracker::LoadTracker(LoadTrackerOptions Options)
     : m_Options(Options), m_PeerLifetime(Options.PeerLifetime) {}
 
-void LoadTracker::targetAdded(const Target &Entry, uint64_t KvCapacityTokens) {
-  m_Entries[Entry.Id].Cache.setCapacity(KvCapacityTokens);
+void LoadTracker::targetAdded(const Target &NewTarget,
+                              uint64_t KvCapacityTokens) {
+  m_Entries[NewTarget.Id].Cache.setCapacity(KvCapacityTokens);
 }
 
 void LoadTracker::targetRemoved(const std::string &Id) { m_Entries.erase(Id); }
--- a/Libraries/LibDispatch/LoadTracker.h
+++ b/Libraries/LibDispatch/LoadTracker.h
@@ -85,7 +85,7 @@
 public:
   explicit LoadTracker(LoadTrackerOptions Options = {});
 
-  void targetAdded(const Target &Entry, uint64_t KvCapacityTokens);
+  void targetAdded(const Target &NewTarget, uint64_t KvCapacityTokens);
   void targetRemoved(const std::string &Id);
 
   /// \name Work of this process, identified by tickets.
--- a/Tests/LibDispatch/TestPromptPlanner.cpp
+++ b/Tests/LibDispatch/TestPromptPlanner.cpp
@@ -61,8 +61,8 @@
     const auto *SplitPlan = std::get_if<PrefillThenDecode>(&Plan);
     return SplitPlan ? SplitPlan->PrefillTarget : std::string();
   }
-  void load(const std::string &Id, double Cost, int Pieces = 1) {
-    for (int Index = 0; Index < Pieces; ++Index)
+  void load(const std::string &Id, double Cost, int Items = 1) {
+    for (int Index = 0; Index < Items; ++Index)
       Loads.recordSent(Id, {Milliseconds(Cost), Milliseconds(Cost),
                             Milliseconds(Cost), Now});
   }
