--- a/Libraries/LibDispatch/EngineCosts.h
+++ b/Libraries/LibDispatch/EngineCosts.h
@@ -1,15 +1,15 @@
-//===- EngineCosts.h - Time that an engine needs for a prompt ---*- C++ -*-===//
+//===- EngineCosts.h - Cost model of prompts on an engine -------*- C++ -*-===//
 //
-// What one prompt costs an engine, by what was learned of engines and what is
-// configured of them. Measured deviations of a single engine are in
-// LoadBook::slowness().
+// Estimates the time that a prompt takes on an engine from the learned
+// parameters and the configured traits of the engines of a service.
+// LoadTracker::slowness() covers the deviation of a single engine.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
 #include "LibDispatch/Configuration.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 #include "LibDispatch/Prompt.h"
 #include "LibEngine/EngineModel.h"
 
@@ -17,47 +17,60 @@
 
 class EngineCosts {
 public:
-  EngineCosts(const engine::EngineFigures &Figures, const EngineTraits &Traits)
-      : m_Figures(Figures), m_Traits(Traits) {}
+  EngineCosts(const engine::EngineParameters &Parameters,
+              const EngineTraits &Traits)
+      : m_Parameters(Parameters), m_Traits(Traits) {}
 
-  /// What is to be computed of a prompt of which \p Cached tokens are kept.
-  static engine::ReadSize toCompute(const Prompt &What, uint32_t Cached);
-  /// Time of a prefill engine that no other prompt gets meanwhile.
-  Milliseconds reading(const engine::ReadSize &Size) const;
-  Milliseconds reading(const Prompt &What, uint32_t Cached) const {
-    return reading(toCompute(What, Cached));
+  /// Size of the prefill of a prompt with \p CachedTokens cached tokens.
+  static engine::PrefillSize uncachedSize(const Prompt &Input,
+                                          uint32_t CachedTokens);
+  /// Exclusive compute time on a prefill engine.
+  Milliseconds prefill(const engine::PrefillSize &Size) const;
+  Milliseconds prefill(const Prompt &Input, uint32_t CachedTokens) const {
+    return prefill(uncachedSize(Input, CachedTokens));
   }
-  /// The same at a decode engine, between the tokens of its streams.
-  Milliseconds readingWhileDecoding(const engine::ReadSize &Size) const {
-    return reading(Size) * m_Figures.DecodeReadFactor;
+  /// Prefill time on a decode engine, interleaved with the decode of its
+  /// streams.
+  Milliseconds prefillWhileDecoding(const engine::PrefillSize &Size) const {
+    return prefill(Size) * m_Parameters.DecodePrefillFactor;
   }
-  double decodeReadFactor() const { return m_Figures.DecodeReadFactor; }
-  /// Of each read besides; other prompts are computed meanwhile.
-  Milliseconds readFixed() const { return m_Figures.ReadFixed; }
-  /// From the sending of a run to its first event, beside transfer and reading.
-  Milliseconds startFixed() const { return m_Figures.StartFixed; }
-  /// Of \p Tokens tokens of KV cache, by their size and the link.
-  Milliseconds onLink(uint32_t Tokens, bool SameZone) const;
-  /// The same as engines really take it.
+  double decodePrefillFactor() const {
+    return m_Parameters.DecodePrefillFactor;
+  }
+  /// Additional fixed time of each prefill, during which the engine computes
+  /// other prompts.
+  Milliseconds prefillFixed() const { return m_Parameters.PrefillFixed; }
+  /// Time from sending a decode request to its first event, without transfer
+  /// and prefill.
+  Milliseconds decodeStartFixed() const {
+    return m_Parameters.DecodeStartFixed;
+  }
+  /// Transfer time of the KV cache of \p Tokens tokens, computed from their
+  /// size and the link.
+  Milliseconds nominalTransfer(uint32_t Tokens, bool SameZone) const;
+  /// Transfer time corrected by the learned transfer factor.
   Milliseconds transfer(uint32_t Tokens, bool SameZone) const {
-    return onLink(Tokens, SameZone) * m_Figures.TransferFactor;
+    return nominalTransfer(Tokens, SameZone) * m_Parameters.TransferFactor;
   }
-  /// A fetch of parts in front of a read.
+  /// Time to fetch parts before a prefill.
   Milliseconds fetch(uint32_t Tokens, bool SameZone) const {
-    return m_Figures.FetchFixed + transfer(Tokens, SameZone);
+    return m_Parameters.FetchFixed + transfer(Tokens, SameZone);
   }
   const EngineTraits &traits() const { return m_Traits; }
-  /// Whether reads have been measured well enough to judge an engine by them.
-  bool known() const { return m_Figures.ReadWeight >= KnownWeight; }
+  /// Whether the parameters rest on enough measurements to judge an engine by
+  /// them.
+  bool calibrated() const {
+    return m_Parameters.PrefillWeight >= CalibratedWeight;
+  }
 
 private:
-  /// A transfer between availability zones, against one inside a zone, as the
-  /// platform describes it.
+  /// Ratio between the transfer times across and within availability zones, as
+  /// specified by the platform.
   static constexpr double CrossZoneFactor = 2;
-  /// As many measurements as there are figures of a read.
-  static constexpr double KnownWeight = 4;
+  /// As many measurements as there are prefill parameters.
+  static constexpr double CalibratedWeight = 4;
 
-  engine::EngineFigures m_Figures;
+  engine::EngineParameters m_Parameters;
   EngineTraits m_Traits;
 };
 
--- a/Libraries/LibDispatch/PeerReport.cpp
+++ b/Libraries/LibDispatch/PeerReport.cpp
@@ -18,18 +18,18 @@
 namespace {
 
 Json encodeMeasurements(const ServiceMeasurements &Service) {
-  const engine::EngineFigures &Figures = Service.Figures;
+  const engine::EngineParameters &Figures = Service.Figures;
   return {Service.Service,
-          Figures.ReadFixed.count(),
-          Figures.ReadThousandTokens.count(),
-          Figures.ReadMillionPairs.count(),
+          Figures.PrefillFixed.count(),
+          Figures.PrefillPerThousandTokens.count(),
+          Figures.PrefillPerMillionPairs.count(),
           Figures.FetchFixed.count(),
-          Figures.ReadWeight,
-          Figures.DecodeReadFactor,
-          Figures.DecodeReadWeight,
-          Figures.StartFixed.count(),
+          Figures.PrefillWeight,
+          Figures.DecodePrefillFactor,
+          Figures.DecodePrefillWeight,
+          Figures.DecodeStartFixed.count(),
           Figures.TransferFactor,
-          Figures.StartWeight};
+          Figures.DecodeStartWeight};
 }
 
 ServiceMeasurements decodeMeasurements(const Json &Encoded) {
@@ -38,16 +38,16 @@
   };
   ServiceMeasurements Decoded;
   Decoded.Service = Encoded.at(0).get<std::string>();
-  Decoded.Figures.ReadFixed = Milliseconds(Number(1));
-  Decoded.Figures.ReadThousandTokens = Milliseconds(Number(2));
-  Decoded.Figures.ReadMillionPairs = Milliseconds(Number(3));
+  Decoded.Figures.PrefillFixed = Milliseconds(Number(1));
+  Decoded.Figures.PrefillPerThousandTokens = Milliseconds(Number(2));
+  Decoded.Figures.PrefillPerMillionPairs = Milliseconds(Number(3));
   Decoded.Figures.FetchFixed = Milliseconds(Number(4));
-  Decoded.Figures.ReadWeight = Number(5);
-  Decoded.Figures.DecodeReadFactor = Number(6);
-  Decoded.Figures.DecodeReadWeight = Number(7);
-  Decoded.Figures.StartFixed = Milliseconds(Number(8));
+  Decoded.Figures.PrefillWeight = Number(5);
+  Decoded.Figures.DecodePrefillFactor = Number(6);
+  Decoded.Figures.DecodePrefillWeight = Number(7);
+  Decoded.Figures.DecodeStartFixed = Milliseconds(Number(8));
   Decoded.Figures.TransferFactor = Number(9);
-  Decoded.Figures.StartWeight = Number(10);
+  Decoded.Figures.DecodeStartWeight = Number(10);
   return Decoded;
 }
 
@@ -77,15 +77,16 @@
     // Hundredths of a millisecond are short in CBOR, and precise enough.
     Loads.push_back({Load.TargetId,
                      static_cast<uint64_t>(Load.Cost.count() * 100), Load.Items,
-                     Load.Turnover,
-                     static_cast<uint64_t>(Load.Reading.count() * 100)});
+                     Load.CompletionRate,
+                     static_cast<uint64_t>(Load.PrefillCost.count() * 100)});
   Json Cached = Json::array();
   for (const CachedPart &Part : Report.Cached)
     Cached.push_back(
         {Part.TargetId, Part.Part.Id, Part.Part.Tokens, Part.Within.count()});
   Json Demands = Json::array();
   for (const ServiceDemand &Demand : Report.Demands)
-    Demands.push_back({Demand.Service, Demand.Demand.Read, Demand.Demand.Run});
+    Demands.push_back(
+        {Demand.Service, Demand.Demand.Prefill, Demand.Demand.Decode});
   Json Unavailable = Json::array();
   for (const UnavailableTarget &Target : Report.Unavailable)
     Unavailable.push_back({Target.TargetId, Target.Remaining.count()});
--- a/Libraries/LibDispatch/ServicePlanner.h
+++ b/Libraries/LibDispatch/ServicePlanner.h
@@ -1,14 +1,14 @@
-//===- ServicePlanner.h - Where a plain request runs ------------*- C++ -*-===//
+//===- ServicePlanner.h - Places requests of plain services -----*- C++ -*-===//
 //
-// Chooses a server of a plain service by the expected time to its answer:
-// work that is there, measured speed, and recent failures. A request that no
-// server would answer in time is refused at once.
+// Chooses a server of a plain service by its expected response time, which
+// depends on its outstanding work, measured speed and recent failures. A
+// request that no server would answer in time is rejected immediately.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 
 #include <chrono>
 #include <span>
@@ -25,50 +25,50 @@
   double Draw = 0;
 };
 
-struct SendTo {
+struct ServiceAssignment {
   std::string TargetId;
   Milliseconds Cost{0};
   Milliseconds Expected{0};
 };
-struct RefuseService {
+struct ServiceRejection {
   std::string_view Reason;
   std::chrono::milliseconds RetryAfter{0};
 };
-using ServicePlan = std::variant<SendTo, RefuseService>;
+using ServicePlan = std::variant<ServiceAssignment, ServiceRejection>;
 
 struct ServicePlannerOptions {
-  /// Work time to plan with before any answer was seen. Deviations are in
-  /// LoadBook::slowness().
+  /// Assumed processing time. LoadTracker::slowness() corrects it by the
+  /// measured deviation of each server.
   Milliseconds AssumedWork{20};
-  /// Share of the time to the deadline that a plan may use up.
+  /// Share of the time to the deadline that a plan may use.
   double DeadlineShare = 0.8;
-  /// A recent failure makes a server look this many times as slow: an answer
-  /// from it may be worth nothing.
+  /// Weight of the failure share in the score: a failure share of 1 makes a
+  /// server count as this many times slower, because its answer may be useless.
   double FailurePenalty = 20;
-  /// Errors of its own that a server gives beyond those of the best one weigh
-  /// likewise, from this excess on: some requests fail at every server by
-  /// right, and a share of a few answers is uncertain by about as much.
+  /// Errors count like failures as far as the error share exceeds that of the
+  /// best server by more than this: some requests correctly fail on every
+  /// server, and a share taken from a few answers is about this uncertain.
   double ErrorMargin = 0.15;
-  /// What a refused caller is told to wait.
+  /// Retry delay sent to rejected callers.
   std::chrono::milliseconds RetryAfter{200};
 };
 
 class ServicePlanner {
 public:
-  ServicePlanner(ServicePlannerOptions Options, LoadBook &Loads);
+  ServicePlanner(ServicePlannerOptions Options, LoadTracker &Loads);
 
   ServicePlan plan(const ServiceRequest &Request,
                    std::span<const Target *const> Servers, BootTime Now) const;
 
 private:
   const Target *choose(const ServiceRequest &Request,
-                       std::span<const Target *const> Servers, bool Resting,
-                       BootTime Now) const;
-  double score(const Target &Which, double LeastErrors, BootTime Now) const;
-  Milliseconds expected(const Target &Which, BootTime Now) const;
+                       std::span<const Target *const> Servers,
+                       bool IncludeEjected, BootTime Now) const;
+  double score(const Target &Server, double LeastErrors, BootTime Now) const;
+  Milliseconds expected(const Target &Server, BootTime Now) const;
 
   ServicePlannerOptions m_Options;
-  LoadBook &m_Loads;
+  LoadTracker &m_Loads;
 };
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StartLag.cpp
+++ b/Libraries/LibDispatch/StartLag.cpp
@@ -1,7 +1,8 @@
-//===- StartLag.cpp - How much later than planned answers begin -----------===//
+//===- StartLag.cpp - Delay of answers against their plans ----------------===//
 //
-// A quantile by steps: up by its share for an answer above it, down by the
-// rest for one below, which balances where that share is below.
+// Stochastic quantile estimate: each answer above the estimate raises it in
+// proportion to the quantile q, each answer below lowers it in proportion to
+// 1 - q, which balances where the share q of the answers is below.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +14,7 @@
 namespace figlift::dispatch {
 
 StartLag::Milliseconds StartLag::current(BootTime Now) const {
-  const double HalfLives = Milliseconds(Now - m_At) / HalfLife;
+  const double HalfLives = Milliseconds(Now - m_UpdatedAt) / HalfLife;
   return m_Lag * std::exp2(-std::max(0.0, HalfLives));
 }
 
@@ -22,12 +23,12 @@
   step(Measured - Planned > current(Now), Target, Now);
 }
 
-void StartLag::step(bool Above, Milliseconds Target, BootTime Now) {
+void StartLag::step(bool IsAboveLag, Milliseconds Target, BootTime Now) {
   const Milliseconds Step =
-      Target * StepShare * (Above ? Quantile : Quantile - 1);
+      Target * StepShare * (IsAboveLag ? Quantile : Quantile - 1);
   m_Lag =
       std::clamp(current(Now) + Step, Milliseconds(0), Target * MaximumShare);
-  m_At = Now;
+  m_UpdatedAt = Now;
 }
 
 } // namespace figlift::dispatch
--- a/Libraries/LibDispatch/StoreUpdate.cpp
+++ b/Libraries/LibDispatch/StoreUpdate.cpp
@@ -28,7 +28,7 @@
           Entry->Zone,
           Entry->Slots,
           Entry->Draining,
-          static_cast<int>(Entry->Does)};
+          static_cast<int>(Entry->EngineStage)};
 }
 
 Result<Stage> decodeStage(int Number) {
@@ -59,7 +59,7 @@
   auto DecodedStage = decodeStage(EncodedEntry.at(8).get<int>());
   if (!DecodedStage)
     return outcome::failure(DecodedStage.error());
-  Server.Does = DecodedStage.value();
+  Server.EngineStage = DecodedStage.value();
   Change.Entry = std::move(Server);
   return Change;
 }
--- a/Services/figlift-gateway/CacheDiscovery.cpp
+++ b/Services/figlift-gateway/CacheDiscovery.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 void CacheDiscovery::engineAdded(const dispatch::Target &Engine, BootTime Now) {
-  if (Engine.Does == dispatch::Stage::None)
+  if (Engine.EngineStage == dispatch::Stage::None)
     return;
   m_Pending.push_back(
       {Engine.Id, Now + std::chrono::duration_cast<BootClock::duration>(
@@ -53,7 +53,7 @@
     const dispatch::Target *Current = Shared.Targets.find(TargetId);
     if (!Current || Current->Started != Start)
       return;
-    Shared.Loads.cacheTold(TargetId);
+    Shared.Loads.setCacheReported(TargetId);
     const auto Parts = slopes::decodeCacheList(Status == 200 ? Body : "");
     if (!Parts)
       return log::logEvent(log::Level::Warning, "cache-list-missing",
--- a/Services/figlift-gateway/Context.h
+++ b/Services/figlift-gateway/Context.h
@@ -13,7 +13,7 @@
 #include "LibDispatch/Configuration.h"
 #include "LibDispatch/EngineDemand.h"
 #include "LibDispatch/KvReuse.h"
-#include "LibDispatch/LoadBook.h"
+#include "LibDispatch/LoadTracker.h"
 #include "LibDispatch/PeerReport.h"
 #include "LibDispatch/ProcessStop.h"
 #include "LibDispatch/PromptPlanner.h"
@@ -63,7 +63,7 @@
   /// Cost model of the engines of \p Service, from the measurements so far.
   dispatch::EngineCosts costsOf(const dispatch::Service &Service,
                                 BootTime Now) {
-    return {EngineModels[Service.Name].figures(Now), *Service.Engine};
+    return {EngineModels[Service.Name].parameters(Now), *Service.Engine};
   }
 
   settings::GatewaySettings Settings;
@@ -73,7 +73,7 @@
   /// configuration that it started with.
   std::shared_ptr<const dispatch::Configuration> Configuration;
   dispatch::TargetTable Targets;
-  dispatch::LoadBook Loads;
+  dispatch::LoadTracker Loads;
   dispatch::ServerLimits Limits;
   retry::FleetRetryBudget Budget;
   dispatch::PromptPlanner Prompts;
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -167,19 +167,19 @@
 void Gateway::apply(const std::vector<dispatch::TargetEvent> &Events) {
   struct Visitor {
     Gateway &Self;
-    void operator()(const dispatch::TargetCame &Event) const {
-      Self.targetAdded(Event.Which);
+    void operator()(const dispatch::TargetAdded &Event) const {
+      Self.targetAdded(Event.Entry);
     }
     void operator()(const dispatch::TargetChanged &Event) const {
       log::logEvent(log::Level::Info, "target-changed",
-                    {{"target", Event.Which.Id},
-                     {"stage", static_cast<int>(Event.Which.Does)}});
+                    {{"target", Event.Entry.Id},
+                     {"stage", static_cast<int>(Event.Entry.EngineStage)}});
     }
-    void operator()(const dispatch::TargetDrains &Event) const {
+    void operator()(const dispatch::TargetDraining &Event) const {
       log::logEvent(log::Level::Info, "target-drains", {{"target", Event.Id}});
       Self.m_Shared.Crashes.targetDraining(Event.Id);
     }
-    void operator()(const dispatch::TargetGone &Event) const {
+    void operator()(const dispatch::TargetRemoved &Event) const {
       Self.targetRemoved(Event.Id);
     }
   };
@@ -193,7 +193,7 @@
                  {"service", Target.Service},
                  {"address", Target.Address.toString()},
                  {"zone", Target.Zone},
-                 {"stage", static_cast<int>(Target.Does)}});
+                 {"stage", static_cast<int>(Target.EngineStage)}});
   m_Shared.Pools[Target.Id] = std::make_shared<upstream::ConnectionPool>(
       m_Shared.Loop, Target.Address, upstream::PoolSettings{});
   uint64_t Capacity = 0;
@@ -201,7 +201,7 @@
     if (const auto *Service = m_Shared.Configuration->service(Target.Service);
         Service && Service->Engine)
       Capacity = Service->Engine->KvCapacityTokens;
-  m_Shared.Loads.targetCame(Target, Capacity);
+  m_Shared.Loads.targetAdded(Target, Capacity);
   limitPools();
   m_Caches.engineAdded(Target, BootClock::now());
 }
@@ -215,7 +215,7 @@
     Pool->second->retire();
     m_Shared.Pools.erase(Pool);
   }
-  m_Shared.Loads.targetGone(Id);
+  m_Shared.Loads.targetRemoved(Id);
 }
 
 void Gateway::limitPools() {
@@ -236,7 +236,7 @@
       Pool->second->limit(std::max(MinimumConnections, Share));
     // A target may be added before the configuration has been read.
     if (Service->Engine)
-      m_Shared.Loads.targetCame(Target, Service->Engine->KvCapacityTokens);
+      m_Shared.Loads.targetAdded(Target, Service->Engine->KvCapacityTokens);
   }
 }
 
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -115,16 +115,17 @@
     if (!Service.Engine)
       continue;
     const auto Costs = [this, Name = Service.Name] {
-      return m_Shared.EngineModels[Name].figures(BootClock::now());
+      return m_Shared.EngineModels[Name].parameters(BootClock::now());
     };
     Metrics.readGauge(
         "figlift_gateway_engine_read_fixed_seconds",
         "Learned: fixed part of reading a prompt",
-        [Costs] { return Costs().ReadFixed.count() / 1000; }, Labels);
+        [Costs] { return Costs().PrefillFixed.count() / 1000; }, Labels);
     Metrics.readGauge(
         "figlift_gateway_engine_read_thousand_tokens_seconds",
         "Learned: reading a thousand tokens of a prompt",
-        [Costs] { return Costs().ReadThousandTokens.count() / 1000; }, Labels);
+        [Costs] { return Costs().PrefillPerThousandTokens.count() / 1000; },
+        Labels);
     Metrics.readGauge(
         "figlift_gateway_start_lag_seconds",
         "Lateness of first events that plans allow for",
@@ -136,7 +137,7 @@
     Metrics.readGauge(
         "figlift_gateway_engine_start_seconds",
         "Learned: from a run whose prompt was read to its first event",
-        [Costs] { return Costs().StartFixed.count() / 1000; }, Labels);
+        [Costs] { return Costs().DecodeStartFixed.count() / 1000; }, Labels);
   }
 }
 
@@ -144,8 +145,8 @@
 /// costs that it was based on.
 void Gateway::logEngineCosts(BootTime Now) {
   for (auto &[Service, Model] : m_Shared.EngineModels) {
-    const engine::EngineFigures Costs = Model.figures(Now);
-    const dispatch::Milliseconds PrefillCost = Costs.ReadThousandTokens;
+    const engine::EngineParameters Costs = Model.parameters(Now);
+    const dispatch::Milliseconds PrefillCost = Costs.PrefillPerThousandTokens;
     dispatch::Milliseconds &Logged = m_LoggedPrefillCosts[Service];
     if (std::abs((PrefillCost - Logged).count()) <=
         LoggedCostChange * Logged.count())
@@ -153,14 +154,14 @@
     Logged = PrefillCost;
     log::logEvent(log::Level::Info, "engine-figures",
                   {{"service", Service},
-                   {"readFixedMs", Costs.ReadFixed},
-                   {"readThousandTokensMs", Costs.ReadThousandTokens},
-                   {"readMillionPairsMs", Costs.ReadMillionPairs},
+                   {"readFixedMs", Costs.PrefillFixed},
+                   {"readThousandTokensMs", Costs.PrefillPerThousandTokens},
+                   {"readMillionPairsMs", Costs.PrefillPerMillionPairs},
                    {"fetchFixedMs", Costs.FetchFixed},
-                   {"decodeReadFactor", Costs.DecodeReadFactor},
-                   {"startFixedMs", Costs.StartFixed},
+                   {"decodeReadFactor", Costs.DecodePrefillFactor},
+                   {"startFixedMs", Costs.DecodeStartFixed},
                    {"transferFactor", Costs.TransferFactor},
-                   {"measurements", Costs.ReadWeight}});
+                   {"measurements", Costs.PrefillWeight}});
   }
 }
 
--- a/Services/figlift-gateway/GatewayStore.cpp
+++ b/Services/figlift-gateway/GatewayStore.cpp
@@ -48,7 +48,7 @@
           [this](const slopes::RowsRead &Read, BootTime KnownAt) {
             serverChangesRead(Read, KnownAt);
           },
-          [this] { m_Shared.Targets.storeLost(BootClock::now()); },
+          [this] { m_Shared.Targets.recordStoreFailure(BootClock::now()); },
           [this](bool WasUnchanged) {
             return dispatch::ServerReadSchedule.due(
                 m_Peers.liveBefore(BootClock::now()), m_ServerJournal.knownAt(),
@@ -167,7 +167,7 @@
   // changes, peers have to read the store to learn their order. A list that
   // lacks a server which is retained here for a while contains a removal that
   // peers must not skip.
-  if (Events.empty() && !m_Shared.Targets.keepsMissing())
+  if (Events.empty() && !m_Shared.Targets.hasMissingTargets())
     m_ServerJournal.recordChanges(Read.Version, KnownAt, {});
   else
     m_ServerJournal.recordFullRead(Read.Version, KnownAt);
@@ -197,7 +197,7 @@
                 {{"before", PreviousEra}, {"now", m_Store.era()}});
   // Servers whose entries are missing in the copy are still running and write
   // them again.
-  m_Shared.Targets.storeLost(BootClock::now());
+  m_Shared.Targets.recordStoreFailure(BootClock::now());
   m_ConfigurationFollower.resync();
   m_ServerFollower.resync();
   m_Stages.storeRestored(m_Store.era());
--- a/Services/figlift-gateway/PeerLink.cpp
+++ b/Services/figlift-gateway/PeerLink.cpp
@@ -65,7 +65,7 @@
 }
 
 void PeerLink::scheduleReport() {
-  m_Shared.Loads.reportsCome(m_Peers.reportInterval());
+  m_Shared.Loads.setReportInterval(m_Peers.reportInterval());
   m_ReportTimer.expires_after(m_Peers.reportInterval());
   m_ReportTimer.async_wait([this](const boost::system::error_code &Stopped) {
     if (Stopped)
@@ -78,7 +78,7 @@
 void PeerLink::report() {
   dispatch::PeerReport Report;
   Report.Sender = m_Shared.Settings.Process.Id;
-  Report.Loads = m_Shared.Loads.ownLoads();
+  Report.Loads = m_Shared.Loads.localLoads();
   auto &Parts = m_Shared.NewlyCached;
   const size_t Count = std::min(Parts.size(), MaximumParts);
   const auto End = Parts.begin() + static_cast<std::ptrdiff_t>(Count);
@@ -94,7 +94,7 @@
   if (Now - m_EngineCostsSentAt >= EngineCostInterval) {
     m_EngineCostsSentAt = Now;
     for (const auto &[Service, Model] : m_Shared.EngineModels)
-      Report.Engines.push_back({Service, Model.own()});
+      Report.Engines.push_back({Service, Model.localParameters()});
     Report.Limits = m_Shared.Limits.makeUpdates(Now);
   }
   sendToAll(ReportKind, encodePeerReport(Report));
@@ -183,22 +183,22 @@
   const BootTime Now = BootClock::now();
   const dispatch::PeerReport &Report = Read.value();
   m_Peers.reportReceived(Report.Sender, m_Sender, Now);
-  m_Shared.Loads.peerReported(Report.Sender, Report.Loads, Now);
+  m_Shared.Loads.recordPeerReport(Report.Sender, Report.Loads, Now);
   m_Shared.PeerDemands[Report.Sender] = Report.Demands;
   for (const dispatch::ServiceMeasurements &Costs : Report.Engines)
-    m_Shared.EngineModels[Costs.Service].peerTold(Report.Sender, Costs.Figures,
-                                                  Now);
+    m_Shared.EngineModels[Costs.Service].recordPeerParameters(
+        Report.Sender, Costs.Figures, Now);
   for (const dispatch::LimitUpdate &Limit : Report.Limits)
     if (m_Shared.Targets.find(Limit.Server.TargetId))
       m_Shared.Limits.applyUpdate(Limit, Now);
   for (const dispatch::UnavailableTarget &Switching : Report.Unavailable)
-    m_Shared.Loads.avoid(Switching.TargetId, Now + Switching.Remaining);
+    m_Shared.Loads.excludeUntil(Switching.TargetId, Now + Switching.Remaining);
   for (const dispatch::CachedPart &Entry : Report.Cached)
     if (!m_Shared.Targets.find(Entry.TargetId))
       continue;
     else if (Entry.Within > milliseconds(0))
       m_Shared.Loads.cache(Entry.TargetId)
-          .expect(Entry.Part, Now + Entry.Within);
+          .addPending(Entry.Part, Now + Entry.Within);
     else
       m_Shared.Loads.cache(Entry.TargetId).insert(Entry.Part);
 }
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -148,26 +148,26 @@
   m_Excluded.push_back(AvoidedTargetId);
   const dispatch::Service *Service = engineService();
   const bool HasPlan =
-      Service
-          ? !std::holds_alternative<dispatch::RefuseNow>(
-                promptPlan(*Service, Now))
-          : !std::holds_alternative<dispatch::RefuseService>(servicePlan(Now));
+      Service ? !std::holds_alternative<dispatch::Rejection>(
+                    promptPlan(*Service, Now))
+              : !std::holds_alternative<dispatch::ServiceRejection>(
+                    servicePlan(Now));
   m_Excluded.pop_back();
   return HasPlan;
 }
 
 dispatch::PromptRequest RequestFlow::promptRequest(BootTime Now) {
   dispatch::PromptRequest Request;
-  Request.What = *m_Fields.Prompt;
-  Request.Generation = generationTime();
+  Request.Input = *m_Fields.Prompt;
+  Request.GenerationTime = generationTime();
   Request.LatencyTarget = m_Route.LatencyTarget;
-  Request.OnTimeLeft =
+  Request.TimeToLatencyTarget =
       std::max(Milliseconds(0), Milliseconds(m_Route.LatencyTarget) -
                                     Milliseconds(Now - m_Started));
   Request.TimeLeft = timeLeft(Now);
   if (const auto *Service = m_Configuration->service(m_Service))
     Request.EventGap = Service->ShortestEventGap;
-  Request.Lag = m_Shared.StartLags[m_Service].current(Now);
+  Request.ExpectedStartLag = m_Shared.StartLags[m_Service].current(Now);
   Request.Excluded = excluded(Now);
   Request.Draw = m_Shared.draw();
   return Request;
@@ -188,15 +188,15 @@
   const auto Plan = promptPlan(Service, Now);
   m_PlannedAt = Now;
   m_PlannedLag = m_Shared.StartLags[m_Service].current(Now);
-  if (const auto *Read = std::get_if<dispatch::ReadThenRun>(&Plan)) {
+  if (const auto *Read = std::get_if<dispatch::PrefillThenDecode>(&Plan)) {
     m_PlannedFirst = Read->FirstEvent;
     return startPrefill(*Read);
   }
-  if (const auto *Run = std::get_if<dispatch::RunAt>(&Plan)) {
+  if (const auto *Run = std::get_if<dispatch::DecodePlan>(&Plan)) {
     m_PlannedFirst = Run->Expected;
     return startExecution(*Run);
   }
-  const auto &Refusal = std::get<dispatch::RefuseNow>(Plan);
+  const auto &Refusal = std::get<dispatch::Rejection>(Plan);
   m_PlannedFirst = Refusal.FirstEvent;
   if (m_ResponseStarted)
     return abortStream(Refusal.Reason);
@@ -208,14 +208,14 @@
 void RequestFlow::planService() {
   const BootTime Now = BootClock::now();
   const auto Plan = servicePlan(Now);
-  if (const auto *Chosen = std::get_if<dispatch::SendTo>(&Plan)) {
+  if (const auto *Chosen = std::get_if<dispatch::ServiceAssignment>(&Plan)) {
     m_PlannedFirst = Chosen->Expected;
     if (m_Sends == 0 && !mayStart(Chosen->Expected, Now))
       return rejectStopping();
     return startExecution(
         {Chosen->TargetId, {}, Chosen->Cost, Chosen->Expected, {}});
   }
-  const auto &Refusal = std::get<dispatch::RefuseService>(Plan);
+  const auto &Refusal = std::get<dispatch::ServiceRejection>(Plan);
   if (m_ResponseStarted)
     return abortStream(Refusal.Reason);
   respondWithError(m_Executions == 0 ? dispatch::NotRunStatus
@@ -223,26 +223,26 @@
                    Refusal.Reason, Refusal.RetryAfter);
 }
 
-void RequestFlow::startPrefill(const dispatch::ReadThenRun &Plan) {
-  m_PrefillTarget = Plan.Reader;
+void RequestFlow::startPrefill(const dispatch::PrefillThenDecode &Plan) {
+  m_PrefillTarget = Plan.PrefillTarget;
   m_PlannedPrefill = Plan.Expected;
-  m_PrefillPlan = Plan.How;
-  m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Reader);
-  send(Plan.Reader, Plan.FetchFrom, SendPurpose::Prefill,
-       {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
+  m_PrefillPlan = Plan.Prefill;
+  m_CacheKnown = m_Shared.Loads.cacheReported(Plan.PrefillTarget);
+  send(Plan.PrefillTarget, Plan.FetchFrom, SendPurpose::Prefill,
+       {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, {}});
 }
 
-void RequestFlow::startExecution(const dispatch::RunAt &Plan) {
+void RequestFlow::startExecution(const dispatch::DecodePlan &Plan) {
   // Another attempt may have crashed a server during the prefill.
   if (rejectIfSuspected())
     return;
-  m_ExecutionTarget = Plan.Runner;
+  m_ExecutionTarget = Plan.DecodeTarget;
   m_PlannedExecution = Plan.Expected;
   m_ExecutionSent = BootClock::now();
-  m_ExecutionPlan = Plan.How;
-  m_CacheKnown = m_Shared.Loads.cacheIsKnown(Plan.Runner);
-  send(Plan.Runner, Plan.FetchFrom, SendPurpose::Execute,
-       {Plan.Cost, Plan.Expected, Plan.How.Compute, {}});
+  m_ExecutionPlan = Plan.Prefill;
+  m_CacheKnown = m_Shared.Loads.cacheReported(Plan.DecodeTarget);
+  send(Plan.DecodeTarget, Plan.FetchFrom, SendPurpose::Execute,
+       {Plan.Cost, Plan.Expected, Plan.Prefill.Compute, {}});
 }
 
 void RequestFlow::send(const std::string &TargetId,
@@ -337,7 +337,7 @@
   if (Send.purpose() == SendPurpose::Prefill)
     return prefillCompleted(Send);
   if (m_Handle && m_HandleRejected)
-    m_Shared.KvReuses[m_Service].tried(true, BootClock::now());
+    m_Shared.KvReuses[m_Service].recordRetry(true, BootClock::now());
   m_Handle.reset();
   recordCompletion();
   if (m_Fields.Prompt && !Send.targetRestarted())
@@ -376,8 +376,9 @@
 }
 
 /// Chooses the target that decodes after the prefill at m_PrefillTarget.
-std::optional<dispatch::RunAt> RequestFlow::chooseDecodeTarget(BootTime Now) {
-  return m_Shared.Prompts.chooseRunner(
+std::optional<dispatch::DecodePlan>
+RequestFlow::chooseDecodeTarget(BootTime Now) {
+  return m_Shared.Prompts.chooseDecodeTarget(
       promptRequest(Now), m_Shared.Targets.find(m_PrefillTarget),
       m_Shared.openTargets(m_Service), m_Shared.costsOf(*engineService(), Now),
       Now);
@@ -394,10 +395,10 @@
     return false;
   dispatch::KvReuse &Reuse = m_Shared.KvReuses[m_Service];
   if (std::exchange(m_HandleRejected, true)) {
-    Reuse.tried(false, Now);
+    Reuse.recordRetry(false, Now);
     return false;
   }
-  return Reuse.worthTrying(Now) &&
+  return Reuse.shouldRetry(Now) &&
          timeLeft(Now) >= m_Shared.Retries.MinimumTimeLeft &&
          m_Shared.Budget.remaining(m_Service, Now) >= 1;
 }
@@ -465,7 +466,7 @@
 void RequestFlow::handleFailedSend(const SendOutcome &End, ServerSend &Send) {
   const BootTime Now = BootClock::now();
   if (std::holds_alternative<dispatch::Rejected>(End) && engineService())
-    m_Shared.StartLags[m_Service].turnedAway(m_Route.LatencyTarget, Now);
+    m_Shared.StartLags[m_Service].recordRejection(m_Route.LatencyTarget, Now);
   if (mayReuseHandle(End, Now) && decodeElsewhere(Send, Now))
     return;
   const auto Next = nextStep(End, Send);
--- a/Services/figlift-gateway/RequestFlow.h
+++ b/Services/figlift-gateway/RequestFlow.h
@@ -64,10 +64,10 @@
   void recordDemand(const dispatch::EngineCosts &Costs,
                     std::span<const dispatch::Target *const> Open,
                     BootTime Now);
-  void startPrefill(const dispatch::ReadThenRun &Plan);
-  void startExecution(const dispatch::RunAt &Plan);
+  void startPrefill(const dispatch::PrefillThenDecode &Plan);
+  void startExecution(const dispatch::DecodePlan &Plan);
   void prefillCompleted(ServerSend &Send);
-  std::optional<dispatch::RunAt> chooseDecodeTarget(BootTime Now);
+  std::optional<dispatch::DecodePlan> chooseDecodeTarget(BootTime Now);
   bool mayReuseHandle(const dispatch::SendOutcome &End, BootTime Now);
   bool decodeElsewhere(const ServerSend &Failed, BootTime Now);
   void send(const std::string &TargetId, const std::string &FetchFrom,
@@ -186,8 +186,8 @@
   dispatch::Milliseconds m_PlannedPrefill{0};
   dispatch::Milliseconds m_PrefillTime{0};
   dispatch::Milliseconds m_PlannedExecution{0};
-  dispatch::ReadPlan m_PrefillPlan;
-  dispatch::ReadPlan m_ExecutionPlan;
+  dispatch::PrefillPlan m_PrefillPlan;
+  dispatch::PrefillPlan m_ExecutionPlan;
   /// An engine has rejected the execution that uses m_Handle.
   bool m_HandleRejected = false;
   /// Whether the cache contents of the target were known when the latest
--- a/Services/figlift-gateway/RequestLearning.cpp
+++ b/Services/figlift-gateway/RequestLearning.cpp
@@ -34,13 +34,13 @@
         std::max(CachedTokens, m_Shared.Loads.cachedTokens(Target->Id, Prompt));
   dispatch::DemandMeter &Meter = m_Shared.Demands[m_Service];
   const double FillingShare =
-      m_Shared.Settings.Fleet.Starts ? Meter.fillingShare(Now) : 0;
-  CachedTokens +=
-      static_cast<uint32_t>(FillingShare * Prompt.sharedBeyond(CachedTokens));
-  Meter.requested(Costs.reading(Prompt, CachedTokens),
-                  Costs.transfer(Prompt.Tokens, false) +
-                      generationTime() / Costs.traits().Slots,
-                  Now);
+      m_Shared.Settings.Fleet.Starts ? Meter.cacheFillShare(Now) : 0;
+  CachedTokens += static_cast<uint32_t>(
+      FillingShare * Prompt.sharedTokensBeyond(CachedTokens));
+  Meter.recordRequest(Costs.prefill(Prompt, CachedTokens),
+                      Costs.transfer(Prompt.Tokens, false) +
+                          generationTime() / Costs.traits().Slots,
+                      Now);
 }
 
 /// Plans without any measurement are not used to rate an engine: for seconds
@@ -48,7 +48,7 @@
 bool RequestFlow::engineCostsKnown(BootTime Now) const {
   const dispatch::Service *Service = m_Configuration->service(m_Service);
   return !Service || !Service->Engine ||
-         m_Shared.costsOf(*Service, Now).known();
+         m_Shared.costsOf(*Service, Now).calibrated();
 }
 
 /// Records that the engine has the prompt in its queue.
@@ -63,9 +63,9 @@
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
   // The last part belongs to this request only; no other request will use it.
   for (size_t i = 0; i + 1 < Parts.size(); ++i) {
-    if (Cache.holds(Parts[i].Id))
+    if (Cache.contains(Parts[i].Id))
       continue;
-    Cache.expect(Parts[i], Now + Within);
+    Cache.addPending(Parts[i], Now + Within);
     m_Shared.NewlyCached.push_back({TargetId, Parts[i], Within});
   }
 }
@@ -75,7 +75,7 @@
   if (!m_Fields.Prompt || !m_Shared.Targets.find(TargetId))
     return;
   for (const dispatch::PromptPart &Part : m_Fields.Prompt->Parts)
-    m_Shared.Loads.cache(TargetId).abandon(Part.Id);
+    m_Shared.Loads.cache(TargetId).removePending(Part.Id);
 }
 
 void RequestFlow::recordCached(const std::string &TargetId) {
@@ -83,7 +83,7 @@
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
   for (size_t i = 0; i < Parts.size(); ++i) {
-    const bool IsNew = !Cache.holds(Parts[i].Id);
+    const bool IsNew = !Cache.contains(Parts[i].Id);
     Cache.insert(Parts[i]);
     if (IsNew && i + 1 < Parts.size())
       m_Shared.NewlyCached.push_back({TargetId, Parts[i], milliseconds(0)});
@@ -96,16 +96,16 @@
 void RequestFlow::learnPrefill() {
   const dispatch::Service *Service = m_Configuration->service(m_Service);
   if (!Service || !Service->Engine || !m_CacheKnown ||
-      m_PrefillTime <= m_PrefillPlan.OnLink)
+      m_PrefillTime <= m_PrefillPlan.NominalTransfer)
     return;
   const Milliseconds PlannedTime =
-      m_PlannedPrefill - m_PrefillPlan.Wait - m_PrefillPlan.OnLink;
+      m_PlannedPrefill - m_PrefillPlan.Wait - m_PrefillPlan.NominalTransfer;
   const double Share = PlannedTime / (PlannedTime + m_PrefillPlan.Wait);
   if (Share < MinimumPurity)
     return;
-  m_Shared.EngineModels[m_Service].observeRead(
-      m_PrefillPlan.Size, (m_PrefillTime - m_PrefillPlan.OnLink) * Share,
-      Share * Share);
+  m_Shared.EngineModels[m_Service].observePrefill(
+      m_PrefillPlan.Size,
+      (m_PrefillTime - m_PrefillPlan.NominalTransfer) * Share, Share * Share);
 }
 
 /// Learns from the first event of an execution.
@@ -118,7 +118,8 @@
   engine::EngineModel &Model = m_Shared.EngineModels[m_Service];
   const Milliseconds FirstEventTime(Now - *m_ExecutionSent);
   if (m_Handle) {
-    Model.observeStart(m_ExecutionPlan.OnLink, FirstEventTime, 1);
+    Model.observeDecodeStart(m_ExecutionPlan.NominalTransfer, FirstEventTime,
+                             1);
     return;
   }
   if (m_CacheKnown)
@@ -143,19 +144,21 @@
 void RequestFlow::learnPrefillBesideStreams(const dispatch::EngineCosts &Costs,
                                             Milliseconds FirstEventTime,
                                             engine::EngineModel &Model) const {
-  const Milliseconds Compute = FirstEventTime - Costs.readFixed() -
-                               Costs.startFixed() - m_ExecutionPlan.OnLink;
+  const Milliseconds Compute = FirstEventTime - Costs.prefillFixed() -
+                               Costs.decodeStartFixed() -
+                               m_ExecutionPlan.NominalTransfer;
   if (Compute <= Milliseconds(0))
     return;
-  const Milliseconds Isolated = Costs.reading(m_ExecutionPlan.Size);
-  Model.observeRead(m_ExecutionPlan.Size,
-                    Costs.readFixed() + Compute / Costs.decodeReadFactor(),
-                    PurityBesideStreams);
+  const Milliseconds Isolated = Costs.prefill(m_ExecutionPlan.Size);
+  Model.observePrefill(m_ExecutionPlan.Size,
+                       Costs.prefillFixed() +
+                           Compute / Costs.decodePrefillFactor(),
+                       PurityBesideStreams);
   const double Share = Isolated / FirstEventTime;
   // The remaining time is not known precisely enough to measure a smaller
   // prefill.
   if (Share >= MinimumPurity)
-    Model.observeDecodeRead(Isolated, Compute, Share * Share);
+    Model.observeDecodePrefill(Isolated, Compute, Share * Share);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -33,8 +33,8 @@
   m_Connection = Pool->second->take(m_Started);
   if (!m_Connection)
     return false;
-  Work.Sent = m_Started;
-  m_Ticket = m_Shared.Loads.started(m_TargetId, Work);
+  Work.SentAt = m_Started;
+  m_Ticket = m_Shared.Loads.recordSent(m_TargetId, Work);
   if (const dispatch::Target *Target = m_Shared.Targets.find(m_TargetId))
     m_Target = *Target;
   m_Shared.Limits.recordSend(m_TargetId, m_Started);
@@ -49,7 +49,7 @@
 
 void ServerSend::cancel() {
   m_Owner = nullptr;
-  m_Shared.Loads.ended(m_TargetId, m_Ticket);
+  m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   if (const auto Connection = std::exchange(m_Connection, nullptr))
     Connection->abort();
 }
@@ -60,7 +60,7 @@
 }
 
 void ServerSend::recordLatency() {
-  m_Shared.Loads.answered(m_TargetId, m_Ticket, BootClock::now());
+  m_Shared.Loads.recordAnswer(m_TargetId, m_Ticket, BootClock::now());
 }
 
 bool ServerSend::isMatchingResponse() const {
@@ -133,21 +133,21 @@
     return end(dispatch::ServerFailed{m_Head.Status});
   if (!m_Streamed)
     recordLatency();
-  m_Shared.Loads.ended(m_TargetId, m_Ticket);
+  m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   std::exchange(m_Owner, nullptr)->sendCompleted(*this);
 }
 
 void ServerSend::recordRejection(BootTime Now) {
   if (m_Fields.Misdirected)
-    m_Shared.Loads.avoid(m_TargetId, Now + ServerReplacedBackoff);
+    m_Shared.Loads.excludeUntil(m_TargetId, Now + ServerReplacedBackoff);
   else
-    m_Shared.Loads.turnedAway(m_TargetId, Now);
+    m_Shared.Loads.recordRejection(m_TargetId, Now);
 }
 
 void ServerSend::recordOutcome(const SendOutcome &End) {
   // The target may have restarted: a failure of its earlier start says nothing
   // about the current one.
-  if (!m_Shared.Loads.knows(m_TargetId, m_Ticket))
+  if (!m_Shared.Loads.isCurrent(m_TargetId, m_Ticket))
     return;
   const BootTime Now = BootClock::now();
   const bool IsValidResponse =
@@ -156,11 +156,11 @@
   if (std::holds_alternative<dispatch::Rejected>(End))
     recordRejection(Now);
   if (IsValidResponse && !std::holds_alternative<dispatch::Rejected>(End))
-    m_Shared.Loads.errored(m_TargetId, Now);
+    m_Shared.Loads.recordError(m_TargetId, Now);
   if (IsValidResponse)
-    m_Shared.Loads.ended(m_TargetId, m_Ticket);
+    m_Shared.Loads.recordEnd(m_TargetId, m_Ticket);
   else
-    m_Shared.Loads.failed(m_TargetId, m_Ticket, Now);
+    m_Shared.Loads.recordFailure(m_TargetId, m_Ticket, Now);
 }
 
 void ServerSend::end(SendOutcome End) {
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -110,9 +110,10 @@
   State.Demand.observe(fleetDemand(Service.Name, Now), Now);
   const dispatch::EngineDemand Demand = State.Demand.demand();
   const auto Change = State.Planner.plan(
-      Engines, Demand, State.Demand.doubt(Now), m_Shared.Loads, Now);
+      Engines, Demand, State.Demand.uncertainty(Now), m_Shared.Loads, Now);
   // Without a current server list the view may be outdated.
-  if (!Change || !State.Demand.settled(Now) || m_Shared.Targets.storeIsLost()) {
+  if (!Change || !State.Demand.established(Now) ||
+      m_Shared.Targets.storeUnavailable()) {
     State.WantedSince.reset();
     return;
   }
@@ -125,15 +126,15 @@
     return;
   State.Lease->tick();
   if (const auto Epoch = State.Lease->epoch()) {
-    log::logEvent(
-        log::Level::Info, "stage-planned",
-        {{"target", Change->TargetId},
-         {"wanted",
-          Change->Wanted == dispatch::Stage::Prefill ? "prefill" : "decode"},
-         {"readDemand", Demand.Read},
-         {"runDemand", Demand.Run},
-         {"engines", Engines.size()},
-         {"epoch", *Epoch}});
+    log::logEvent(log::Level::Info, "stage-planned",
+                  {{"target", Change->TargetId},
+                   {"wanted", Change->DesiredStage == dispatch::Stage::Prefill
+                                  ? "prefill"
+                                  : "decode"},
+                   {"readDemand", Demand.Prefill},
+                   {"runDemand", Demand.Decode},
+                   {"engines", Engines.size()},
+                   {"epoch", *Epoch}});
     startChange(Service.Name, *Change, Now);
   }
 }
@@ -147,7 +148,7 @@
         reportReceived(Service, Change, Status, Body);
       });
   if (Called)
-    stateOf(Service).Planner.ordered(Change, Now);
+    stateOf(Service).Planner.recordOrder(Change, Now);
 }
 
 void StageDirector::reportReceived(const std::string &Service,
@@ -159,16 +160,16 @@
   if (Status != 200 || !Report) {
     log::logEvent(log::Level::Warning, "engine-report-missing",
                   {{"target", Change.TargetId}, {"status", Status}});
-    return Planner.refused(Change.TargetId, Now);
+    return Planner.recordRefusal(Change.TargetId, Now);
   }
   // The engine has restarted, so its number of accepted orders belongs to
   // another start than the planned one.
   if (Report.value().Started != Change.Start)
-    return Planner.refused(Change.TargetId, Now);
-  if (Report.value().CurrentStage == Change.Wanted)
-    return Planner.settled(Change.TargetId);
+    return Planner.recordRefusal(Change.TargetId, Now);
+  if (Report.value().CurrentStage == Change.DesiredStage)
+    return Planner.clearOrder(Change.TargetId);
   if (Report.value().Busy)
-    return Planner.refused(Change.TargetId, Now);
+    return Planner.recordRefusal(Change.TargetId, Now);
   sendOrder(Service, Change, Report.value().AcceptedOrders);
 }
 
@@ -183,21 +184,22 @@
   // the plan, and another gateway may hold the lease now.
   const auto Epoch = State.Lease->epoch();
   if (!Epoch || !ConfiguredService || !ConfiguredService->Engine)
-    return State.Planner.settled(Change.TargetId);
+    return State.Planner.clearOrder(Change.TargetId);
   const std::string Body = slopes::encodeStageOrder(
-      {Change.Wanted, m_Shared.Settings.Process.Id, *Epoch, AcceptedBefore});
+      {Change.DesiredStage, m_Shared.Settings.Process.Id, *Epoch,
+       AcceptedBefore});
   const bool Called =
       callEngine(m_Shared, Change.TargetId, "POST", slopes::OrderTarget, Body,
                  [this, Service, Change](unsigned Status, const std::string &) {
                    replyReceived(Service, Change, Status);
                  });
   if (!Called)
-    return State.Planner.settled(Change.TargetId);
+    return State.Planner.clearOrder(Change.TargetId);
   // As soon as it has the order, the engine rejects work that has not started.
   const BootTime BackAt =
       Now + ConfiguredService->Engine->StageSwitch + ListingDelay;
   m_Shared.Switching[Change.TargetId] = BackAt;
-  m_Shared.Loads.avoid(Change.TargetId, BackAt);
+  m_Shared.Loads.excludeUntil(Change.TargetId, BackAt);
 }
 
 void StageDirector::replyReceived(const std::string &Service,
@@ -218,13 +220,13 @@
         Switching == m_Shared.Switching.end() ? Now : Switching->second;
     // The server list may lag, so the order counts as carried out for some
     // time longer.
-    return Planner.accepted(Change.TargetId, BackAt + ListingSlack);
+    return Planner.recordAcceptance(Change.TargetId, BackAt + ListingSlack);
   }
   m_Shared.Switching.erase(Change.TargetId);
   if (Reply == slopes::OrderReply::AlreadyInStage)
-    Planner.settled(Change.TargetId);
+    Planner.clearOrder(Change.TargetId);
   else
-    Planner.refused(Change.TargetId, Now);
+    Planner.recordRefusal(Change.TargetId, Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StageDirector.h
+++ b/Services/figlift-gateway/StageDirector.h
@@ -35,7 +35,7 @@
   struct ServiceState {
     explicit ServiceState(bool FleetStarts) : Planner(FleetStarts) {}
     dispatch::StagePlanner Planner;
-    dispatch::BusyDemand Demand;
+    dispatch::PeakDemand Demand;
     std::shared_ptr<lease::LeaseKeeper> Lease;
     /// Since when a change has been planned; empty while there is none.
     std::optional<BootTime> WantedSince;
--- a/Tests/LibDispatch/TestPeerReport.cpp
+++ b/Tests/LibDispatch/TestPeerReport.cpp
@@ -14,9 +14,9 @@
 TEST_GROUP(PeerReport){};
 
 TEST(PeerReport, RoundTrips) {
-  engine::EngineFigures Figures;
-  Figures.ReadThousandTokens = Milliseconds(27.2);
-  Figures.StartWeight = 12;
+  engine::EngineParameters Figures;
+  Figures.PrefillPerThousandTokens = Milliseconds(27.2);
+  Figures.DecodeStartWeight = 12;
   const PeerReport Sent{
       "g1",
       {{"e", Milliseconds(12.34), 3, 0.25, Milliseconds(5.5)}},
@@ -33,18 +33,18 @@
   STRCMP_EQUAL("g1", Decoded.value().Sender.c_str());
   DOUBLES_EQUAL(12.34, Decoded.value().Loads[0].Cost.count(), 0.01);
   LONGS_EQUAL(3, Decoded.value().Loads[0].Items);
-  DOUBLES_EQUAL(0.25, Decoded.value().Loads[0].Turnover, 0);
+  DOUBLES_EQUAL(0.25, Decoded.value().Loads[0].CompletionRate, 0);
   CHECK(Decoded.value().Cached[0].Part ==
         (PromptPart{0xffffffffffffffffULL, 7}));
   LONGS_EQUAL(250, Decoded.value().Cached[0].Within.count());
-  DOUBLES_EQUAL(2.5, Decoded.value().Demands[0].Demand.Run, 0);
+  DOUBLES_EQUAL(2.5, Decoded.value().Demands[0].Demand.Decode, 0);
   LONGS_EQUAL(900, Decoded.value().Unavailable[0].Remaining.count());
-  DOUBLES_EQUAL(5.5, Decoded.value().Loads[0].Reading.count(), 0.01);
+  DOUBLES_EQUAL(5.5, Decoded.value().Loads[0].PrefillCost.count(), 0.01);
   STRCMP_EQUAL("s", Decoded.value().Engines[0].Service.c_str());
-  const engine::EngineFigures &DecodedFigures =
+  const engine::EngineParameters &DecodedFigures =
       Decoded.value().Engines[0].Figures;
-  DOUBLES_EQUAL(27.2, DecodedFigures.ReadThousandTokens.count(), 0.001);
-  DOUBLES_EQUAL(12, DecodedFigures.StartWeight, 0.001);
+  DOUBLES_EQUAL(27.2, DecodedFigures.PrefillPerThousandTokens.count(), 0.001);
+  DOUBLES_EQUAL(12, DecodedFigures.DecodeStartWeight, 0.001);
   CHECK(Decoded.value().Limits[0].Server == Sent.Limits[0].Server);
   DOUBLES_EQUAL(2.5, *Decoded.value().Limits[0].PerSecond, 0);
   LONGS_EQUAL(7, Decoded.value().Limits[0].Age.count());
--- a/Tests/Platform/TestRows.cpp
+++ b/Tests/Platform/TestRows.cpp
@@ -87,7 +87,7 @@
       "stage":"prefill","models":[],"sequence":4})");
   CHECK(Decoded.has_value());
   CHECK(Decoded.value().Draining);
-  CHECK(Decoded.value().Does == dispatch::Stage::Prefill);
+  CHECK(Decoded.value().EngineStage == dispatch::Stage::Prefill);
   LONGS_EQUAL(8080, Decoded.value().Address.Port);
 }
 
@@ -96,7 +96,7 @@
       decodeServer("i-1", R"({"service":"b","address":"10.0.0.1:1","zone":"z",
       "version":"v1","slots":6,"state":"ready","coldRemainingMs":0,
       "sequence":4})");
-  CHECK(Decoded.value().Does == dispatch::Stage::None);
+  CHECK(Decoded.value().EngineStage == dispatch::Stage::None);
   CHECK(!Decoded.value().Draining);
 }
 
