--- a/Libraries/LibDispatch/CrashSuspects.cpp
+++ b/Libraries/LibDispatch/CrashSuspects.cpp
@@ -71,8 +71,8 @@
             [&](const auto &Left, const auto &Right) {
               return Priority(Left) < Priority(Right);
             });
-  for (size_t i = 0; i <= Candidates.size() / 16; ++i)
-    m_Entries.erase(Candidates[i]);
+  for (size_t I = 0; I <= Candidates.size() / 16; ++I)
+    m_Entries.erase(Candidates[I]);
 }
 
 void CrashSuspects::markChanged(Entries::value_type &Suspect, BootTime Now) {
@@ -203,7 +203,7 @@
   if (Trials >= m_Options.MaximumTrials)
     return Suspect.lastCrash() + m_Options.RejectionRetention;
   std::chrono::seconds Pause = m_Options.InitialBackoff;
-  for (size_t i = 0; i < Trials; ++i)
+  for (size_t I = 0; I < Trials; ++I)
     Pause *= m_Options.BackoffFactor;
   return Suspect.lastCrash() + Pause;
 }
--- a/Services/figlift-gateway/Main.cpp
+++ b/Services/figlift-gateway/Main.cpp
@@ -21,10 +21,10 @@
 /// Returns the argument of --settings. The command line has been validated
 /// before.
 std::string settingsFile(int Count, const char *const *Arguments) {
-  for (int i = 1; i < Count; ++i) {
-    const std::string_view Argument = Arguments[i];
-    if (Argument == "--settings" && i + 1 < Count)
-      return Arguments[i + 1];
+  for (int I = 1; I < Count; ++I) {
+    const std::string_view Argument = Arguments[I];
+    if (Argument == "--settings" && I + 1 < Count)
+      return Arguments[I + 1];
     if (Argument.starts_with("--settings="))
       return std::string(Argument.substr(Argument.find('=') + 1));
   }
--- a/Services/figlift-gateway/RequestLearning.cpp
+++ b/Services/figlift-gateway/RequestLearning.cpp
@@ -62,11 +62,11 @@
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
   // The last part belongs to this request only; no other request will use it.
-  for (size_t i = 0; i + 1 < Parts.size(); ++i) {
-    if (Cache.contains(Parts[i].Id))
+  for (size_t I = 0; I + 1 < Parts.size(); ++I) {
+    if (Cache.contains(Parts[I].Id))
       continue;
-    Cache.addPending(Parts[i], Now + Within);
-    m_Shared.NewlyCached.push_back({TargetId, Parts[i], Within});
+    Cache.addPending(Parts[I], Now + Within);
+    m_Shared.NewlyCached.push_back({TargetId, Parts[I], Within});
   }
 }
 
@@ -82,11 +82,11 @@
   // The last part belongs to this request only; no other request will use it.
   const auto &Parts = m_Fields.Prompt->Parts;
   dispatch::KvCacheView &Cache = m_Shared.Loads.cache(TargetId);
-  for (size_t i = 0; i < Parts.size(); ++i) {
-    const bool IsNew = !Cache.contains(Parts[i].Id);
-    Cache.insert(Parts[i]);
-    if (IsNew && i + 1 < Parts.size())
-      m_Shared.NewlyCached.push_back({TargetId, Parts[i], milliseconds(0)});
+  for (size_t I = 0; I < Parts.size(); ++I) {
+    const bool IsNew = !Cache.contains(Parts[I].Id);
+    Cache.insert(Parts[I]);
+    if (IsNew && I + 1 < Parts.size())
+      m_Shared.NewlyCached.push_back({TargetId, Parts[I], milliseconds(0)});
   }
 }
 
--- a/Tests/LibDispatch/TestConfiguration.cpp
+++ b/Tests/LibDispatch/TestConfiguration.cpp
@@ -60,7 +60,7 @@
     Candidate.Prefix = Path();
   }
   Current.finalize();
-  for (int i = 0; i < 2000; ++i) {
+  for (int I = 0; I < 2000; ++I) {
     const std::string RequestPath = Path() + (Random() % 2 == 0 ? "a" : "");
     const Route *Best = nullptr;
     for (const Route &Candidate : Current.Routes)
--- a/Tests/LibDispatch/TestCrashSuspects.cpp
+++ b/Tests/LibDispatch/TestCrashSuspects.cpp
@@ -48,9 +48,9 @@
 
   /// Sends the request repeatedly, each time after the previous crash is known.
   void crash(unsigned Times, unsigned First = 0) {
-    for (unsigned i = 0; i < Times; ++i) {
+    for (unsigned I = 0; I < Times; ++I) {
       Now += RunTime + 1ms;
-      Table.recordCrash(Guilty, interruptedNow(First + i, Now), Now);
+      Table.recordCrash(Guilty, interruptedNow(First + I, Now), Now);
     }
   }
   bool isRejected() { return Table.rejectsAttempt(Guilty, Now).has_value(); }
@@ -73,7 +73,7 @@
 
 // Guards against: one crash that interrupts several sends counts once per send.
 TEST(CrashSuspects, CountsOneCrashPerServerStart) {
-  for (int i = 0; i < 5; ++i)
+  for (int I = 0; I < 5; ++I)
     crash(1);
   LONGS_EQUAL(1, Table.crashes(Guilty));
 }
@@ -82,9 +82,9 @@
 // of it were running on three servers that another request crashed.
 TEST(CrashSuspects, CountsOverlappingSendsOnceAsEvidence) {
   const BootTime StartedAt = Now;
-  for (unsigned i = 0; i < 6; ++i) {
+  for (unsigned I = 0; I < 6; ++I) {
     Now += 200ms;
-    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
+    Table.recordCrash(Guilty, {server(I), StartedAt, Now}, Now);
   }
   LONGS_EQUAL(6, Table.crashes(Guilty));
   LONGS_EQUAL(1, Table.evidence(Guilty));
@@ -126,8 +126,8 @@
 // and the trials add up to more than three after the third crash.
 TEST(CrashSuspects, CountsSendsAfterLimitAsTrials) {
   const BootTime StartedAt = Now;
-  for (unsigned i = 0; i < 3; ++i)
-    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
+  for (unsigned I = 0; I < 3; ++I)
+    Table.recordCrash(Guilty, {server(I), StartedAt, Now}, Now);
   unsigned Sends = 0;
   for (Now += 3s; Now < BootTime{24h}; Now += 4s) {
     Table.expire(Now);
@@ -144,8 +144,8 @@
 // is sent again before that.
 TEST(CrashSuspects, IsolatesSendsLongerAtLimit) {
   const BootTime StartedAt = Now;
-  for (unsigned i = 0; i < 3; ++i)
-    Table.recordCrash(Guilty, {server(i), StartedAt, Now}, Now);
+  for (unsigned I = 0; I < 3; ++I)
+    Table.recordCrash(Guilty, {server(I), StartedAt, Now}, Now);
   Table.recordSend(Guilty, Now);
   Now += 4s;
   CHECK(Table.rejectsNewAttempt(Guilty, Now).has_value());
@@ -211,9 +211,9 @@
   sendChanges(Table, Third);
   sendChanges(Other, Third);
   LONGS_EQUAL(1, Third.crashes(Guilty));
-  for (unsigned i = 1; i < 3; ++i) {
+  for (unsigned I = 1; I < 3; ++I) {
     Now += RunTime + 1ms;
-    Third.recordCrash(Guilty, interruptedNow(i, Now), Now);
+    Third.recordCrash(Guilty, interruptedNow(I, Now), Now);
   }
   sendChanges(Third, Table);
   CHECK(isRejected());
@@ -239,8 +239,8 @@
 TEST(CrashSuspects, RetransmitsRequestsWithSeveralCrashes) {
   crash(3);
   Table.takeChanges(Now);
-  for (unsigned i = 100; i < 200; ++i)
-    Table.recordCrash(request(i), interruptedNow(50, Now), Now);
+  for (unsigned I = 100; I < 200; ++I)
+    Table.recordCrash(request(I), interruptedNow(50, Now), Now);
   CrashSuspects Started;
   // Later than RetransmitTime after the lost update, and before the first
   // trial.
@@ -253,8 +253,8 @@
 
 TEST(CrashSuspects, EvictsEntriesWithFewestCrashes) {
   crash(3);
-  for (unsigned i = 0; i < 10000; ++i)
-    Table.recordCrash(request(100 + i), interruptedNow(50, Now), Now);
+  for (unsigned I = 0; I < 10000; ++I)
+    Table.recordCrash(request(100 + I), interruptedNow(50, Now), Now);
   CHECK(Table.size() <= CrashSuspectOptions{}.MaximumSuspects);
   CHECK(isRejected());
 }
@@ -434,7 +434,7 @@
   unsigned NextRequest = 100;
   for (unsigned Crash = 0; Crash < Crashes; ++Crash) {
     std::vector<std::pair<unsigned, unsigned>> Running;
-    for (unsigned i = 0; i < OtherRequests; ++i)
+    for (unsigned I = 0; I < OtherRequests; ++I)
       Running.emplace_back(NextRequest++, Fleet.draw(Gateways));
     // The request that all callers send is running on each server that crashes.
     Running.emplace_back(1, Fleet.draw(Gateways));
@@ -450,7 +450,7 @@
         Fleet.complete(Request, Gateway);
     }
     Fleet.advance(20ms);
-    for (unsigned i = 0; i < CommonSends; ++i) {
+    for (unsigned I = 0; I < CommonSends; ++I) {
       const unsigned Gateway = Fleet.draw(Gateways);
       Rejections += Fleet.rejectsAttempt(1, Gateway) ? 1 : 0;
       if (Fleet.trySend(1, Gateway))
--- a/Tests/LibDispatch/TestCrashedTogether.cpp
+++ b/Tests/LibDispatch/TestCrashedTogether.cpp
@@ -124,9 +124,9 @@
       return;
     }
     std::vector<unsigned> Available;
-    for (unsigned i = 0; i < m_Servers.size(); ++i)
-      if (m_Servers[i].BackAt <= m_Now)
-        Available.push_back(i);
+    for (unsigned I = 0; I < m_Servers.size(); ++I)
+      if (m_Servers[I].BackAt <= m_Now)
+        Available.push_back(I);
     if (Available.empty())
       return;
     const unsigned Server =
--- a/Tests/LibDispatch/TestDatagramSeal.cpp
+++ b/Tests/LibDispatch/TestDatagramSeal.cpp
@@ -31,11 +31,11 @@
       DatagramSeal::fromSecret(DatagramSeal::newSecret()).value();
   CHECK(!Seal.open(Other.seal('R', "body")));
   const std::string Bytes = Seal.seal('R', "body");
-  for (size_t i = 0; i < Bytes.size(); ++i) {
+  for (size_t I = 0; I < Bytes.size(); ++I) {
     std::string Changed = Bytes;
-    Changed[i] = static_cast<char>(Changed[i] ^ 1);
+    Changed[I] = static_cast<char>(Changed[I] ^ 1);
     CHECK(!Seal.open(Changed));
-    CHECK(!Seal.open(Bytes.substr(0, i)));
+    CHECK(!Seal.open(Bytes.substr(0, I)));
   }
 }
 
--- a/Tests/LibDispatch/TestServerLimits.cpp
+++ b/Tests/LibDispatch/TestServerLimits.cpp
@@ -100,7 +100,7 @@
   LimitModel(unsigned Gateways, uint64_t Seed)
       : m_Gateways(Gateways), m_Random(Seed) {
     double Sum = 0;
-    for (unsigned i = 0; i < Gateways; ++i)
+    for (unsigned I = 0; I < Gateways; ++I)
       Sum += m_Load.emplace_back(0.1 + draw() * draw() * 3);
     for (double &Load : m_Load)
       Load /= Sum;
@@ -112,17 +112,17 @@
   /// Computes the shares. Each gateway sees the demand of the others with an
   /// error of up to ten percent.
   void share(const std::string &TargetId, double PerSecond) {
-    for (unsigned i = 0; i < m_Gateways.size(); ++i) {
+    for (unsigned I = 0; I < m_Gateways.size(); ++I) {
       LimitFleet Fleet;
-      Fleet.Self = name(i);
+      Fleet.Self = name(I);
       Fleet.Sharers = m_Gateways.size();
       for (unsigned Other = 0; Other < m_Gateways.size(); ++Other) {
-        if (Other != i)
+        if (Other != I)
           Fleet.Others.push_back(name(Other));
         Fleet.TotalDemand += m_Load[Other] * (0.9 + 0.2 * draw());
       }
-      Fleet.OwnDemand = m_Load[i];
-      m_Gateways[i].setShare(TargetId, limitShare(Fleet, TargetId, PerSecond),
+      Fleet.OwnDemand = m_Load[I];
+      m_Gateways[I].setShare(TargetId, limitShare(Fleet, TargetId, PerSecond),
                              Now);
     }
   }
@@ -134,10 +134,10 @@
   /// out of \p Demand per second.
   unsigned step(double Demand) {
     unsigned Sent = 0;
-    for (unsigned i = 0; i < m_Gateways.size(); ++i)
-      if (draw() < Demand / 1000 * m_Load[i] &&
-          m_Gateways[i].hasCapacity("s", Now)) {
-        m_Gateways[i].recordSend("s", Now);
+    for (unsigned I = 0; I < m_Gateways.size(); ++I)
+      if (draw() < Demand / 1000 * m_Load[I] &&
+          m_Gateways[I].hasCapacity("s", Now)) {
+        m_Gateways[I].recordSend("s", Now);
         ++Sent;
       }
     Now += 1ms;
--- a/Tests/LibDispatch/TestStoreReadSchedule.cpp
+++ b/Tests/LibDispatch/TestStoreReadSchedule.cpp
@@ -135,9 +135,9 @@
 // The reader ends, then each process that took over.
 TEST(StoreReadSchedule, ReplacesReaderThatEnds) {
   startFleet(30);
-  for (size_t i = 0; i < 5; ++i) {
+  for (size_t I = 0; I < 5; ++I) {
     run(milliseconds(1700));
-    Fleet[i].Alive = false;
+    Fleet[I].Alive = false;
   }
   run(milliseconds(3000));
   checkMaximumAge();
@@ -150,7 +150,7 @@
   startFleet(30);
   run(milliseconds(2000));
   Fleet[0].ReachesStore = false;
-  for (int i = 0; i < 50; ++i) {
+  for (int I = 0; I < 50; ++I) {
     run(milliseconds(100));
     sendUpdate(Fleet[0]);
   }
