--- a/Services/figlift-agent/ClaimsMessage.cpp
+++ b/Services/figlift-agent/ClaimsMessage.cpp
@@ -1,8 +1,8 @@
-//===- ClaimsMessage.cpp - Claims on the wire -----------------------------===//
+//===- ClaimsMessage.cpp - Wire format of claims --------------------------===//
 //
-// Each SliceHandover ends with a marker: a claim with an empty key. Its state
-// says whether the set of claims is complete, its time is the slice's OldUntil
-// (0: none). No caller's claim has an empty key.
+// Each SliceHandover ends with a marker, which is a claim with an empty key;
+// claims of callers never have one. The marker's state says whether the set of
+// claims is complete, and its time is the slice's OldKeysUntil (0: none).
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,8 @@
 
 using idempotency::ClaimState;
 
-/// Half of the transport's limit for one message.
+/// Size at which a new message is started: half of the transport's limit for
+/// one message, because the claim that exceeds it is still included.
 static constexpr size_t MaximumClaimBytes = 4u << 20;
 static constexpr uint32_t MarkerPartial = 0;
 static constexpr uint32_t MarkerComplete = 1;
@@ -27,7 +28,7 @@
       std::chrono::milliseconds(static_cast<int64_t>(Milliseconds)));
 }
 
-static uint32_t numberOf(ClaimState State) {
+static uint32_t stateNumber(ClaimState State) {
   switch (State) {
   case ClaimState::Sent:
     return 1;
@@ -39,45 +40,46 @@
   return 3;
 }
 
-/// A number of a newer version counts as unknown: such a key never runs.
-static ClaimState stateOf(uint32_t Number) {
+/// A number that this version does not know is read as Unknown, so that the key
+/// is never run.
+static ClaimState stateFromNumber(uint32_t Number) {
   if (Number == 1)
     return ClaimState::Sent;
   return Number == 2 ? ClaimState::Answered : ClaimState::Unknown;
 }
 
-static void writeClaim(const idempotency::Claim &From, wire::Claim &To) {
-  To.set_key(From.Key);
-  To.set_state(numberOf(From.State));
-  To.set_fingerprint(From.Fingerprint);
-  To.set_claimed_at_unix_milliseconds(toMilliseconds(From.ClaimedAt));
-  if (!From.Result)
+static void writeClaim(const idempotency::Claim &Claim, wire::Claim &Output) {
+  Output.set_key(Claim.Key);
+  Output.set_state(stateNumber(Claim.State));
+  Output.set_fingerprint(Claim.Fingerprint);
+  Output.set_claimed_at_unix_milliseconds(toMilliseconds(Claim.ClaimedAt));
+  if (!Claim.Result)
     return;
-  To.mutable_answer()->set_status(From.Result->Status);
-  To.mutable_answer()->set_content_type(From.Result->ContentType);
-  To.mutable_answer()->set_body(From.Result->Body);
+  Output.mutable_answer()->set_status(Claim.Result->Status);
+  Output.mutable_answer()->set_content_type(Claim.Result->ContentType);
+  Output.mutable_answer()->set_body(Claim.Result->Body);
 }
 
-static idempotency::Claim readClaim(const wire::Claim &From) {
-  idempotency::Claim Out{From.key(), stateOf(From.state()), From.fingerprint(),
-                         std::nullopt,
-                         toWallTime(From.claimed_at_unix_milliseconds())};
-  if (From.has_answer())
-    Out.Result =
-        idempotency::Answer{From.answer().status(),
-                            From.answer().content_type(), From.answer().body()};
-  return Out;
+static idempotency::Claim readClaim(const wire::Claim &Claim) {
+  idempotency::Claim Result{Claim.key(), stateFromNumber(Claim.state()),
+                            Claim.fingerprint(), std::nullopt,
+                            toWallTime(Claim.claimed_at_unix_milliseconds())};
+  if (Claim.has_answer())
+    Result.Result = idempotency::Answer{Claim.answer().status(),
+                                        Claim.answer().content_type(),
+                                        Claim.answer().body()};
+  return Result;
 }
 
-static wire::HandoverRequest beginMessage(const idempotency::SendClaims &What,
-                                          const std::string &BackEnd,
-                                          const std::string &From) {
+static wire::HandoverRequest
+createMessage(const idempotency::SendClaims &Handover,
+              const std::string &BackEnd, const std::string &Sender) {
   wire::HandoverRequest Message;
   Message.set_back_end(BackEnd);
-  Message.set_from_target(From);
+  Message.set_from_target(Sender);
   wire::SliceHandover &Slice = *Message.add_slices();
-  Slice.set_slice(What.Slice);
-  Slice.set_epoch(What.Epoch);
+  Slice.set_slice(Handover.Slice);
+  Slice.set_epoch(Handover.Epoch);
   return Message;
 }
 
@@ -90,37 +92,38 @@
 }
 
 std::vector<wire::HandoverRequest>
-writeClaims(const idempotency::SendClaims &What, const std::string &BackEnd,
-            const std::string &From) {
-  std::vector<wire::HandoverRequest> Out{beginMessage(What, BackEnd, From)};
-  for (const idempotency::Claim &Claim : What.Claims) {
-    if (Out.back().ByteSizeLong() > MaximumClaimBytes) {
-      addMarker(Out.back(), MarkerMore, std::nullopt);
-      Out.push_back(beginMessage(What, BackEnd, From));
+writeClaims(const idempotency::SendClaims &Handover, const std::string &BackEnd,
+            const std::string &Sender) {
+  std::vector<wire::HandoverRequest> Result{
+      createMessage(Handover, BackEnd, Sender)};
+  for (const idempotency::Claim &Claim : Handover.Claims) {
+    if (Result.back().ByteSizeLong() > MaximumClaimBytes) {
+      addMarker(Result.back(), MarkerMore, std::nullopt);
+      Result.push_back(createMessage(Handover, BackEnd, Sender));
     }
-    writeClaim(Claim, *Out.back().mutable_slices(0)->add_claims());
+    writeClaim(Claim, *Result.back().mutable_slices(0)->add_claims());
   }
-  addMarker(Out.back(), What.Complete ? MarkerComplete : MarkerPartial,
-            What.OldUntil);
-  return Out;
+  addMarker(Result.back(), Handover.Complete ? MarkerComplete : MarkerPartial,
+            Handover.OldUntil);
+  return Result;
 }
 
 static idempotency::ClaimsReceived
 readSlice(const wire::SliceHandover &Message) {
-  idempotency::ClaimsReceived Out;
-  Out.Slice = Message.slice();
-  Out.Epoch = Message.epoch();
-  Out.Complete = false;
+  idempotency::ClaimsReceived Result;
+  Result.Slice = Message.slice();
+  Result.Epoch = Message.epoch();
+  Result.Complete = false;
   for (const wire::Claim &Claim : Message.claims()) {
     if (!Claim.key().empty()) {
-      Out.Claims.push_back(readClaim(Claim));
+      Result.Claims.push_back(readClaim(Claim));
       continue;
     }
-    Out.Complete = Claim.state() == MarkerComplete;
+    Result.Complete = Claim.state() == MarkerComplete;
     if (Claim.claimed_at_unix_milliseconds() != 0)
-      Out.OldUntil = toWallTime(Claim.claimed_at_unix_milliseconds());
+      Result.OldUntil = toWallTime(Claim.claimed_at_unix_milliseconds());
   }
-  return Out;
+  return Result;
 }
 
 bool moreFollows(const wire::HandoverRequest &Message) {
@@ -133,11 +136,11 @@
 
 std::vector<idempotency::ClaimsReceived>
 readClaims(const wire::HandoverRequest &Message) {
-  std::vector<idempotency::ClaimsReceived> Out;
+  std::vector<idempotency::ClaimsReceived> Result;
   for (const wire::SliceHandover &Slice : Message.slices())
     if (Slice.slice() < idempotency::SliceCount)
-      Out.push_back(readSlice(Slice));
-  return Out;
+      Result.push_back(readSlice(Slice));
+  return Result;
 }
 
 } // namespace figlift::agent
--- a/Services/figlift-agent/ClaimsMessage.h
+++ b/Services/figlift-agent/ClaimsMessage.h
@@ -1,6 +1,6 @@
-//===- ClaimsMessage.h - Claims on the wire ---------------------*- C++ -*-===//
+//===- ClaimsMessage.h - Wire format of claims ------------------*- C++ -*-===//
 //
-// Pure translation between the home machine's claims and HandoverRequest.
+// Pure conversion between the home machine's claims and HandoverRequest.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,13 +14,13 @@
 
 namespace figlift::agent {
 
-/// Whole messages, each within the transport's limit; the last one is the one
-/// that completes the set when \p What is complete.
+/// Splits the claims into messages that each fit into the transport's limit. If
+/// \p Handover is complete, the last message marks the set as complete.
 std::vector<wire::HandoverRequest>
-writeClaims(const idempotency::SendClaims &What, const std::string &BackEnd,
-            const std::string &From);
+writeClaims(const idempotency::SendClaims &Handover, const std::string &BackEnd,
+            const std::string &Sender);
 
-/// More messages of the same set follow on the stream.
+/// Whether more messages of the same set follow on the stream.
 bool moreFollows(const wire::HandoverRequest &Message);
 
 std::vector<idempotency::ClaimsReceived>
