--- a/Services/figlift-agent/PrefixCache.cpp
+++ b/Services/figlift-agent/PrefixCache.cpp
@@ -1,6 +1,6 @@
-//===- PrefixCache.cpp - Prefixes that the engine likely holds ------------===//
+//===- PrefixCache.cpp - Estimate of the engine's prefix cache ------------===//
 //
-// A list in order of use with an index.
+// An LRU list with an index.
 //
 //===----------------------------------------------------------------------===//
 
@@ -9,43 +9,44 @@
 namespace figlift::agent {
 
 void PrefixCache::used(const std::vector<uint64_t> &Hashes) {
-  // Backwards, so that the beginning of a prompt is the most recent one and
-  // goes last: a block without those before it is useless.
-  for (auto At = Hashes.rbegin(); At != Hashes.rend(); ++At) {
-    evicted(*At);
-    m_Order.push_front(*At);
-    m_Places[*At] = m_Order.begin();
+  // In reverse order, so that the first block of the prompt becomes the most
+  // recently used and is evicted last: a cached block is useless without the
+  // blocks before it.
+  for (auto Position = Hashes.rbegin(); Position != Hashes.rend(); ++Position) {
+    evicted(*Position);
+    m_Hashes.push_front(*Position);
+    m_Positions[*Position] = m_Hashes.begin();
   }
-  while (m_Order.size() > m_Maximum)
-    evicted(uint64_t(m_Order.back()));
+  while (m_Hashes.size() > m_MaximumHashes)
+    evicted(uint64_t(m_Hashes.back()));
 }
 
 void PrefixCache::evicted(uint64_t Hash) {
-  const auto Found = m_Places.find(Hash);
-  if (Found == m_Places.end())
+  const auto Found = m_Positions.find(Hash);
+  if (Found == m_Positions.end())
     return;
-  m_Order.erase(Found->second);
-  m_Places.erase(Found);
+  m_Hashes.erase(Found->second);
+  m_Positions.erase(Found);
 }
 
 void PrefixCache::clear() {
-  m_Order.clear();
-  m_Places.clear();
+  m_Hashes.clear();
+  m_Positions.clear();
 }
 
 size_t PrefixCache::matching(const std::vector<uint64_t> &Hashes) const {
   size_t Count = 0;
-  while (Count < Hashes.size() && m_Places.contains(Hashes[Count]))
+  while (Count < Hashes.size() && m_Positions.contains(Hashes[Count]))
     ++Count;
   return Count;
 }
 
 std::vector<uint64_t> PrefixCache::recent(size_t Count) const {
-  std::vector<uint64_t> Out;
-  for (auto At = m_Order.begin(); At != m_Order.end() && Out.size() < Count;
-       ++At)
-    Out.push_back(*At);
-  return Out;
+  std::vector<uint64_t> Result;
+  for (auto Position = m_Hashes.begin();
+       Position != m_Hashes.end() && Result.size() < Count; ++Position)
+    Result.push_back(*Position);
+  return Result;
 }
 
 } // namespace figlift::agent
--- a/Services/figlift-agent/PrefixCache.h
+++ b/Services/figlift-agent/PrefixCache.h
@@ -1,8 +1,8 @@
-//===- PrefixCache.h - Prefixes that the engine likely holds ----*- C++ -*-===//
+//===- PrefixCache.h - Estimate of the engine's prefix cache ----*- C++ -*-===//
 //
-// The agent's summary of its engine's prefix cache: what it sent, most recent
-// first, bounded. The engine's own events come late and with gaps, so they
-// only correct the summary.
+// Bounded LRU list of the prompt blocks that the agent sent to the engine. The
+// engine's cache events arrive late and with gaps, so they only remove blocks
+// that the engine evicted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,24 +18,26 @@
 
 class PrefixCache {
 public:
-  explicit PrefixCache(size_t Maximum = 2048) : m_Maximum(Maximum) {}
+  explicit PrefixCache(size_t MaximumHashes = 2048)
+      : m_MaximumHashes(MaximumHashes) {}
 
-  /// Hashes of one prompt, from its beginning.
+  /// Marks the blocks of a prompt as most recently used; \p Hashes are in the
+  /// order of the prompt.
   void used(const std::vector<uint64_t> &Hashes);
   void evicted(uint64_t Hash);
-  /// The engine restarted.
+  /// Call it when the engine has restarted.
   void clear();
-  /// How many leading blocks are likely cached.
+  /// Number of leading blocks that are likely cached.
   size_t matching(const std::vector<uint64_t> &Hashes) const;
   /// Most recent first, at most \p Count.
   std::vector<uint64_t> recent(size_t Count) const;
 
 private:
-  const size_t m_Maximum;
+  const size_t m_MaximumHashes;
   /// Most recently used first.
-  std::list<uint64_t> m_Order;
-  /// Where each hash stands in m_Order.
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_Places;
+  std::list<uint64_t> m_Hashes;
+  /// Position of each hash in m_Hashes.
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_Positions;
 };
 
 } // namespace figlift::agent
