--- a/Services/figlift-agent/AdminServer.cpp
+++ b/Services/figlift-agent/AdminServer.cpp
@@ -1,6 +1,6 @@
 //===- AdminServer.cpp - Admin listener of the agent ----------------------===//
 //
-// Everything is answered from snapshots; the loop is never asked.
+// Requests are served from snapshots and never wait for the event loop.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,16 +11,16 @@
 namespace figlift::agent {
 
 static http::Route statusRoute(const SnapshotHolder &State) {
-  http::Route Status;
-  Status.Method = "GET";
-  Status.Path = "/status";
-  Status.Administrative = true;
-  Status.Handle = [&State](const std::shared_ptr<http::Exchange> &Asked) {
-    http::Response Answer;
-    Answer.Body = State.read()->Json;
-    Asked->reply(std::move(Answer));
+  http::Route Route;
+  Route.Method = "GET";
+  Route.Path = "/status";
+  Route.Administrative = true;
+  Route.Handle = [&State](const std::shared_ptr<http::Exchange> &Exchange) {
+    http::Response Response;
+    Response.Body = State.read()->Json;
+    Exchange->reply(std::move(Response));
   };
-  return Status;
+  return Route;
 }
 
 Result<std::unique_ptr<http::Server>>
--- a/Services/figlift-agent/Frames.cpp
+++ b/Services/figlift-agent/Frames.cpp
@@ -1,4 +1,4 @@
-//===- Frames.cpp - Frames of the answer to a run -------------------------===//
+//===- Frames.cpp - Construction of RunFrame messages ---------------------===//
 //
 // One function for each kind of frame.
 //
--- a/Services/figlift-agent/Frames.h
+++ b/Services/figlift-agent/Frames.h
@@ -1,6 +1,6 @@
-//===- Frames.h - Frames of the answer to a run -----------------*- C++ -*-===//
+//===- Frames.h - Construction of RunFrame messages -------------*- C++ -*-===//
 //
-// Pure construction of RunFrame messages.
+// Pure functions that create the frames of the answer to a Run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,8 @@
 
 wire::RunFrame tokensFrame(const stream::TokenRange &Tokens);
 wire::RunFrame finishedFrame(const stream::Completed &End);
-/// A Refusal when the code's row says "not run", else a Failure.
+/// A Refusal if resultCodeInfo() says that the request was not run, else a
+/// Failure.
 wire::RunFrame errorFrame(const Error &Reason, uint32_t TokensProduced = 0);
 
 } // namespace figlift::agent
--- a/Services/figlift-agent/OrderRows.cpp
+++ b/Services/figlift-agent/OrderRows.cpp
@@ -1,4 +1,4 @@
-//===- OrderRows.cpp - Rows that orders rest on ---------------------------===//
+//===- OrderRows.cpp - Rows of the table that orders use ------------------===//
 //
 // {"orderId","epoch","order":{"kind",...},"state"} and {"holder","epoch",...}.
 //
@@ -23,37 +23,37 @@
 
 namespace {
 struct ChangeWriter {
-  Json operator()(const SetRole &What) const {
-    return {{"kind", "set_role"}, {"role", What.Role}};
+  Json operator()(const SetRole &Change) const {
+    return {{"kind", "set_role"}, {"role", Change.Role}};
   }
-  Json operator()(const LoadModel &What) const {
+  Json operator()(const LoadModel &Change) const {
     return {{"kind", "load_model"},
-            {"model", What.Model},
-            {"version", What.Version},
-            {"adapter", What.Adapter}};
+            {"model", Change.Model},
+            {"version", Change.Version},
+            {"adapter", Change.Adapter}};
   }
-  Json operator()(const UnloadModel &What) const {
+  Json operator()(const UnloadModel &Change) const {
     return {{"kind", "unload_model"},
-            {"model", What.Model},
-            {"version", What.Version},
-            {"adapter", What.Adapter}};
+            {"model", Change.Model},
+            {"version", Change.Version},
+            {"adapter", Change.Adapter}};
   }
 };
 } // namespace
 
-static Change readChange(const Json &From) {
-  const auto Kind = From.at("kind").get<std::string>();
+static Change readChange(const Json &Order) {
+  const auto Kind = Order.at("kind").get<std::string>();
   if (Kind == "set_role")
-    return SetRole{From.at("role").get<std::string>()};
-  const auto Model = From.at("model").get<std::string>();
-  const auto Version = From.at("version").get<std::string>();
-  const auto Adapter = From.at("adapter").get<std::string>();
+    return SetRole{Order.at("role").get<std::string>()};
+  const auto Model = Order.at("model").get<std::string>();
+  const auto Version = Order.at("version").get<std::string>();
+  const auto Adapter = Order.at("adapter").get<std::string>();
   if (Kind == "load_model")
     return LoadModel{Model, Version, Adapter};
   return UnloadModel{Model, Version, Adapter};
 }
 
-static const char *nameOf(IntentState State) {
+static const char *stateName(IntentState State) {
   switch (State) {
   case IntentState::Intended:
     return "intended";
@@ -65,7 +65,7 @@
   return "intended";
 }
 
-static IntentState stateOf(const std::string &Name) {
+static IntentState stateFromName(const std::string &Name) {
   if (Name == "done")
     return IntentState::Done;
   return Name == "abandoned" ? IntentState::Abandoned : IntentState::Intended;
@@ -79,9 +79,9 @@
     return std::optional(IntentRow{
         {Row.at("orderId").get<std::string>(), Row.at("epoch").get<uint64_t>(),
          readChange(Row.at("order"))},
-        stateOf(Row.at("state").get<std::string>())});
-  } catch (const Json::exception &Caught) {
-    return failure(ResultCode::Internal, Caught.what(), "order");
+        stateFromName(Row.at("state").get<std::string>())});
+  } catch (const Json::exception &Exception) {
+    return failure(ResultCode::Internal, Exception.what(), "order");
   }
 }
 
@@ -89,7 +89,7 @@
   return Json{{"orderId", Row.What.Id},
               {"epoch", Row.What.Epoch},
               {"order", std::visit(ChangeWriter{}, Row.What.What)},
-              {"state", nameOf(Row.State)}}
+              {"state", stateName(Row.State)}}
       .dump();
 }
 
@@ -100,8 +100,8 @@
     const Json Row = Json::parse(Value);
     return LeaseRow{Row.at("epoch").get<uint64_t>(),
                     Row.value("holder", std::string())};
-  } catch (const Json::exception &Caught) {
-    return failure(ResultCode::Internal, Caught.what(), "lease");
+  } catch (const Json::exception &Exception) {
+    return failure(ResultCode::Internal, Exception.what(), "lease");
   }
 }
 
--- a/Services/figlift-agent/OrderRows.h
+++ b/Services/figlift-agent/OrderRows.h
@@ -1,6 +1,7 @@
-//===- OrderRows.h - Rows that orders rest on -------------------*- C++ -*-===//
+//===- OrderRows.h - Rows of the table that orders use ----------*- C++ -*-===//
 //
-// Pure translation of the rows order/<target> and lease/<shard>.
+// Pure functions that read and write the row order/<target> and read the row
+// lease/<shard>.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 std::string orderRowKey(std::string_view Target);
 std::string leaseRowKey(std::string_view BackEnd, std::string_view Region);
 
-/// An empty text is a row without an order.
+/// An empty value is a row without an order.
 Result<std::optional<order::IntentRow>> readIntentRow(std::string_view Value);
 std::string writeIntentRow(const order::IntentRow &Row);
 
--- a/Services/figlift-agent/PeerHandler.h
+++ b/Services/figlift-agent/PeerHandler.h
@@ -1,7 +1,7 @@
 //===- PeerHandler.h - Requests of other figlift processes ------*- C++ -*-===//
 //
-// What the agent's parts receive from entries and other agents. All members
-// are called on the loop's thread.
+// Interface for messages from entries and other agents. All members are called
+// on the event loop's thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace figlift::agent {
 
-/// Names one stream of a peer; never used twice.
+/// Identifies a stream of a peer; never reused.
 using StreamId = uint64_t;
 
 class PeerHandler {
--- a/Services/figlift-agent/Snapshot.h
+++ b/Services/figlift-agent/Snapshot.h
@@ -1,7 +1,7 @@
-//===- Snapshot.h - What the admin listener shows ---------------*- C++ -*-===//
+//===- Snapshot.h - Status for the admin listener ---------------*- C++ -*-===//
 //
-// A copy of the agent's state for the threads of the admin listener, replaced
-// as a whole by the loop.
+// An immutable copy of the agent's state for the threads of the admin listener.
+// The event loop replaces it as a whole.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,16 +18,16 @@
 struct Snapshot {
   /// Body of GET /status.
   std::string Json = "{}";
-  /// Why no new work is taken; absent when it is.
+  /// Reason for accepting no new work; empty if work is accepted.
   std::optional<Error> NotReady =
       Error{ResultCode::NotReady, "starting", {}, std::nullopt};
 };
 
-/// Readers never wait for the loop.
+/// Readers never wait for the event loop.
 class SnapshotHolder {
 public:
-  void publish(Snapshot New) {
-    m_Current.store(std::make_shared<const Snapshot>(std::move(New)));
+  void publish(Snapshot Next) {
+    m_Current.store(std::make_shared<const Snapshot>(std::move(Next)));
   }
   std::shared_ptr<const Snapshot> read() const { return m_Current.load(); }
 
