--- a/Libraries/LibIdempotency/GrantRow.cpp
+++ b/Libraries/LibIdempotency/GrantRow.cpp
@@ -1,6 +1,6 @@
 //===- GrantRow.cpp - The row slice/<back end> ----------------------------===//
 //
-// {"grants":[{"slice":0,"home":"vm-1","epoch":1},...]}
+// Format: {"grants":[{"slice":0,"home":"vm-1","epoch":1},...]}
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,31 +17,31 @@
 }
 
 Result<GrantTable> readGrantRow(std::string_view Value) {
-  GrantTable Out{};
+  GrantTable Grants{};
   if (Value.empty())
-    return Out;
+    return Grants;
   try {
     const Json Row = Json::parse(Value);
-    for (const Json &Line : Row.at("grants")) {
-      const auto Slice = Line.at("slice").get<SliceId>();
+    for (const Json &Item : Row.at("grants")) {
+      const auto Slice = Item.at("slice").get<SliceId>();
       if (Slice < idempotency::SliceCount)
-        Out[Slice] = {Line.at("home").get<std::string>(),
-                      Line.at("epoch").get<uint64_t>()};
+        Grants[Slice] = {Item.at("home").get<std::string>(),
+                         Item.at("epoch").get<uint64_t>()};
     }
-  } catch (const Json::exception &Caught) {
-    return failure(ResultCode::Internal, Caught.what(), "slice");
+  } catch (const Json::exception &Exception) {
+    return failure(ResultCode::Internal, Exception.what(), "slice");
   }
-  return Out;
+  return Grants;
 }
 
 std::string writeGrantRow(const GrantTable &Grants) {
-  Json Lines = Json::array();
+  Json Items = Json::array();
   for (SliceId Slice = 0; Slice < Grants.size(); ++Slice)
     if (Grants[Slice].Epoch != 0)
-      Lines.push_back({{"slice", Slice},
+      Items.push_back({{"slice", Slice},
                        {"home", Grants[Slice].Home},
                        {"epoch", Grants[Slice].Epoch}});
-  return Json{{"grants", Lines}}.dump();
+  return Json{{"grants", Items}}.dump();
 }
 
 } // namespace figlift::idempotency
--- a/Libraries/LibIdempotency/GrantRow.h
+++ b/Libraries/LibIdempotency/GrantRow.h
@@ -15,7 +15,7 @@
 namespace figlift::idempotency {
 
 std::string grantRowKey(std::string_view BackEnd);
-/// An empty text is a row without grants.
+/// An empty value is a row without grants.
 Result<GrantTable> readGrantRow(std::string_view Value);
 std::string writeGrantRow(const GrantTable &Grants);
 
--- a/Libraries/LibIdempotency/HomeDirectory.cpp
+++ b/Libraries/LibIdempotency/HomeDirectory.cpp
@@ -1,4 +1,4 @@
-//===- HomeDirectory.cpp - Where an entry sends a keyed call --------------===//
+//===- HomeDirectory.cpp - Known homes of one back end --------------------===//
 //
 // See HomeDirectory.h.
 //
@@ -8,18 +8,18 @@
 
 namespace figlift::idempotency {
 
-bool HomeDirectory::learn(SliceId Slice, const Grant &What) {
-  if (Slice >= SliceCount || What.Epoch <= m_Grants[Slice].Epoch)
+bool HomeDirectory::learn(SliceId Slice, const Grant &Update) {
+  if (Slice >= SliceCount || Update.Epoch <= m_Grants[Slice].Epoch)
     return false;
-  m_Grants[Slice] = What;
+  m_Grants[Slice] = Update;
   return true;
 }
 
-bool HomeDirectory::learn(const GrantTable &Row) {
-  bool News = false;
+bool HomeDirectory::learn(const GrantTable &Table) {
+  bool Changed = false;
   for (SliceId Slice = 0; Slice != SliceCount; ++Slice)
-    News |= learn(Slice, Row[Slice]);
-  return News;
+    Changed |= learn(Slice, Table[Slice]);
+  return Changed;
 }
 
 } // namespace figlift::idempotency
--- a/Libraries/LibIdempotency/HomeDirectory.h
+++ b/Libraries/LibIdempotency/HomeDirectory.h
@@ -1,8 +1,9 @@
-//===- HomeDirectory.h - Where an entry sends a keyed call ------*- C++ -*-===//
+//===- HomeDirectory.h - Known homes of one back end ------------*- C++ -*-===//
 //
-// An entry's knowledge of the homes of one back end, from the table, from
-// agents' reports and from refusals (HomeMoved). Knowledge may be old; a wrong
-// home refuses, so an old line costs a detour and never a second run.
+// Tells an entry to which home it sends a call with an idempotency key. The
+// homes are learned from the table, from agents' reports and from refusals
+// (HomeMoved), and may be outdated: a process that is not the home refuses the
+// call, so an outdated entry costs another attempt but never a second run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,12 +15,13 @@
 
 class HomeDirectory {
 public:
-  /// Keeps the line with the higher epoch. Returns whether it was news.
-  bool learn(SliceId Slice, const Grant &What);
-  /// Learns all lines of the table's row.
-  bool learn(const GrantTable &Row);
+  /// Replaces the slice's grant by one with a higher epoch. Returns whether it
+  /// did.
+  bool learn(SliceId Slice, const Grant &Update);
+  /// Learns all grants of \p Table. Returns whether any of them was newer.
+  bool learn(const GrantTable &Table);
 
-  /// Home of the slice; Home is empty while none is known.
+  /// Last known grant of the slice; its Home is empty while none is known.
   const Grant &homeOf(SliceId Slice) const { return m_Grants[Slice]; }
   const Grant &homeOf(std::string_view Key) const {
     return m_Grants[sliceOf(Key)];
--- a/Libraries/LibIdempotency/Slice.cpp
+++ b/Libraries/LibIdempotency/Slice.cpp
@@ -16,11 +16,11 @@
 constexpr size_t TextLength = 36;
 constexpr size_t VersionPosition = 14;
 constexpr size_t VariantPosition = 19;
-/// Hexadecimal digits of the mint time, and the dash between them.
-constexpr size_t MintEnd = 13;
-constexpr size_t MintDash = 8;
+/// End of the hexadecimal digits of the mint time, and the dash among them.
+constexpr size_t MintTimeEnd = 13;
+constexpr size_t MintTimeDash = 8;
 
-std::optional<unsigned> digit(char Character) {
+std::optional<unsigned> hexDigitValue(char Character) {
   if (Character >= '0' && Character <= '9')
     return Character - '0';
   if (Character >= 'a' && Character <= 'f')
@@ -38,7 +38,7 @@
   if (Key.size() != TextLength)
     return false;
   for (size_t I = 0; I != TextLength; ++I)
-    if (isDash(I) ? Key[I] != '-' : !digit(Key[I]))
+    if (isDash(I) ? Key[I] != '-' : !hexDigitValue(Key[I]))
       return false;
   return true;
 }
@@ -52,12 +52,12 @@
 std::optional<WallTime> mintTimeOf(std::string_view Key) {
   if (!isUuid(Key) || Key[VersionPosition] != '7')
     return std::nullopt;
-  if ((*digit(Key[VariantPosition]) & 0xcu) != 0x8u)
+  if ((*hexDigitValue(Key[VariantPosition]) & 0xcu) != 0x8u)
     return std::nullopt;
   uint64_t Milliseconds = 0;
-  for (size_t I = 0; I != MintEnd; ++I)
-    if (I != MintDash)
-      Milliseconds = Milliseconds << 4 | *digit(Key[I]);
+  for (size_t I = 0; I != MintTimeEnd; ++I)
+    if (I != MintTimeDash)
+      Milliseconds = Milliseconds << 4 | *hexDigitValue(Key[I]);
   return WallTime(std::chrono::milliseconds(Milliseconds));
 }
 
--- a/Libraries/LibIdempotency/Slice.h
+++ b/Libraries/LibIdempotency/Slice.h
@@ -1,7 +1,7 @@
 //===- Slice.h - Slices of the key space ------------------------*- C++ -*-===//
 //
-// Idempotency keys of one back end fall into a fixed number of slices; each
-// slice has one home. Also reads the mint time out of a UUIDv7 key.
+// The idempotency keys of a back end are divided into a fixed number of slices,
+// each of which has one home. Also extracts the mint time from UUIDv7 keys.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,23 +19,23 @@
 inline constexpr SliceId SliceCount = 64;
 
 /// \name Epochs of grants. Those of handovers are odd, those of takeovers and
-/// restarts even (the first grant ever is 1). A home may give a handover up and
-/// die; its slice is then taken over, and the heir must not take the claims of
-/// that handover for all that there are. As the two never share an epoch, a
-/// row of the table tells by its epoch which of them wrote it.
+/// restarts are even; the initial grant has epoch 1. If a home abandons a
+/// handover and dies, its slice is taken over, and the new home must not treat
+/// the claims of that handover as complete. As the two kinds never share an
+/// epoch, the epoch of a grant shows which of them wrote it.
 /// @{
 constexpr bool isHandoverEpoch(uint64_t Epoch) {
   return Epoch > 1 && Epoch % 2 == 1;
 }
-constexpr uint64_t nextHandoverEpoch(uint64_t Now) {
-  return Now % 2 == 1 ? Now + 2 : Now + 1;
+constexpr uint64_t nextHandoverEpoch(uint64_t Epoch) {
+  return Epoch % 2 == 1 ? Epoch + 2 : Epoch + 1;
 }
-constexpr uint64_t nextTakeoverEpoch(uint64_t Now) {
-  return Now % 2 == 0 ? Now + 2 : Now + 1;
+constexpr uint64_t nextTakeoverEpoch(uint64_t Epoch) {
+  return Epoch % 2 == 0 ? Epoch + 2 : Epoch + 1;
 }
 /// @}
 
-/// Slice of \p Key; the same in every process and version.
+/// Slice of \p Key. All processes and versions have to agree on it.
 SliceId sliceOf(std::string_view Key);
 
 /// Mint time of a UUIDv7 key (RFC 9562) in its usual 36-character form; empty
--- a/Libraries/LibIdempotency/SliceMap.cpp
+++ b/Libraries/LibIdempotency/SliceMap.cpp
@@ -1,4 +1,4 @@
-//===- SliceMap.cpp - Which home each slice should have -------------------===//
+//===- SliceMap.cpp - Assignment of slices to homes -----------------------===//
 //
 // See SliceMap.h.
 //
@@ -20,15 +20,15 @@
   return std::ranges::find(Names, Name) != Names.end();
 }
 
-std::optional<MoveReason> reasonToMove(const Grant &Now,
-                                       std::span<const std::string> Serving,
-                                       std::span<const std::string> Leaving,
-                                       std::span<const std::string> Gone) {
-  if (Now.Home.empty())
-    return Now.Epoch == 0 ? MoveReason::Initial : MoveReason::Takeover;
-  if (contains(Serving, Now.Home) || contains(Leaving, Now.Home))
+std::optional<MoveReason> moveReason(const Grant &Current,
+                                     std::span<const std::string> Serving,
+                                     std::span<const std::string> Leaving,
+                                     std::span<const std::string> Gone) {
+  if (Current.Home.empty())
+    return Current.Epoch == 0 ? MoveReason::Initial : MoveReason::Takeover;
+  if (contains(Serving, Current.Home) || contains(Leaving, Current.Home))
     return MoveReason::Handover;
-  if (contains(Gone, Now.Home))
+  if (contains(Gone, Current.Home))
     return MoveReason::Takeover;
   return std::nullopt;
 }
@@ -49,7 +49,7 @@
   return Best;
 }
 
-std::vector<Move> SliceMap::plan(const GrantTable &Now,
+std::vector<Move> SliceMap::plan(const GrantTable &Current,
                                  std::span<const std::string> Serving,
                                  std::span<const std::string> Leaving,
                                  std::span<const std::string> Gone) {
@@ -57,18 +57,18 @@
   if (Serving.empty())
     return Moves;
   for (SliceId Slice = 0; Slice != SliceCount; ++Slice) {
-    const Grant &Line = Now[Slice];
-    std::string To = preferredHome(Slice, Serving);
-    if (Line.Home == To)
+    const Grant &Grant = Current[Slice];
+    std::string Home = preferredHome(Slice, Serving);
+    if (Grant.Home == Home)
       continue;
-    auto Why = reasonToMove(Line, Serving, Leaving, Gone);
-    if (!Why)
+    auto Reason = moveReason(Grant, Serving, Leaving, Gone);
+    if (!Reason)
       continue;
-    uint64_t Epoch = *Why == MoveReason::Initial ? 1
-                     : *Why == MoveReason::Handover
+    uint64_t Epoch = *Reason == MoveReason::Initial ? 1
+                     : *Reason == MoveReason::Handover
                          ? 0
-                         : nextTakeoverEpoch(Line.Epoch);
-    Moves.push_back({Slice, Line.Home, To, Epoch, *Why});
+                         : nextTakeoverEpoch(Grant.Epoch);
+    Moves.push_back({Slice, Grant.Home, Home, Epoch, *Reason});
   }
   return Moves;
 }
--- a/Libraries/LibIdempotency/SliceMap.h
+++ b/Libraries/LibIdempotency/SliceMap.h
@@ -1,8 +1,8 @@
-//===- SliceMap.h - Which home each slice should have -----------*- C++ -*-===//
+//===- SliceMap.h - Assignment of slices to homes ---------------*- C++ -*-===//
 //
-// Planner's side: spreads the slices of one back end over its live homes by
-// rendezvous hashing, so that a home that comes or goes moves only its own
-// share.
+// Used by the planner to distribute the slices of a back end over its homes by
+// rendezvous hashing, which moves only the share of a home that is added or
+// removed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +18,9 @@
 
 namespace figlift::idempotency {
 
-/// One line of the row slice/<back end>.
+/// Grant of one slice in the row slice/<back end>.
 struct Grant {
-  /// Empty when the slice never had a home.
+  /// Empty if the slice never had a home.
   std::string Home;
   uint64_t Epoch = 0;
   bool operator==(const Grant &) const = default;
@@ -29,11 +29,11 @@
 using GrantTable = std::array<Grant, SliceCount>;
 
 enum class MoveReason {
-  /// No home before: write the grant (GrantReason::Initial).
+  /// The slice had no home: write the grant (GrantReason::Initial).
   Initial,
-  /// The home lives: ask it to hand the slice over. It writes the grant.
+  /// The home is alive: it hands the slice over and writes the grant itself.
   Handover,
-  /// The home is gone: write the grant (GrantReason::TableTakeover).
+  /// The home has stopped: write the grant (GrantReason::TableTakeover).
   Takeover,
 };
 
@@ -41,24 +41,24 @@
   SliceId Slice = 0;
   std::string From;
   std::string To;
-  /// Epoch of the new grant; 0 for a handover, whose home chooses it.
+  /// Epoch of the new grant; 0 for a handover, for which the home chooses it.
   uint64_t Epoch = 0;
-  MoveReason Why = MoveReason::Initial;
+  MoveReason Reason = MoveReason::Initial;
   bool operator==(const Move &) const = default;
 };
 
 class SliceMap {
 public:
-  /// Home that rendezvous hashing gives the slice; empty without homes.
+  /// Home that rendezvous hashing selects for the slice; empty without homes.
   static std::string preferredHome(SliceId Slice,
                                    std::span<const std::string> Homes);
 
-  /// Moves that bring \p Now to the preferred homes.
-  /// \p Serving may get slices. \p Gone is proven to have stopped (absent from
-  /// the platform's list or retired); a home that is in neither is cut off or
-  /// leaving: leaving homes hand over (list them in \p Leaving), those cut off
-  /// keep their slices, because nothing proves that they have stopped.
-  static std::vector<Move> plan(const GrantTable &Now,
+  /// Returns the moves that bring the grants to the preferred homes.
+  /// Homes in \p Serving may receive slices, homes in \p Leaving hand theirs
+  /// over, and homes in \p Gone are proven to have stopped (absent from the
+  /// platform's list, or retired). Homes in none of the lists are unreachable
+  /// and keep their slices, because nothing proves that they have stopped.
+  static std::vector<Move> plan(const GrantTable &Current,
                                 std::span<const std::string> Serving,
                                 std::span<const std::string> Leaving,
                                 std::span<const std::string> Gone);
--- a/Libraries/LibPlanner/SliceAssigner.cpp
+++ b/Libraries/LibPlanner/SliceAssigner.cpp
@@ -40,7 +40,7 @@
 
   std::vector<Move> Due;
   for (const Move &Each : SliceMap::plan(Now, Serving, Leaving, Gone)) {
-    if (Each.Why == MoveReason::Handover)
+    if (Each.Reason == MoveReason::Handover)
       continue;
     Now[Each.Slice] = {Each.To, Each.Epoch};
     Due.push_back(Each);
