--- a/Libraries/LibIdempotency/HomeMachine.cpp
+++ b/Libraries/LibIdempotency/HomeMachine.cpp
@@ -1,7 +1,7 @@
 //===- HomeMachine.cpp - At most one run per key --------------------------===//
 //
-// See HomeMachine.h. Calls and their outcomes; slices that come and go are in
-// HomeMachineSlices.cpp.
+// Calls and their outcomes. HomeMachineSlices.cpp handles slices that are
+// granted to this home or moved away from it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,9 +34,9 @@
   return Known == m_Claims.end() ? nullptr : &Known->second.What;
 }
 
-/// The order of the checks is what makes "not run" true: what is known of the
-/// key comes first, then what may have happened at a former home, and only a
-/// key that provably never ran is refused.
+/// The order of the checks ensures that a refusal ("not run") is true: the
+/// claim of the key is checked first, then whether the key may have run at a
+/// former home. Only a key that provably never ran is refused.
 void HomeMachine::on(const CallReceived &Call, Context &C) {
   if (auto Known = m_Claims.find(Call.Key); Known != m_Claims.end())
     return repeat(Known->second, Call, C);
@@ -73,10 +73,10 @@
   C.Out.push_back(JoinWaiters{Call.Token, Call.Key});
 }
 
-/// A key may have run before at a home whose claims were lost, or under a
-/// claim whose retention has ended. Every home refuses keys that are minted
-/// further ahead than MaximumAhead, so a key that ran before T was minted
-/// before T + MaximumAhead + skew on this machine's clock.
+/// A key may have run before at a home whose claims were lost, or under a claim
+/// whose retention has ended. Every home refuses keys that were minted further
+/// ahead of its clock than MaximumKeyAhead, so a key that ran before T was
+/// minted before T + MaximumKeyAhead + clock skew on this machine's clock.
 bool HomeMachine::mayHaveRunBefore(const CallReceived &Call,
                                    const SliceRecord &Slice,
                                    WallTime Wall) const {
@@ -117,9 +117,9 @@
   settle(Open->second, ClaimState::Unknown, C);
 }
 
-/// The claim goes, so that the caller may come again with the same key. Once
-/// the claim was sent to a successor it stays there as unknown: an update that
-/// takes a claim away could arrive late and take away that of a newer run.
+/// Removes the claim, so that the caller may retry with the same key. A claim
+/// that was sent to a successor becomes Unknown instead: an update that removes
+/// the successor's claim could arrive late and remove that of a newer run.
 void HomeMachine::on(const TargetFailedBeforeSend &Failed, Context &C) {
   auto Open = m_Claims.find(Failed.Key);
   if (Open == m_Claims.end() || Open->second.What.State != ClaimState::Sent)
@@ -140,7 +140,8 @@
 }
 
 void HomeMachine::answerWaiters(Entry &Settled, Context &C) {
-  // The first waiter of a local call is the caller whose request ran.
+  // The first waiter of a call that was sent here is the caller whose request
+  // ran; all others get a replayed answer.
   bool Replayed = Settled.Replays;
   for (uint64_t Token : std::exchange(Settled.Waiters, {})) {
     if (Settled.What.State == ClaimState::Answered)
@@ -152,7 +153,8 @@
   Settled.Replays = true;
 }
 
-/// The successor got the claim as Sent and lets its callers wait for this.
+/// Sends the outcome to the successor, which received the claim as Sent and
+/// whose callers wait for it.
 void HomeMachine::forward(const Entry &Settled, Context &C) {
   SliceId Id = sliceOf(Settled.What.Key);
   const SliceRecord &Slice = m_Slices[Id];
--- a/Libraries/LibIdempotency/HomeMachine.h
+++ b/Libraries/LibIdempotency/HomeMachine.h
@@ -1,9 +1,10 @@
 //===- HomeMachine.h - At most one run per key ------------------*- C++ -*-===//
 //
-// The home of some slices of one back end's keys. A keyed call runs only at
-// the home of its key, so that repeated keys meet there; the home remembers
-// what it sent. Grants have no expiry and need no store while they last: a
-// slice moves only on proof that its former home has stopped.
+// State machine of the home of some slices of one back end's keys. A call with
+// an idempotency key runs only at the home of its key, which keeps a claim for
+// each key that it sent, so that retries find it. Grants do not expire, and
+// serving them needs no access to the store: a slice moves only after proof
+// that its former home has stopped serving it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,22 +19,23 @@
 namespace figlift::idempotency {
 
 struct HomeOptions {
-  /// m1: a key minted further ahead of this machine's wall clock is refused.
+  /// A key that was minted further ahead of this machine's wall clock is
+  /// refused.
   std::chrono::milliseconds MaximumAhead{2000};
-  /// m2: after a takeover at T, keys minted until T + m2 count as old. Must be
-  /// at least MaximumAhead plus the greatest difference between two machines'
-  /// wall clocks.
+  /// After a takeover at T, keys that were minted until T + TakeoverGuard count
+  /// as old. Must be at least MaximumKeyAhead plus the largest difference
+  /// between the wall clocks of two machines.
   std::chrono::milliseconds TakeoverGuard{3000};
   /// How long a settled claim is kept.
   std::chrono::milliseconds Retention{std::chrono::hours{24}};
-  /// How long callers wait for the outcome of a call that the former home had
-  /// open at the handover.
+  /// How long callers wait for the outcome of a call that was open at the
+  /// former home when it handed the slice over.
   std::chrono::milliseconds ForeignWait{30000};
-  /// New keys are refused (LimitReached) while this many claims are kept.
+  /// New keys are refused (LimitReached) while there are this many claims.
   size_t MaximumClaims = 200000;
 
-  /// \name Switches for tests, which show that the exploration of the machine
-  /// finds the double runs that these rules prevent.
+  /// \name Switches for tests. With one of these rules off, the exploration of
+  /// the state machine has to find a key that runs twice.
   /// @{
   bool UseTakeoverRule = true;
   bool UseAheadRule = true;
@@ -46,9 +48,10 @@
   enum class SliceState {
     NotHome,
     Serving,
-    /// Claims were sent, the successor has not acknowledged them.
+    /// Claims were sent; the successor has not acknowledged them.
     HandingOver,
-    /// Acknowledged; the grant is being written, or its outcome is open.
+    /// Claims were acknowledged; the grant is being written or the outcome of
+    /// the write is unknown.
     Committing,
     /// Another home holds the slice.
     Moved,
@@ -56,19 +59,20 @@
 
   explicit HomeMachine(HomeOptions Options);
 
-  /// \p Wall is compared with the mint times of keys only; ages use \p Now.
+  /// \p Wall is compared only with the mint times of keys; ages are measured by
+  /// \p Now.
   std::vector<Action> step(const Event &What, BootTime Now, WallTime Wall);
 
   bool serves(SliceId Slice) const;
-  /// Epoch of the grant that this home serves, or 0.
+  /// Epoch of the grant under which this home serves the slice, or 0.
   uint64_t epochOf(SliceId Slice) const;
   size_t claimCount() const { return m_Claims.size(); }
-  /// Calls handed to the target whose outcome is open.
+  /// Number of calls that were sent to the target and have no outcome yet.
   size_t openCalls() const;
   const Claim *find(const std::string &Key) const;
 
-  /// Passes every member that decides what the machine does next to \p Put, so
-  /// that an exhaustive exploration recognises a state it has seen.
+  /// Passes every member that influences future steps to \p Put, so that an
+  /// exhaustive exploration recognizes a state that it has visited.
   template <typename Sink> void describe(Sink &&Put) const {
     for (SliceId Slice = 0; Slice != SliceCount; ++Slice) {
       const SliceRecord &Record = m_Slices[Slice];
@@ -90,26 +94,29 @@
   struct SliceRecord {
     SliceState State = SliceState::NotHome;
     uint64_t Epoch = 0;
-    /// Epoch of the complete claims that a predecessor sent; 0 when none.
+    /// Epoch of the complete claims that a predecessor sent; 0 if none.
     uint64_t ClaimsEpoch = 0;
-    /// Keys minted at or before it, and keys without a mint time, may have run
-    /// at a former home. Never moves back; travels with a handover.
+    /// Keys minted at or before this time, and keys without a mint time, may
+    /// have run at a former home. Never decreases; handed over with the slice.
     std::optional<WallTime> OldUntil;
-    /// Home that the claims were sent to; updates of open calls go there.
+    /// Home to which the claims were sent. Outcomes of open calls are sent to
+    /// it as well.
     std::string Successor;
-    /// Higher with each attempt, so that the acknowledgement of an attempt
-    /// that was given up is not taken for that of the next.
+    /// Increases with each handover attempt, so that a late acknowledgment of
+    /// an abandoned attempt is not taken for that of the current one.
     uint64_t SuccessorEpoch = 0;
   };
 
   struct Entry {
     Claim What;
-    /// The call is open at a former home, not here.
+    /// The call was sent by a former home, which reports its outcome.
     bool Foreign = false;
-    /// Whoever is answered from now on gets the answer of an earlier call.
+    /// All further answers are replays of the answer of an earlier call.
     bool Replays = false;
+    /// Time of the last change of the claim's state.
     BootTime Since{};
-    /// Callers that wait; the first is the one whose call was sent.
+    /// Callers that wait for the outcome. For a call that was sent here, the
+    /// first one is the caller whose request was sent.
     std::vector<uint64_t> Waiters;
   };
 
@@ -147,8 +154,9 @@
 
   HomeOptions m_Options;
   std::array<SliceRecord, SliceCount> m_Slices{};
-  /// Claims of slices that moved stay until the retention ends: a caller who
-  /// comes to the old home with a key that ran there gets its answer.
+  /// Claims of slices that have moved are kept until their retention ends, so
+  /// that a caller who retries at the old home gets the answer of a key that
+  /// ran there.
   std::map<std::string, Entry> m_Claims;
 };
 
--- a/Libraries/LibIdempotency/HomeMachineSlices.cpp
+++ b/Libraries/LibIdempotency/HomeMachineSlices.cpp
@@ -1,9 +1,9 @@
-//===- HomeMachineSlices.cpp - Slices that come and go --------------------===//
+//===- HomeMachineSlices.cpp - Grants and handovers of slices -------------===//
 //
-// See HomeMachine.h. The order of a handover: stop taking new keys, let the
-// successor store all claims, write the grant to the table, announce it. Until
-// the grant is written the successor runs nothing, so that the table alone
-// decides which of a restarted home and its successor holds the slice.
+// The steps of a handover: refuse new keys, send all claims to the successor,
+// write the grant to the table, announce it. The successor runs nothing before
+// the grant is written, so the table alone decides whether a restarted home or
+// its successor holds the slice.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// Keeps the later time: what was old stays old.
+/// Never lowers the time, so that keys which count as old stay old.
 void raise(std::optional<WallTime> &Until, WallTime To) {
   Until = std::max(Until.value_or(To), To);
 }
 
-/// How much a claim tells of its key.
+/// Rank of a state by how much is known about the outcome of the call.
 int knowledge(ClaimState State) {
   switch (State) {
   case ClaimState::Sent:
@@ -43,7 +43,7 @@
   return serves(Slice) ? m_Slices[Slice].Epoch : 0;
 }
 
-/// Whether another process may have been given the claims of the slice.
+/// Whether another process may have received the claims of the slice.
 bool HomeMachine::handedOn(const SliceRecord &Slice) const {
   bool Passing = Slice.State == SliceState::HandingOver ||
                  Slice.State == SliceState::Committing ||
@@ -53,7 +53,7 @@
 
 void HomeMachine::on(const SliceGranted &Granted, Context &C) {
   SliceRecord &Slice = m_Slices[Granted.Slice];
-  // A row that was read before this home passed the slice on says nothing new.
+  // The row may have been read before this home handed the slice over.
   if (Granted.Epoch <= Slice.Epoch)
     return;
   bool HasClaims =
@@ -65,8 +65,8 @@
   case GrantReason::Initial:
     return;
   case GrantReason::Handover:
-    // This process started after its predecessor in the slot had taken the
-    // claims: they are lost, as after a takeover.
+    // This process started after its predecessor in the slot had received the
+    // claims, so they are lost as after a takeover.
     if (!HasClaims)
       raise(Slice.OldUntil, C.Wall + m_Options.TakeoverGuard);
     return;
@@ -98,8 +98,8 @@
   C.Out.push_back(AcknowledgeClaims{Received.Slice, Received.Epoch});
 }
 
-/// Claims are only ever added or made more certain, so that copies which come
-/// late or twice do no harm.
+/// Claims are only added or moved to a state of higher certainty, so that late
+/// or duplicate messages do no harm.
 void HomeMachine::merge(const Claim &Received, Context &C) {
   auto [Line, New] = m_Claims.try_emplace(Received.Key);
   Entry &Known = Line->second;
--- a/Libraries/LibIdempotency/HomeTypes.h
+++ b/Libraries/LibIdempotency/HomeTypes.h
@@ -1,7 +1,7 @@
 //===- HomeTypes.h - Claims, events and actions of a home -------*- C++ -*-===//
 //
-// Vocabulary of the home machine: what a home remembers of a key, what the
-// agent's shell tells it and what it is told to do.
+// Types of HomeMachine: the claims that a home keeps for keys, the events that
+// the agent passes to the machine and the actions that the agent executes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 namespace figlift::idempotency {
 
-/// Answer of the target, kept for callers who repeat the key.
+/// Answer of the target, kept for retries with the same key.
 struct Answer {
   uint32_t Status = 0;
   std::string ContentType;
@@ -28,10 +28,10 @@
 };
 
 enum class ClaimState {
-  /// Handed to the target; the outcome is open.
+  /// The call was sent to the target and has no outcome yet.
   Sent,
   Answered,
-  /// May have run; it is never run again and its outcome is not known.
+  /// The call may have run; its outcome is not known and it is never run again.
   Unknown,
 };
 
@@ -44,36 +44,37 @@
   bool operator==(const Claim &) const = default;
 };
 
-/// How a slice came to its home.
+/// Why a slice was granted to its home.
 enum class GrantReason {
   /// The slice never had a home before.
   Initial,
-  /// The living predecessor sent its claims first.
+  /// The predecessor was alive and sent its claims first.
   Handover,
-  /// This process replaced a dead one in the same slot: after it had bound the
-  /// port it found its target in the row of grants and wrote the grant anew
-  /// with the next epoch. Reading alone would not do: a grant for a successor
-  /// that the dead process sent may take effect after the reading.
+  /// This process replaced a dead one in the same slot. After binding the port
+  /// it found its target in the row of grants and rewrote the grant with the
+  /// next epoch. Reading the row is not sufficient, because a write by the dead
+  /// process that grants the slice to a successor may take effect after the
+  /// read.
   SameSlotRestart,
-  /// The former home is gone from the platform's list or was retired.
+  /// The former home is absent from the platform's list or was retired.
   TableTakeover,
 };
 
 /// \name Events.
 /// @{
 
-/// Passes time; about once a second.
+/// Time has passed; sent about once a second.
 struct Tick {};
 struct CallReceived {
-  /// Names the caller's stream; comes back in the answer.
+  /// Identifies the caller's stream in the actions that answer it.
   uint64_t Token = 0;
   std::string Key;
-  /// Digest of the request, so that a key is not used for another one.
+  /// Digest of the request, to detect a key that is reused for another request.
   std::string Fingerprint;
   /// mintTimeOf(Key).
   std::optional<WallTime> MintedAt;
 };
-/// The caller's stream has ended; it gets no answer. The call goes on.
+/// The caller's stream has ended, so it gets no answer. The call continues.
 struct CallerGone {
   uint64_t Token = 0;
 };
@@ -81,26 +82,27 @@
   std::string Key;
   Answer Result;
 };
-/// Nothing of the call was handed to the target (refused by admission or by
-/// the transport before a byte was sent).
+/// Nothing of the call was sent to the target: admission control or the
+/// transport refused it before the first byte.
 struct TargetFailedBeforeSend {
   std::string Key;
   ResultCode Code = ResultCode::NoTargetAvailable;
 };
-/// Handed over, and no whole answer came.
+/// The call was sent, but no complete answer arrived.
 struct TargetOutcomeUnknown {
   std::string Key;
 };
-/// The row of grants names this target. The row records how it came to that,
-/// because claims of a handover that was given up may have arrived under the
-/// same epoch as a takeover. Keys count as old by the time of this event and
-/// not by the start of the process: the grant may be younger than the process.
+/// The row of grants names this target. The reason is part of the event,
+/// because claims of an abandoned handover may have arrived under the same
+/// epoch as a takeover. Which keys count as old depends on the time of this
+/// event and not on the start of the process, because the grant may be younger
+/// than the process.
 struct SliceGranted {
   SliceId Slice = 0;
   uint64_t Epoch = 0;
   GrantReason How = GrantReason::Initial;
-  /// Lower bound of the time from which keys are new; earlier than this event
-  /// it is not believed.
+  /// Earliest time at which the home may have served the slice under this
+  /// grant. The time of this event is used if it is later.
   WallTime TakenAt{};
 };
 /// The row of grants names another home with a higher epoch.
@@ -108,30 +110,30 @@
   SliceId Slice = 0;
   uint64_t Epoch = 0;
 };
-/// Claims of a predecessor.
+/// A predecessor sent claims.
 struct ClaimsReceived {
   SliceId Slice = 0;
   /// Epoch under which the successor will hold the slice.
   uint64_t Epoch = 0;
   std::vector<Claim> Claims;
-  /// All claims of the slice; otherwise the outcomes of calls that were open
-  /// at the handover.
+  /// Whether these are all claims of the slice. Otherwise they are outcomes of
+  /// calls that were open at the handover.
   bool Complete = true;
   /// Keys minted at or before this time have an unknown outcome.
   std::optional<WallTime> OldUntil;
 };
-/// An operator, the planner or a stop asks this home to pass a slice on.
+/// An operator, the planner or a shutdown requests a handover of the slice.
 struct HandoverRequested {
   SliceId Slice = 0;
   std::string Successor;
 };
-/// The successor keeps the claims that were sent with this epoch.
+/// The successor stored the claims that were sent under this epoch.
 struct HandoverAcknowledged {
   SliceId Slice = 0;
   uint64_t Epoch = 0;
 };
-/// The successor did not take the claims, or the grant is known not to be
-/// written and not to be on its way: this home goes on with the slice.
+/// The successor did not accept the claims, or its grant certainly was not and
+/// will not be written. This home continues to serve the slice.
 struct HandoverFailed {
   SliceId Slice = 0;
 };
@@ -151,8 +153,8 @@
 /// \name Actions.
 /// @{
 
-/// Hand the call of this caller to the target, once. Answered by one of the
-/// Target events.
+/// Send the call of this caller to the target, exactly once. One of the events
+/// TargetAnswered, TargetFailedBeforeSend and TargetOutcomeUnknown follows.
 struct SendToTarget {
   uint64_t Token = 0;
   std::string Key;
@@ -161,30 +163,32 @@
 struct AnswerCaller {
   uint64_t Token = 0;
   Answer Result;
-  /// The answer of an earlier call with the same key.
+  /// The answer is that of an earlier call with the same key.
   bool Replayed = false;
   bool operator==(const AnswerCaller &) const = default;
 };
-/// This call was not and will not be run.
+/// The call was not and will not be run.
 struct RefuseCaller {
   uint64_t Token = 0;
   ResultCode Code = ResultCode::HomeMoved;
   bool operator==(const RefuseCaller &) const = default;
 };
-/// OutcomeUnknown: the key may have run; it will not run again here.
+/// Answer the caller with OutcomeUnknown: the key may have run, and this home
+/// does not run it again.
 struct UnknownToCaller {
   uint64_t Token = 0;
   bool operator==(const UnknownToCaller &) const = default;
 };
-/// The caller waits for a call with its key that is under way.
+/// The caller waits for an open call with the same key.
 struct JoinWaiters {
   uint64_t Token = 0;
   std::string Key;
   bool operator==(const JoinWaiters &) const = default;
 };
-/// Send claims to the next home, a ClaimsReceived there. When it is Complete
-/// HandoverAcknowledged or HandoverFailed follows; the outcome of a call that
-/// was open at the handover needs no answer.
+/// Send claims to the successor, where they become a ClaimsReceived. If
+/// Complete is set, HandoverAcknowledged or HandoverFailed follows. Otherwise
+/// the claims are outcomes of calls that were open at the handover, and no
+/// event follows.
 struct SendClaims {
   std::string Successor;
   SliceId Slice = 0;
@@ -194,16 +198,16 @@
   std::optional<WallTime> OldUntil;
   bool operator==(const SendClaims &) const = default;
 };
-/// The successor keeps these claims now.
+/// Confirm to the predecessor that its claims are stored.
 struct AcknowledgeClaims {
   SliceId Slice = 0;
   uint64_t Epoch = 0;
   bool operator==(const AcknowledgeClaims &) const = default;
 };
 /// Write the successor's grant, on condition that the row still grants
-/// FromEpoch to this target. GrantCommitted follows, or HandoverFailed when it
-/// is certain that the grant neither was nor will be written: the row has
-/// another version than the commit expected.
+/// FromEpoch to this target. GrantCommitted follows, or HandoverFailed if the
+/// grant certainly was not and will not be written because the row has another
+/// version than the commit expects.
 struct CommitGrant {
   SliceId Slice = 0;
   std::string Successor;
@@ -211,7 +215,7 @@
   uint64_t Epoch = 0;
   bool operator==(const CommitGrant &) const = default;
 };
-/// Tell the successor, and the entries, that the grant is in the table.
+/// Announce that the successor's grant is in the table.
 struct AnnounceGrant {
   SliceId Slice = 0;
   std::string Successor;
