--- a/Libraries/LibIdempotency/HomeMachine.cpp
+++ b/Libraries/LibIdempotency/HomeMachine.cpp
@@ -14,63 +14,64 @@
 
 HomeMachine::HomeMachine(HomeOptions Options) : m_Options(Options) {}
 
-std::vector<Action> HomeMachine::step(const Event &What, BootTime Now,
+std::vector<Action> HomeMachine::step(const Event &Event, BootTime Now,
                                       WallTime Wall) {
   Actions Out;
-  Context C{Now, Wall, Out};
-  std::visit([&](const auto &Event) { on(Event, C); }, What);
+  StepContext Step{Now, Wall, Out};
+  std::visit([&](const auto &Chosen) { on(Chosen, Step); }, Event);
   return Out;
 }
 
 size_t HomeMachine::openCalls() const {
-  return std::ranges::count_if(m_Claims, [](const auto &Line) {
-    const Entry &Known = Line.second;
-    return Known.What.State == ClaimState::Sent && !Known.Foreign;
+  return std::ranges::count_if(m_Claims, [](const auto &Item) {
+    const TrackedClaim &Tracked = Item.second;
+    return Tracked.Value.State == ClaimState::Sent && !Tracked.SentByFormerHome;
   });
 }
 
 const Claim *HomeMachine::find(const std::string &Key) const {
-  auto Known = m_Claims.find(Key);
-  return Known == m_Claims.end() ? nullptr : &Known->second.What;
+  auto Found = m_Claims.find(Key);
+  return Found == m_Claims.end() ? nullptr : &Found->second.Value;
 }
 
 /// The order of the checks ensures that a refusal ("not run") is true: the
 /// claim of the key is checked first, then whether the key may have run at a
 /// former home. Only a key that provably never ran is refused.
-void HomeMachine::on(const CallReceived &Call, Context &C) {
-  if (auto Known = m_Claims.find(Call.Key); Known != m_Claims.end())
-    return repeat(Known->second, Call, C);
+void HomeMachine::on(const CallReceived &Call, StepContext &Step) {
+  if (auto Found = m_Claims.find(Call.Key); Found != m_Claims.end())
+    return joinOrReplay(Found->second, Call, Step);
   const SliceRecord &Slice = m_Slices[sliceOf(Call.Key)];
   if (Slice.State != SliceState::Serving) {
-    C.Out.push_back(RefuseCaller{Call.Token, ResultCode::HomeMoved});
+    Step.Out.push_back(RefuseCaller{Call.Token, ResultCode::HomeMoved});
     return;
   }
-  if (mayHaveRunBefore(Call, Slice, C.Wall)) {
-    C.Out.push_back(UnknownToCaller{Call.Token});
+  if (mayHaveRunBefore(Call, Slice, Step.Wall)) {
+    Step.Out.push_back(ReportUnknownOutcome{Call.Token});
     return;
   }
-  if (auto Code = refusalOf(Call, C.Wall)) {
-    C.Out.push_back(RefuseCaller{Call.Token, *Code});
+  if (auto Code = refusalCode(Call, Step.Wall)) {
+    Step.Out.push_back(RefuseCaller{Call.Token, *Code});
     return;
   }
-  Entry &Claimed = m_Claims[Call.Key];
-  Claimed.What = {Call.Key, ClaimState::Sent, Call.Fingerprint, {}, C.Wall};
-  Claimed.Since = C.Now;
+  TrackedClaim &Claimed = m_Claims[Call.Key];
+  Claimed.Value = {Call.Key, ClaimState::Sent, Call.Fingerprint, {}, Step.Wall};
+  Claimed.StateSince = Step.Now;
   Claimed.Waiters = {Call.Token};
-  C.Out.push_back(SendToTarget{Call.Token, Call.Key});
+  Step.Out.push_back(SendToTarget{Call.Token, Call.Key});
 }
 
-void HomeMachine::repeat(Entry &Known, const CallReceived &Call, Context &C) {
-  const Claim &What = Known.What;
-  if (What.Fingerprint != Call.Fingerprint) {
-    C.Out.push_back(
+void HomeMachine::joinOrReplay(TrackedClaim &Tracked, const CallReceived &Call,
+                               StepContext &Step) {
+  const Claim &Existing = Tracked.Value;
+  if (Existing.Fingerprint != Call.Fingerprint) {
+    Step.Out.push_back(
         RefuseCaller{Call.Token, ResultCode::KeyReusedForOtherRequest});
     return;
   }
-  Known.Waiters.push_back(Call.Token);
-  if (What.State != ClaimState::Sent)
-    return answerWaiters(Known, C);
-  C.Out.push_back(JoinWaiters{Call.Token, Call.Key});
+  Tracked.Waiters.push_back(Call.Token);
+  if (Existing.State != ClaimState::Sent)
+    return answerWaiters(Tracked, Step);
+  Step.Out.push_back(JoinWaiters{Call.Token, Call.Key});
 }
 
 /// A key may have run before at a home whose claims were lost, or under a claim
@@ -80,105 +81,108 @@
 bool HomeMachine::mayHaveRunBefore(const CallReceived &Call,
                                    const SliceRecord &Slice,
                                    WallTime Wall) const {
-  if (Slice.OldUntil && m_Options.UseTakeoverRule &&
-      (!Call.MintedAt || *Call.MintedAt <= *Slice.OldUntil))
+  if (Slice.OldKeysUntil && m_Options.UseTakeoverRule &&
+      (!Call.MintedAt || *Call.MintedAt <= *Slice.OldKeysUntil))
     return true;
-  WallTime Forgotten = Wall - m_Options.Retention + m_Options.TakeoverGuard;
-  return Call.MintedAt && *Call.MintedAt <= Forgotten;
+  WallTime RetentionEnd = Wall - m_Options.Retention + m_Options.TakeoverGuard;
+  return Call.MintedAt && *Call.MintedAt <= RetentionEnd;
 }
 
-std::optional<ResultCode> HomeMachine::refusalOf(const CallReceived &Call,
-                                                 WallTime Wall) const {
-  bool Ahead = Call.MintedAt && *Call.MintedAt > Wall + m_Options.MaximumAhead;
-  if (Ahead && m_Options.UseAheadRule)
+std::optional<ResultCode> HomeMachine::refusalCode(const CallReceived &Call,
+                                                   WallTime Wall) const {
+  bool IsAhead =
+      Call.MintedAt && *Call.MintedAt > Wall + m_Options.MaximumKeyAhead;
+  if (IsAhead && m_Options.UseAheadRule)
     return ResultCode::KeyTooFarAhead;
   if (m_Claims.size() >= m_Options.MaximumClaims)
     return ResultCode::LimitReached;
   return std::nullopt;
 }
 
-void HomeMachine::on(const CallerGone &Gone, Context &) {
-  for (auto &[Key, Known] : m_Claims)
-    std::erase(Known.Waiters, Gone.Token);
+void HomeMachine::on(const CallerDisconnected &Disconnected, StepContext &) {
+  for (auto &[Key, Tracked] : m_Claims)
+    std::erase(Tracked.Waiters, Disconnected.Token);
 }
 
-void HomeMachine::on(const TargetAnswered &Answered, Context &C) {
-  auto Open = m_Claims.find(Answered.Key);
-  if (Open == m_Claims.end() || Open->second.What.State != ClaimState::Sent)
+void HomeMachine::on(const TargetAnswered &Answered, StepContext &Step) {
+  auto Found = m_Claims.find(Answered.Key);
+  if (Found == m_Claims.end() || Found->second.Value.State != ClaimState::Sent)
     return;
-  Open->second.What.Result = Answered.Result;
-  settle(Open->second, ClaimState::Answered, C);
+  Found->second.Value.Result = Answered.Result;
+  setOutcome(Found->second, ClaimState::Answered, Step);
 }
 
-void HomeMachine::on(const TargetOutcomeUnknown &Lost, Context &C) {
-  auto Open = m_Claims.find(Lost.Key);
-  if (Open == m_Claims.end() || Open->second.What.State != ClaimState::Sent)
+void HomeMachine::on(const TargetOutcomeUnknown &Lost, StepContext &Step) {
+  auto Found = m_Claims.find(Lost.Key);
+  if (Found == m_Claims.end() || Found->second.Value.State != ClaimState::Sent)
     return;
-  settle(Open->second, ClaimState::Unknown, C);
+  setOutcome(Found->second, ClaimState::Unknown, Step);
 }
 
 /// Removes the claim, so that the caller may retry with the same key. A claim
 /// that was sent to a successor becomes Unknown instead: an update that removes
 /// the successor's claim could arrive late and remove that of a newer run.
-void HomeMachine::on(const TargetFailedBeforeSend &Failed, Context &C) {
-  auto Open = m_Claims.find(Failed.Key);
-  if (Open == m_Claims.end() || Open->second.What.State != ClaimState::Sent)
+void HomeMachine::on(const TargetFailedBeforeSend &Failed, StepContext &Step) {
+  auto Found = m_Claims.find(Failed.Key);
+  if (Found == m_Claims.end() || Found->second.Value.State != ClaimState::Sent)
     return;
-  Entry &Call = Open->second;
+  TrackedClaim &Call = Found->second;
   for (uint64_t Token : std::exchange(Call.Waiters, {}))
-    C.Out.push_back(RefuseCaller{Token, Failed.Code});
-  if (handedOn(m_Slices[sliceOf(Failed.Key)]))
-    return settle(Call, ClaimState::Unknown, C);
-  m_Claims.erase(Open);
+    Step.Out.push_back(RefuseCaller{Token, Failed.Code});
+  if (wasSentToSuccessor(m_Slices[sliceOf(Failed.Key)]))
+    return setOutcome(Call, ClaimState::Unknown, Step);
+  m_Claims.erase(Found);
 }
 
-void HomeMachine::settle(Entry &Open, ClaimState State, Context &C) {
-  Open.What.State = State;
-  Open.Since = C.Now;
-  answerWaiters(Open, C);
-  forward(Open, C);
+void HomeMachine::setOutcome(TrackedClaim &Open, ClaimState State,
+                             StepContext &Step) {
+  Open.Value.State = State;
+  Open.StateSince = Step.Now;
+  answerWaiters(Open, Step);
+  forwardOutcome(Open, Step);
 }
 
-void HomeMachine::answerWaiters(Entry &Settled, Context &C) {
+void HomeMachine::answerWaiters(TrackedClaim &Settled, StepContext &Step) {
   // The first waiter of a call that was sent here is the caller whose request
   // ran; all others get a replayed answer.
-  bool Replayed = Settled.Replays;
+  bool Replayed = Settled.AnswersAreReplays;
   for (uint64_t Token : std::exchange(Settled.Waiters, {})) {
-    if (Settled.What.State == ClaimState::Answered)
-      C.Out.push_back(AnswerCaller{Token, *Settled.What.Result, Replayed});
+    if (Settled.Value.State == ClaimState::Answered)
+      Step.Out.push_back(AnswerCaller{Token, *Settled.Value.Result, Replayed});
     else
-      C.Out.push_back(UnknownToCaller{Token});
+      Step.Out.push_back(ReportUnknownOutcome{Token});
     Replayed = true;
   }
-  Settled.Replays = true;
+  Settled.AnswersAreReplays = true;
 }
 
 /// Sends the outcome to the successor, which received the claim as Sent and
 /// whose callers wait for it.
-void HomeMachine::forward(const Entry &Settled, Context &C) {
-  SliceId Id = sliceOf(Settled.What.Key);
+void HomeMachine::forwardOutcome(const TrackedClaim &Settled,
+                                 StepContext &Step) {
+  SliceId Id = sliceOf(Settled.Value.Key);
   const SliceRecord &Slice = m_Slices[Id];
-  if (!handedOn(Slice))
+  if (!wasSentToSuccessor(Slice))
     return;
-  C.Out.push_back(SendClaims{Slice.Successor,
-                             Id,
-                             Slice.SuccessorEpoch,
-                             {Settled.What},
-                             false,
-                             Slice.OldUntil});
+  Step.Out.push_back(SendClaims{Slice.Successor,
+                                Id,
+                                Slice.SuccessorEpoch,
+                                {Settled.Value},
+                                false,
+                                Slice.OldKeysUntil});
 }
 
-void HomeMachine::on(const Tick &, Context &C) {
-  for (auto Line = m_Claims.begin(); Line != m_Claims.end();) {
-    Entry &Known = Line->second;
-    auto Age = C.Now - Known.Since;
-    bool Open = Known.What.State == ClaimState::Sent;
-    if (Open && Known.Foreign && Age >= m_Options.ForeignWait)
-      settle(Known, ClaimState::Unknown, C);
+void HomeMachine::on(const Tick &, StepContext &Step) {
+  for (auto Position = m_Claims.begin(); Position != m_Claims.end();) {
+    TrackedClaim &Tracked = Position->second;
+    auto Age = Step.Now - Tracked.StateSince;
+    bool Open = Tracked.Value.State == ClaimState::Sent;
+    if (Open && Tracked.SentByFormerHome && Age >= m_Options.FormerHomeTimeout)
+      setOutcome(Tracked, ClaimState::Unknown, Step);
     if (!Open && Age >= m_Options.Retention)
-      Line = m_Claims.erase(Line);
+      Position = m_Claims.erase(Position);
     else
-      ++Line;
+      ++Position;
   }
 }
 
--- a/Libraries/LibIdempotency/HomeMachine.h
+++ b/Libraries/LibIdempotency/HomeMachine.h
@@ -21,7 +21,7 @@
 struct HomeOptions {
   /// A key that was minted further ahead of this machine's wall clock is
   /// refused.
-  std::chrono::milliseconds MaximumAhead{2000};
+  std::chrono::milliseconds MaximumKeyAhead{2000};
   /// After a takeover at T, keys that were minted until T + TakeoverGuard count
   /// as old. Must be at least MaximumKeyAhead plus the largest difference
   /// between the wall clocks of two machines.
@@ -30,7 +30,7 @@
   std::chrono::milliseconds Retention{std::chrono::hours{24}};
   /// How long callers wait for the outcome of a call that was open at the
   /// former home when it handed the slice over.
-  std::chrono::milliseconds ForeignWait{30000};
+  std::chrono::milliseconds FormerHomeTimeout{30000};
   /// New keys are refused (LimitReached) while there are this many claims.
   size_t MaximumClaims = 200000;
 
@@ -39,7 +39,7 @@
   /// @{
   bool UseTakeoverRule = true;
   bool UseAheadRule = true;
-  bool UseHandedClaims = true;
+  bool UseReceivedClaims = true;
   /// @}
 };
 
@@ -61,7 +61,7 @@
 
   /// \p Wall is compared only with the mint times of keys; ages are measured by
   /// \p Now.
-  std::vector<Action> step(const Event &What, BootTime Now, WallTime Wall);
+  std::vector<Action> step(const Event &Event, BootTime Now, WallTime Wall);
 
   bool serves(SliceId Slice) const;
   /// Epoch of the grant under which this home serves the slice, or 0.
@@ -79,13 +79,14 @@
       if (Record.State == SliceState::NotHome && Record.ClaimsEpoch == 0)
         continue;
       Put(Slice, Record.State, Record.Epoch, Record.ClaimsEpoch);
-      Put(Record.OldUntil.value_or(WallTime{}), Record.Successor,
+      Put(Record.OldKeysUntil.value_or(WallTime{}), Record.Successor,
           Record.SuccessorEpoch);
     }
-    for (const auto &[Key, Known] : m_Claims) {
-      Put(Key, Known.What.State, Known.Foreign, Known.Replays);
-      Put(Known.Since);
-      for (uint64_t Token : Known.Waiters)
+    for (const auto &[Key, Tracked] : m_Claims) {
+      Put(Key, Tracked.Value.State, Tracked.SentByFormerHome,
+          Tracked.AnswersAreReplays);
+      Put(Tracked.StateSince);
+      for (uint64_t Token : Tracked.Waiters)
         Put(Token);
     }
   }
@@ -98,7 +99,7 @@
     uint64_t ClaimsEpoch = 0;
     /// Keys minted at or before this time, and keys without a mint time, may
     /// have run at a former home. Never decreases; handed over with the slice.
-    std::optional<WallTime> OldUntil;
+    std::optional<WallTime> OldKeysUntil;
     /// Home to which the claims were sent. Outcomes of open calls are sent to
     /// it as well.
     std::string Successor;
@@ -107,57 +108,58 @@
     uint64_t SuccessorEpoch = 0;
   };
 
-  struct Entry {
-    Claim What;
+  struct TrackedClaim {
+    Claim Value;
     /// The call was sent by a former home, which reports its outcome.
-    bool Foreign = false;
+    bool SentByFormerHome = false;
     /// All further answers are replays of the answer of an earlier call.
-    bool Replays = false;
+    bool AnswersAreReplays = false;
     /// Time of the last change of the claim's state.
-    BootTime Since{};
+    BootTime StateSince{};
     /// Callers that wait for the outcome. For a call that was sent here, the
     /// first one is the caller whose request was sent.
     std::vector<uint64_t> Waiters;
   };
 
   using Actions = std::vector<Action>;
-  struct Context {
+  struct StepContext {
     BootTime Now;
     WallTime Wall;
     Actions &Out;
   };
 
-  void on(const Tick &, Context &C);
-  void on(const CallReceived &, Context &C);
-  void on(const CallerGone &, Context &C);
-  void on(const TargetAnswered &, Context &C);
-  void on(const TargetFailedBeforeSend &, Context &C);
-  void on(const TargetOutcomeUnknown &, Context &C);
-  void on(const SliceGranted &, Context &C);
-  void on(const SliceLost &, Context &C);
-  void on(const ClaimsReceived &, Context &C);
-  void on(const HandoverRequested &, Context &C);
-  void on(const HandoverAcknowledged &, Context &C);
-  void on(const HandoverFailed &, Context &C);
-  void on(const GrantCommitted &, Context &C);
-
-  void repeat(Entry &Known, const CallReceived &Call, Context &C);
-  std::optional<ResultCode> refusalOf(const CallReceived &Call,
-                                      WallTime Wall) const;
+  void on(const Tick &, StepContext &Step);
+  void on(const CallReceived &, StepContext &Step);
+  void on(const CallerDisconnected &, StepContext &Step);
+  void on(const TargetAnswered &, StepContext &Step);
+  void on(const TargetFailedBeforeSend &, StepContext &Step);
+  void on(const TargetOutcomeUnknown &, StepContext &Step);
+  void on(const SliceGranted &, StepContext &Step);
+  void on(const SliceLost &, StepContext &Step);
+  void on(const ClaimsReceived &, StepContext &Step);
+  void on(const HandoverRequested &, StepContext &Step);
+  void on(const HandoverAcknowledged &, StepContext &Step);
+  void on(const HandoverFailed &, StepContext &Step);
+  void on(const GrantCommitted &, StepContext &Step);
+
+  void joinOrReplay(TrackedClaim &Tracked, const CallReceived &Call,
+                    StepContext &Step);
+  std::optional<ResultCode> refusalCode(const CallReceived &Call,
+                                        WallTime Wall) const;
   bool mayHaveRunBefore(const CallReceived &Call, const SliceRecord &Slice,
                         WallTime Wall) const;
-  void settle(Entry &Open, ClaimState State, Context &C);
-  void answerWaiters(Entry &Settled, Context &C);
-  void forward(const Entry &Settled, Context &C);
-  void merge(const Claim &Received, Context &C);
-  bool handedOn(const SliceRecord &Slice) const;
+  void setOutcome(TrackedClaim &Open, ClaimState State, StepContext &Step);
+  void answerWaiters(TrackedClaim &Settled, StepContext &Step);
+  void forwardOutcome(const TrackedClaim &Settled, StepContext &Step);
+  void merge(const Claim &Received, StepContext &Step);
+  bool wasSentToSuccessor(const SliceRecord &Slice) const;
 
   HomeOptions m_Options;
   std::array<SliceRecord, SliceCount> m_Slices{};
   /// Claims of slices that have moved are kept until their retention ends, so
   /// that a caller who retries at the old home gets the answer of a key that
   /// ran there.
-  std::map<std::string, Entry> m_Claims;
+  std::map<std::string, TrackedClaim> m_Claims;
 };
 
 } // namespace figlift::idempotency
--- a/Libraries/LibIdempotency/HomeMachineSlices.cpp
+++ b/Libraries/LibIdempotency/HomeMachineSlices.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 /// Never lowers the time, so that keys which count as old stay old.
-void raise(std::optional<WallTime> &Until, WallTime To) {
-  Until = std::max(Until.value_or(To), To);
+void raiseTo(std::optional<WallTime> &Until, WallTime Time) {
+  Until = std::max(Until.value_or(Time), Time);
 }
 
 /// Rank of a state by how much is known about the outcome of the call.
-int knowledge(ClaimState State) {
+int certainty(ClaimState State) {
   switch (State) {
   case ClaimState::Sent:
     return 0;
@@ -44,14 +44,14 @@
 }
 
 /// Whether another process may have received the claims of the slice.
-bool HomeMachine::handedOn(const SliceRecord &Slice) const {
-  bool Passing = Slice.State == SliceState::HandingOver ||
-                 Slice.State == SliceState::Committing ||
-                 Slice.State == SliceState::Moved;
-  return Passing && !Slice.Successor.empty();
+bool HomeMachine::wasSentToSuccessor(const SliceRecord &Slice) const {
+  bool HandoverStarted = Slice.State == SliceState::HandingOver ||
+                         Slice.State == SliceState::Committing ||
+                         Slice.State == SliceState::Moved;
+  return HandoverStarted && !Slice.Successor.empty();
 }
 
-void HomeMachine::on(const SliceGranted &Granted, Context &C) {
+void HomeMachine::on(const SliceGranted &Granted, StepContext &Step) {
   SliceRecord &Slice = m_Slices[Granted.Slice];
   // The row may have been read before this home handed the slice over.
   if (Granted.Epoch <= Slice.Epoch)
@@ -61,88 +61,90 @@
   Slice.State = SliceState::Serving;
   Slice.Epoch = Granted.Epoch;
   Slice.Successor.clear();
-  switch (Granted.How) {
+  switch (Granted.Reason) {
   case GrantReason::Initial:
     return;
   case GrantReason::Handover:
     // This process started after its predecessor in the slot had received the
     // claims, so they are lost as after a takeover.
     if (!HasClaims)
-      raise(Slice.OldUntil, C.Wall + m_Options.TakeoverGuard);
+      raiseTo(Slice.OldKeysUntil, Step.Wall + m_Options.TakeoverGuard);
     return;
   case GrantReason::SameSlotRestart:
   case GrantReason::TableTakeover:
-    raise(Slice.OldUntil,
-          std::max(Granted.TakenAt, C.Wall) + m_Options.TakeoverGuard);
+    raiseTo(Slice.OldKeysUntil,
+            std::max(Granted.GrantedAt, Step.Wall) + m_Options.TakeoverGuard);
     return;
   }
 }
 
-void HomeMachine::on(const SliceLost &Lost, Context &) {
+void HomeMachine::on(const SliceLost &Lost, StepContext &) {
   SliceRecord &Slice = m_Slices[Lost.Slice];
   if (Slice.State == SliceState::NotHome || Lost.Epoch <= Slice.Epoch)
     return;
   Slice.State = SliceState::Moved;
 }
 
-void HomeMachine::on(const ClaimsReceived &Received, Context &C) {
+void HomeMachine::on(const ClaimsReceived &Received, StepContext &Step) {
   SliceRecord &Slice = m_Slices[Received.Slice];
-  if (m_Options.UseHandedClaims)
-    for (const Claim &What : Received.Claims)
-      merge(What, C);
+  if (m_Options.UseReceivedClaims)
+    for (const Claim &Claim : Received.Claims)
+      merge(Claim, Step);
   if (!Received.Complete)
     return;
-  if (Received.OldUntil)
-    raise(Slice.OldUntil, *Received.OldUntil);
+  if (Received.OldKeysUntil)
+    raiseTo(Slice.OldKeysUntil, *Received.OldKeysUntil);
   Slice.ClaimsEpoch = std::max(Slice.ClaimsEpoch, Received.Epoch);
-  C.Out.push_back(AcknowledgeClaims{Received.Slice, Received.Epoch});
+  Step.Out.push_back(AcknowledgeClaims{Received.Slice, Received.Epoch});
 }
 
 /// Claims are only added or moved to a state of higher certainty, so that late
 /// or duplicate messages do no harm.
-void HomeMachine::merge(const Claim &Received, Context &C) {
-  auto [Line, New] = m_Claims.try_emplace(Received.Key);
-  Entry &Known = Line->second;
-  if (New) {
-    Known.What = Received;
-    Known.Foreign = true;
-    Known.Replays = true;
-    Known.Since = C.Now;
+void HomeMachine::merge(const Claim &Received, StepContext &Step) {
+  auto [Position, IsNew] = m_Claims.try_emplace(Received.Key);
+  TrackedClaim &Tracked = Position->second;
+  if (IsNew) {
+    Tracked.Value = Received;
+    Tracked.SentByFormerHome = true;
+    Tracked.AnswersAreReplays = true;
+    Tracked.StateSince = Step.Now;
     return;
   }
-  if (knowledge(Received.State) <= knowledge(Known.What.State))
+  if (certainty(Received.State) <= certainty(Tracked.Value.State))
     return;
-  Known.What.Result = Received.Result;
-  settle(Known, Received.State, C);
+  Tracked.Value.Result = Received.Result;
+  setOutcome(Tracked, Received.State, Step);
 }
 
-void HomeMachine::on(const HandoverRequested &Asked, Context &C) {
-  SliceRecord &Slice = m_Slices[Asked.Slice];
+void HomeMachine::on(const HandoverRequested &Requested, StepContext &Step) {
+  SliceRecord &Slice = m_Slices[Requested.Slice];
   if (Slice.State != SliceState::Serving)
     return;
   Slice.State = SliceState::HandingOver;
-  Slice.Successor = Asked.Successor;
+  Slice.Successor = Requested.Successor;
   Slice.SuccessorEpoch =
       nextHandoverEpoch(std::max(Slice.SuccessorEpoch, Slice.Epoch));
-  SendClaims All{Asked.Successor, Asked.Slice, Slice.SuccessorEpoch, {}, true,
-                 Slice.OldUntil};
-  for (const auto &[Key, Known] : m_Claims)
-    if (sliceOf(Key) == Asked.Slice)
-      All.Claims.push_back(Known.What);
-  C.Out.push_back(std::move(All));
+  SendClaims Message{
+      Requested.Successor, Requested.Slice, Slice.SuccessorEpoch, {}, true,
+      Slice.OldKeysUntil};
+  for (const auto &[Key, Tracked] : m_Claims)
+    if (sliceOf(Key) == Requested.Slice)
+      Message.Claims.push_back(Tracked.Value);
+  Step.Out.push_back(std::move(Message));
 }
 
-void HomeMachine::on(const HandoverAcknowledged &Stored, Context &C) {
-  SliceRecord &Slice = m_Slices[Stored.Slice];
+void HomeMachine::on(const HandoverAcknowledged &Acknowledged,
+                     StepContext &Step) {
+  SliceRecord &Slice = m_Slices[Acknowledged.Slice];
   if (Slice.State != SliceState::HandingOver ||
-      Stored.Epoch != Slice.SuccessorEpoch)
+      Acknowledged.Epoch != Slice.SuccessorEpoch)
     return;
   Slice.State = SliceState::Committing;
-  C.Out.push_back(CommitGrant{Stored.Slice, Slice.Successor, Slice.Epoch,
-                              Slice.SuccessorEpoch});
+  Step.Out.push_back(CommitGrant{Acknowledged.Slice, Slice.Successor,
+                                 Slice.Epoch, Slice.SuccessorEpoch});
 }
 
-void HomeMachine::on(const HandoverFailed &Failed, Context &) {
+void HomeMachine::on(const HandoverFailed &Failed, StepContext &) {
   SliceRecord &Slice = m_Slices[Failed.Slice];
   if (Slice.State != SliceState::HandingOver &&
       Slice.State != SliceState::Committing)
@@ -150,13 +152,14 @@
   Slice.State = SliceState::Serving;
 }
 
-void HomeMachine::on(const GrantCommitted &Written, Context &C) {
+void HomeMachine::on(const GrantCommitted &Written, StepContext &Step) {
   SliceRecord &Slice = m_Slices[Written.Slice];
   if (Slice.State != SliceState::Committing ||
       Written.Epoch != Slice.SuccessorEpoch)
     return;
   Slice.State = SliceState::Moved;
-  C.Out.push_back(AnnounceGrant{Written.Slice, Slice.Successor, Written.Epoch});
+  Step.Out.push_back(
+      AnnounceGrant{Written.Slice, Slice.Successor, Written.Epoch});
 }
 
 } // namespace figlift::idempotency
--- a/Libraries/LibIdempotency/HomeTypes.h
+++ b/Libraries/LibIdempotency/HomeTypes.h
@@ -75,7 +75,7 @@
   std::optional<WallTime> MintedAt;
 };
 /// The caller's stream has ended, so it gets no answer. The call continues.
-struct CallerGone {
+struct CallerDisconnected {
   uint64_t Token = 0;
 };
 struct TargetAnswered {
@@ -100,10 +100,10 @@
 struct SliceGranted {
   SliceId Slice = 0;
   uint64_t Epoch = 0;
-  GrantReason How = GrantReason::Initial;
-  /// Earliest time at which the home may have served the slice under this
-  /// grant. The time of this event is used if it is later.
-  WallTime TakenAt{};
+  GrantReason Reason = GrantReason::Initial;
+  /// Lower bound of the time after which minted keys count as new. The time of
+  /// this event is used if it is later.
+  WallTime GrantedAt{};
 };
 /// The row of grants names another home with a higher epoch.
 struct SliceLost {
@@ -120,7 +120,7 @@
   /// calls that were open at the handover.
   bool Complete = true;
   /// Keys minted at or before this time have an unknown outcome.
-  std::optional<WallTime> OldUntil;
+  std::optional<WallTime> OldKeysUntil;
 };
 /// An operator, the planner or a shutdown requests a handover of the slice.
 struct HandoverRequested {
@@ -145,7 +145,7 @@
 /// @}
 
 using Event =
-    std::variant<Tick, CallReceived, CallerGone, TargetAnswered,
+    std::variant<Tick, CallReceived, CallerDisconnected, TargetAnswered,
                  TargetFailedBeforeSend, TargetOutcomeUnknown, SliceGranted,
                  SliceLost, ClaimsReceived, HandoverRequested,
                  HandoverAcknowledged, HandoverFailed, GrantCommitted>;
@@ -175,9 +175,9 @@
 };
 /// Answer the caller with OutcomeUnknown: the key may have run, and this home
 /// does not run it again.
-struct UnknownToCaller {
+struct ReportUnknownOutcome {
   uint64_t Token = 0;
-  bool operator==(const UnknownToCaller &) const = default;
+  bool operator==(const ReportUnknownOutcome &) const = default;
 };
 /// The caller waits for an open call with the same key.
 struct JoinWaiters {
@@ -195,7 +195,7 @@
   uint64_t Epoch = 0;
   std::vector<Claim> Claims;
   bool Complete = true;
-  std::optional<WallTime> OldUntil;
+  std::optional<WallTime> OldKeysUntil;
   bool operator==(const SendClaims &) const = default;
 };
 /// Confirm to the predecessor that its claims are stored.
@@ -225,7 +225,7 @@
 /// @}
 
 using Action = std::variant<SendToTarget, AnswerCaller, RefuseCaller,
-                            UnknownToCaller, JoinWaiters, SendClaims,
+                            ReportUnknownOutcome, JoinWaiters, SendClaims,
                             AcknowledgeClaims, CommitGrant, AnnounceGrant>;
 
 } // namespace figlift::idempotency
--- a/Services/figlift-agent/ClaimsMessage.cpp
+++ b/Services/figlift-agent/ClaimsMessage.cpp
@@ -84,11 +84,11 @@
 }
 
 static void addMarker(wire::HandoverRequest &Message, uint32_t State,
-                      std::optional<WallTime> OldUntil) {
+                      std::optional<WallTime> OldKeysUntil) {
   wire::Claim &Marker = *Message.mutable_slices(0)->add_claims();
   Marker.set_state(State);
-  if (OldUntil)
-    Marker.set_claimed_at_unix_milliseconds(toMilliseconds(*OldUntil));
+  if (OldKeysUntil)
+    Marker.set_claimed_at_unix_milliseconds(toMilliseconds(*OldKeysUntil));
 }
 
 std::vector<wire::HandoverRequest>
@@ -104,7 +104,7 @@
     writeClaim(Claim, *Result.back().mutable_slices(0)->add_claims());
   }
   addMarker(Result.back(), Handover.Complete ? MarkerComplete : MarkerPartial,
-            Handover.OldUntil);
+            Handover.OldKeysUntil);
   return Result;
 }
 
@@ -121,7 +121,7 @@
     }
     Result.Complete = Claim.state() == MarkerComplete;
     if (Claim.claimed_at_unix_milliseconds() != 0)
-      Result.OldUntil = toWallTime(Claim.claimed_at_unix_milliseconds());
+      Result.OldKeysUntil = toWallTime(Claim.claimed_at_unix_milliseconds());
   }
   return Result;
 }
--- a/Services/figlift-agent/ServiceCalls.cpp
+++ b/Services/figlift-agent/ServiceCalls.cpp
@@ -14,7 +14,7 @@
 static idempotency::HomeOptions
 homeOptions(const settings::AgentLimits &Limits) {
   idempotency::HomeOptions Options;
-  Options.MaximumAhead = Limits.KeyAheadMaximum;
+  Options.MaximumKeyAhead = Limits.KeyAheadMaximum;
   Options.TakeoverGuard = Limits.KeyTimeMargin;
   Options.Retention = Limits.ClaimRetention;
   Options.MaximumClaims = Limits.Claims;
@@ -150,7 +150,7 @@
   const bool Keyed = !Found->second.Request.idempotency_key().empty();
   m_Calls.erase(Found);
   if (Keyed)
-    step(idempotency::CallerGone{Stream});
+    step(idempotency::CallerDisconnected{Stream});
 }
 
 void ServiceCalls::step(const idempotency::Event &Event) {
@@ -194,7 +194,7 @@
                              Found->second.RetryAfter});
 }
 
-void ServiceCalls::perform(const idempotency::UnknownToCaller &Action) {
+void ServiceCalls::perform(const idempotency::ReportUnknownOutcome &Action) {
   m_Unknown.add();
   refuse(Action.Token, Error{ResultCode::OutcomeUnknown,
                              "the call may have run; it is not run again",
--- a/Services/figlift-agent/ServiceCalls.h
+++ b/Services/figlift-agent/ServiceCalls.h
@@ -64,7 +64,7 @@
   void perform(const idempotency::SendToTarget &Action);
   void perform(const idempotency::AnswerCaller &Action);
   void perform(const idempotency::RefuseCaller &Action);
-  void perform(const idempotency::UnknownToCaller &Action);
+  void perform(const idempotency::ReportUnknownOutcome &Action);
   void perform(const idempotency::JoinWaiters &) {}
 
   Context m_Shared;
--- a/Tests/LibIdempotency/TestHomeExploration.cpp
+++ b/Tests/LibIdempotency/TestHomeExploration.cpp
@@ -1,12 +1,12 @@
 //===- TestHomeExploration.cpp - All interleavings of two homes -----------===//
 //
-// Explores HomeWorld: with all rules on nothing may run twice and every "not
-// run" must be true; with one rule off the exploration has to find the double
-// run which that rule prevents.
+// Explores HomeSimulation. With all rules on, no key may run twice and every
+// "not run" has to be true. With one rule off, the exploration has to find the
+// double run that the rule prevents.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LibIdempotency/HomeWorld.h"
+#include "LibIdempotency/HomeSimulation.h"
 
 #include "Exploration/ExplorationGroup.h"
 
@@ -15,22 +15,23 @@
 
 namespace {
 
-constexpr size_t Limit = 600000;
+constexpr size_t MaximumStates = 600000;
 
-void expectNone(const char *Name, const HomeBounds &Bounds) {
-  Exploration Result = explore(HomeWorld(Bounds), Limit);
-  Result.print(Name);
-  CHECK_TRUE(Result.Violation.empty());
-  CHECK_TRUE(Result.Complete);
+void expectNoViolation(const char *Name, const HomeBounds &Bounds) {
+  Exploration Found = explore(HomeSimulation(Bounds), MaximumStates);
+  Found.print(Name);
+  CHECK_TRUE(Found.Violation.empty());
+  CHECK_TRUE(Found.Complete);
 }
 
-void expectFound(const char *Name, const HomeBounds &Bounds) {
-  Exploration Result = explore(HomeWorld(Bounds), Limit);
-  Result.print(Name);
-  CHECK_FALSE(Result.Violation.empty());
+void expectViolation(const char *Name, const HomeBounds &Bounds) {
+  Exploration Found = explore(HomeSimulation(Bounds), MaximumStates);
+  Found.print(Name);
+  CHECK_FALSE(Found.Violation.empty());
 }
 
-/// Takeover of a dead home whose last send is late; clocks differ by a second.
+/// Takeover of a dead home whose last send is late. The wall clocks differ by
+/// \p Skew seconds.
 HomeBounds takeover(int Skew) {
   HomeBounds Bounds;
   Bounds.Minted = {0, 3};
@@ -64,8 +65,8 @@
   return Bounds;
 }
 
-/// Kills, restarts, a handover and a takeover together.
-HomeBounds together(int Minted) {
+/// A kill, a restart, a handover and a takeover together.
+HomeBounds combinedFaults(int Minted) {
   HomeBounds Bounds;
   Bounds.Minted = {Minted};
   Bounds.LastTime = 4;
@@ -78,102 +79,103 @@
 TEST_GROUP_BASE(HomeExploration, ExplorationGroup){};
 
 TEST(HomeExploration, ATakeoverRunsNothingTwice) {
-  // Symptom: two van pickups. Sequence: home paused or killed between check
-  // and send, slice taken over, the key comes again, the late send arrives.
-  // Cause: the successor does not know what its predecessor had sent.
-  expectNone("takeover, clocks alike", takeover(0));
-  expectNone("takeover, successor's clock a second behind", takeover(-1));
-  expectNone("takeover, successor's clock a second ahead", takeover(1));
+  // Guards against a key that runs twice: the home is paused or killed between
+  // the check and the send, the slice is taken over, the caller retries, and
+  // the late send arrives. The successor does not know what its predecessor
+  // sent.
+  expectNoViolation("takeover, clocks alike", takeover(0));
+  expectNoViolation("takeover, successor's clock a second behind",
+                    takeover(-1));
+  expectNoViolation("takeover, successor's clock a second ahead", takeover(1));
 }
 
 TEST(HomeExploration, WithoutTheTakeoverRuleAKeyRunsTwice) {
-  // Symptom, sequence: as above. Cause: the new home runs old keys.
+  // As above, but the new home runs keys that were minted before the takeover.
   HomeBounds Bounds = takeover(0);
   Bounds.Options.UseTakeoverRule = false;
-  expectFound("takeover without the key-time rule", Bounds);
+  expectViolation("takeover without the key-time rule", Bounds);
 }
 
 TEST(HomeExploration, WithoutTheAheadRuleAFutureKeyRunsTwice) {
-  // Symptom: a key stamped in the future runs at both homes. Sequence: it runs
-  // at A, A dies, B takes over and finds it newer than T + m2. Cause: A took a
-  // key from further ahead than the guard reaches.
+  // A key with a mint time in the future runs at home A, A dies, B takes over
+  // at T and finds the key newer than T + TakeoverGuard. It runs twice because
+  // A accepted a key from further ahead than the guard covers.
   HomeBounds Bounds = takeover(0);
   Bounds.Options.UseAheadRule = false;
-  expectFound("takeover without the refusal of future keys", Bounds);
+  expectViolation("takeover without the refusal of future keys", Bounds);
 }
 
-TEST(HomeExploration, ClocksBeyondTheBoundBreakThePromise) {
-  // Symptom: as above. Sequence: the dead home's clock was four seconds ahead,
-  // the guard allows for one. Cause: the assumption on the clocks is broken;
-  // the test shows that the bound is needed and not merely prudent.
-  expectFound("takeover, clocks beyond the bound", takeover(-4));
+TEST(HomeExploration, ClockSkewBeyondTheBoundRunsAKeyTwice) {
+  // The clock of the dead home is four seconds ahead, but the guard allows for
+  // one. The double run shows that the bound on clock skew is necessary.
+  expectViolation("takeover, clocks beyond the bound", takeover(-4));
 }
 
 TEST(HomeExploration, ARestartInTheSlotRunsNothingTwice) {
-  // Symptom: a repeated call runs again after an agent's crash. Sequence:
-  // sent, killed, restarted, repeated. Cause: claims are in memory only.
-  expectNone("restart in the slot", restart());
+  // Guards against a retry that runs again after a crash of the agent, which
+  // keeps claims only in memory: the call is sent, the agent is killed and
+  // restarted, and the caller retries.
+  expectNoViolation("restart in the slot", restart());
 }
 
 TEST(HomeExploration, AHandoverRunsNothingTwice) {
-  // Symptom: a repeated call runs at the next home. Sequence: calls before,
-  // during and after two handovers, answers of the table lost, calls that are
-  // not sent after all. Cause: claims and grant do not move as one.
-  expectNone("handovers", handover());
+  // Guards against a retry that runs again at the next home, because claims and
+  // grant do not move atomically. Calls arrive before, during and after two
+  // handovers, replies of the table are lost, and some calls are not sent.
+  expectNoViolation("handovers", handover());
 }
 
-TEST(HomeExploration, WithoutHandedClaimsAKeyRunsTwice) {
-  // Symptom: as above. Cause: the successor ignores the claims.
+TEST(HomeExploration, WithoutReceivedClaimsAKeyRunsTwice) {
+  // As above, but the successor ignores the claims that it receives.
   HomeBounds Bounds = handover();
-  Bounds.Options.UseHandedClaims = false;
+  Bounds.Options.UseReceivedClaims = false;
   Bounds.FailuresBeforeSend = 0;
-  expectFound("handover without claims", Bounds);
+  expectViolation("handover without claims", Bounds);
 }
 
 TEST(HomeExploration, FaultsTogetherRunNothingTwice) {
-  // Symptom: a key runs twice after a chain of faults. Sequence: every
-  // interleaving of a handover, a kill, a restart, a takeover and a lost
-  // answer of the table. Cause: two holders of one slice.
-  expectNone("together, old key", together(0));
-  expectNone("together, new key", together(4));
-  expectNone("together, key that is not a UUIDv7", together(-1));
-  HomeBounds Twice = together(4);
-  Twice.Kills = 2;
-  Twice.Restarts = 2;
-  Twice.LostAnswers = 0;
-  expectNone("together, new key, each fault twice", Twice);
+  // Guards against two homes that serve one slice at the same time, in every
+  // interleaving of a handover, a kill, a restart, a takeover and a lost reply
+  // of the table.
+  expectNoViolation("together, old key", combinedFaults(0));
+  expectNoViolation("together, new key", combinedFaults(4));
+  expectNoViolation("together, key that is not a UUIDv7", combinedFaults(-1));
+  HomeBounds EachFaultTwice = combinedFaults(4);
+  EachFaultTwice.Kills = 2;
+  EachFaultTwice.Restarts = 2;
+  EachFaultTwice.LostAnswers = 0;
+  expectNoViolation("together, new key, each fault twice", EachFaultTwice);
 }
 
 TEST(HomeExploration, ASuccessorThatServesBeforeTheGrantRunsAKeyTwice) {
-  // Symptom: two homes run one new key. Sequence: claims handed over, the
-  // successor serves at once; the old home dies before the table knows, its
-  // slot's new process finds itself named in the row. Cause: a handover that
-  // the table does not know.
-  HomeBounds Bounds = together(4);
+  // The successor serves as soon as it has the claims. The old home dies before
+  // it writes the grant, and the process that restarts in its slot still holds
+  // the slice according to the row. Two homes then run the same new key.
+  HomeBounds Bounds = combinedFaults(4);
   Bounds.GrantBeforeCommit = true;
-  expectFound("direct handover, table written later", Bounds);
+  expectViolation("direct handover, table written later", Bounds);
 }
 
 TEST(HomeExploration, ARestartThatOnlyReadsTheRowRunsAKeyTwice) {
-  // Symptom: two homes run one new key. Sequence: the dying home has sent the
-  // successor's grant; its slot's new process reads the row before the grant
-  // takes effect, then it does. Cause: reading does not stop a late write.
-  HomeBounds Bounds = together(4);
+  // The home sends the write of the successor's grant and dies. The process
+  // that restarts in its slot reads the row before the write takes effect.
+  // Reading the row does not prevent the late write, so two homes run the same
+  // new key.
+  HomeBounds Bounds = combinedFaults(4);
   Bounds.RestartOnlyReads = true;
-  expectFound("restart that only reads the row", Bounds);
+  expectViolation("restart that only reads the row", Bounds);
 }
 
 TEST(HomeExploration, AnEarlyListMakesOnlyNewKeysUnsafe) {
-  // Symptom: two homes run one new key although both follow the rules.
-  // Sequence: the platform lists a living home as gone. Cause: the assumption
-  // that the list is late and never early is broken. Old keys stay safe: the
-  // key-time rule holds for them still.
-  HomeBounds Bounds = together(4);
+  // The platform lists a live home as gone, which breaks the assumption that
+  // the list may be late but never early. Two homes then run the same new key.
+  // Old keys remain safe because of the takeover rule.
+  HomeBounds Bounds = combinedFaults(4);
   Bounds.ListMayBeEarly = true;
-  expectFound("list calls a living home gone, new key", Bounds);
+  expectViolation("list calls a living home gone, new key", Bounds);
   Bounds.Minted = {0};
   Bounds.Kills = 0;
   Bounds.Restarts = 0;
   Bounds.Handovers = 0;
-  expectNone("list calls a living home gone, old key", Bounds);
+  expectNoViolation("list calls a living home gone, old key", Bounds);
 }
--- a/Tests/LibIdempotency/TestHomeMachine.cpp
+++ b/Tests/LibIdempotency/TestHomeMachine.cpp
@@ -1,6 +1,6 @@
-//===- TestHomeMachine.cpp - Single rules of a home -----------------------===//
+//===- TestHomeMachine.cpp - Tests of HomeMachine -------------------------===//
 //
-// The rules of HomeMachine, SliceMap and HomeDirectory one by one.
+// Tests the rules of HomeMachine, SliceMap and HomeDirectory individually.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,14 +30,16 @@
   HomeMachine Home{HomeOptions{}};
   std::chrono::milliseconds Now = 0ms;
 
-  std::vector<Action> step(const Event &What) {
-    return Home.step(What, at(Now), wall(Now));
+  std::vector<Action> step(const Event &Event) {
+    return Home.step(Event, at(Now), wall(Now));
   }
   std::vector<Action> call(uint64_t Token,
                            const std::string &Fingerprint = "f") {
     return step(CallReceived{Token, Key, Fingerprint, mintTimeOf(Key)});
   }
-  void grant(GrantReason How) { step(SliceGranted{sliceOf(Key), 1, How}); }
+  void grant(GrantReason Reason) {
+    step(SliceGranted{sliceOf(Key), 1, Reason});
+  }
 };
 
 TEST(HomeMachine, ReadsTheMintTimeOfAUuidOfVersionSeven) {
@@ -65,16 +67,16 @@
 }
 
 TEST(HomeMachine, ACrashOfTheTargetLeavesTheKeyUnknownForGood) {
-  // Symptom: a slot is held twice. Sequence: call sent, target crashes,
-  // caller repeats the key. Cause: a lost answer taken for a call not run.
+  // Guards against a key that runs twice: the call is sent, the target crashes,
+  // and the caller retries. A lost answer must not be taken for "not run".
   grant(GrantReason::Initial);
   call(1);
   CHECK_TRUE(step(TargetOutcomeUnknown{Key}).at(0) ==
-             Action(UnknownToCaller{1}));
-  CHECK_TRUE(call(2).at(0) == Action(UnknownToCaller{2}));
+             Action(ReportUnknownOutcome{1}));
+  CHECK_TRUE(call(2).at(0) == Action(ReportUnknownOutcome{2}));
 }
 
-TEST(HomeMachine, ACallThatWasNotSentMayComeAgain) {
+TEST(HomeMachine, ACallThatWasNotSentMayBeRetried) {
   grant(GrantReason::Initial);
   call(1);
   CHECK_TRUE(step(TargetFailedBeforeSend{Key, ResultCode::Draining}).at(0) ==
@@ -82,7 +84,7 @@
   CHECK_TRUE(call(2).at(0) == Action(SendToTarget{2, Key}));
 }
 
-TEST(HomeMachine, RefusesWhatItIsNotHomeOf) {
+TEST(HomeMachine, RefusesKeysOfSlicesItDoesNotHold) {
   CHECK_TRUE(call(1).at(0) == Action(RefuseCaller{1, ResultCode::HomeMoved}));
 }
 
@@ -94,12 +96,12 @@
 }
 
 TEST(HomeMachine, AfterARestartOldKeysAreUnknownAndNewOnesRun) {
-  // Symptom: a repeated call runs again. Sequence: sent, agent killed, new
-  // agent in the slot, repeated. Cause: claims died with the process.
+  // Guards against a retry that runs again after the agent was killed and
+  // restarted in its slot, because the claims were lost with the process.
   Now = -3000ms;
   grant(GrantReason::SameSlotRestart);
   Now = 5000ms;
-  CHECK_TRUE(call(1).at(0) == Action(UnknownToCaller{1}));
+  CHECK_TRUE(call(1).at(0) == Action(ReportUnknownOutcome{1}));
   HomeMachine Earlier{HomeOptions{}};
   Earlier.step(SliceGranted{sliceOf(Key), 1, GrantReason::SameSlotRestart},
                at(-3001ms), wall(-3001ms));
@@ -109,31 +111,32 @@
 }
 
 TEST(HomeMachine, AKeyOlderThanTheRetentionIsUnknown) {
-  // Symptom: a call repeated after a day runs again. Sequence: answered,
-  // claim dropped at the end of the retention, repeated. Cause: a dropped
-  // claim looks like a key that was never seen.
+  // Guards against a retry that runs again after the claim of the answered call
+  // was removed at the end of its retention, when the key looks like a new one.
   grant(GrantReason::Initial);
   call(1);
   step(TargetAnswered{Key, Ticket});
   Now = 24h;
   step(Tick{});
   UNSIGNED_LONGS_EQUAL(0, Home.claimCount());
-  CHECK_TRUE(call(2).at(0) == Action(UnknownToCaller{2}));
+  CHECK_TRUE(call(2).at(0) == Action(ReportUnknownOutcome{2}));
 }
 
-TEST(HomeMachine, AnOpenCallsAnswerFollowsTheHandover) {
-  // Symptom: a caller at the new home never hears of a call that the old home
-  // had open. Sequence: sent, handed over, repeated at the new home, answered
-  // at the old. Cause: claims move once, outcomes come later.
+TEST(HomeMachine, TheOutcomeOfAnOpenCallIsSentToTheSuccessor) {
+  // Guards against a caller that gets no answer at the new home for a call that
+  // was open at the old home during the handover. The outcome has to be sent to
+  // the new home after the claims.
   grant(GrantReason::Initial);
   call(1);
   auto Sent =
       std::get<SendClaims>(step(HandoverRequested{sliceOf(Key), "next"}).at(0));
   HomeMachine Next{HomeOptions{}};
-  auto Next1 = Next.step(
-      ClaimsReceived{Sent.Slice, Sent.Epoch, Sent.Claims, true, Sent.OldUntil},
-      at(0ms), wall(0ms));
-  CHECK_TRUE(Next1.at(0) == Action(AcknowledgeClaims{Sent.Slice, Sent.Epoch}));
+  auto Acknowledged =
+      Next.step(ClaimsReceived{Sent.Slice, Sent.Epoch, Sent.Claims, true,
+                               Sent.OldKeysUntil},
+                at(0ms), wall(0ms));
+  CHECK_TRUE(Acknowledged.at(0) ==
+             Action(AcknowledgeClaims{Sent.Slice, Sent.Epoch}));
   step(HandoverAcknowledged{Sent.Slice, Sent.Epoch});
   step(GrantCommitted{Sent.Slice, Sent.Epoch});
   Next.step(SliceGranted{Sent.Slice, Sent.Epoch, GrantReason::Handover},
@@ -146,27 +149,28 @@
   CHECK_TRUE(Answers.at(0) == Action(AnswerCaller{1, Ticket, false}));
   auto Update = std::get<SendClaims>(Answers.at(1));
   CHECK_FALSE(Update.Complete);
-  auto There = Next.step(ClaimsReceived{Update.Slice, Update.Epoch,
-                                        Update.Claims, false, std::nullopt},
-                         at(0ms), wall(0ms));
-  CHECK_TRUE(There.at(0) == Action(AnswerCaller{2, Ticket, true}));
+  auto Forwarded = Next.step(ClaimsReceived{Update.Slice, Update.Epoch,
+                                            Update.Claims, false, std::nullopt},
+                             at(0ms), wall(0ms));
+  CHECK_TRUE(Forwarded.at(0) == Action(AnswerCaller{2, Ticket, true}));
 }
 
-TEST(HomeMachine, AnOutcomeThatNeverFollowsBecomesUnknown) {
-  // Symptom: callers at the new home wait for ever. Sequence: handed over with
-  // a call open, old home killed. Cause: nobody is left to tell the outcome.
+TEST(HomeMachine, AnOutcomeThatIsNeverReportedBecomesUnknown) {
+  // Guards against callers that wait forever at the new home: the slice is
+  // handed over with a call open, and the old home is killed before it reports
+  // the outcome.
   Claim Open{Key, ClaimState::Sent, "f", {}, Minted};
   step(ClaimsReceived{sliceOf(Key), 3, {Open}, true, std::nullopt});
   step(SliceGranted{sliceOf(Key), 3, GrantReason::Handover});
   call(1);
   Now = 30s;
-  CHECK_TRUE(step(Tick{}).at(0) == Action(UnknownToCaller{1}));
+  CHECK_TRUE(step(Tick{}).at(0) == Action(ReportUnknownOutcome{1}));
 }
 
 TEST(HomeMachine, TheOldHomeStillAnswersForKeysThatItRan) {
-  // Symptom: "not run" for a key that ran. Sequence: answered, handed over,
-  // repeated at the old home by an entry that has not heard. Cause: the old
-  // home refuses all keys of the slice alike.
+  // Guards against "not run" for a key that ran: the call is answered, the
+  // slice is handed over, and an entry with outdated homes sends the retry to
+  // the old home.
   grant(GrantReason::Initial);
   call(1);
   step(TargetAnswered{Key, Ticket});
@@ -177,9 +181,9 @@
 }
 
 TEST(HomeMachine, ALateAcknowledgementDoesNotEndTheNextAttempt) {
-  // Symptom: a key runs at both homes. Sequence: handover given up, a key
-  // runs, second handover, the acknowledgement of the first arrives. Cause:
-  // the second set of claims is not stored yet.
+  // Guards against a key that runs at both homes: a handover is abandoned, a
+  // key runs, and the acknowledgment of the first handover arrives during a
+  // second one, whose claims the successor has not stored yet.
   grant(GrantReason::Initial);
   step(HandoverRequested{sliceOf(Key), "next"});
   step(HandoverFailed{sliceOf(Key)});
@@ -190,36 +194,37 @@
              Action(CommitGrant{sliceOf(Key), "next", 1, 5}));
 }
 
-TEST(HomeMachine, ClaimsOfAnAbandonedHandoverAreNotTakenForAll) {
-  // Symptom: a key runs at both homes. Sequence: claims sent, handover given
-  // up, a key runs at the old home, it dies, the successor takes over. Cause:
-  // the grant has the epoch of the handover, whose claims lack the key.
+TEST(HomeMachine, ClaimsOfAnAbandonedHandoverAreNotComplete) {
+  // Guards against a key that runs at both homes: claims are sent, the handover
+  // is abandoned, a key runs at the old home, which dies, and the successor
+  // takes over. The grant must not have the epoch of the handover, whose claims
+  // lack the key.
   step(ClaimsReceived{sliceOf(Key), 3, {}, true, std::nullopt});
   uint64_t Epoch = nextTakeoverEpoch(1);
   CHECK_TRUE(Epoch != nextHandoverEpoch(1));
   step(SliceGranted{sliceOf(Key), Epoch, GrantReason::Handover});
-  CHECK_TRUE(call(1).at(0) == Action(UnknownToCaller{1}));
+  CHECK_TRUE(call(1).at(0) == Action(ReportUnknownOutcome{1}));
 }
 
 TEST_GROUP(SliceMap){};
 
-TEST(SliceMap, AHomeThatComesOrGoesMovesOnlyItsShare) {
+TEST(SliceMap, AnAddedHomeMovesOnlyItsShare) {
   std::vector<std::string> Three{"a", "b", "c"};
   std::vector<std::string> Four{"a", "b", "c", "d"};
   GrantTable Table;
-  for (const Move &One : SliceMap::plan(Table, Three, {}, {}))
-    Table[One.Slice] = {One.To, One.Epoch};
+  for (const Move &Move : SliceMap::plan(Table, Three, {}, {}))
+    Table[Move.Slice] = {Move.To, Move.Epoch};
   size_t Moved = 0;
-  for (const Move &One : SliceMap::plan(Table, Four, {}, {})) {
-    CHECK_TRUE(One.To == "d" && One.Why == MoveReason::Handover);
+  for (const Move &Move : SliceMap::plan(Table, Four, {}, {})) {
+    CHECK_TRUE(Move.To == "d" && Move.Reason == MoveReason::Handover);
     ++Moved;
   }
   CHECK_TRUE(Moved > 0 && Moved < SliceCount / 2);
 }
 
 TEST(SliceMap, OnlyAHomeThatIsProvenGoneLosesItsSlices) {
-  // Symptom: two homes for one slice. Sequence: a home is cut off and
-  // another is given its slices. Cause: silence taken for death.
+  // Guards against two homes that serve one slice: an unreachable home may
+  // still be running, so its slices must not be granted to another home.
   GrantTable Table;
   Table.fill({"a", 3});
   std::vector<std::string> Serving{"b"};
