--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -1,6 +1,6 @@
 //===- Membership.cpp - Targets and peers of one entry --------------------===//
 //
-// See Membership.h.
+// Applies the sources of information about targets and selects the subset.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,24 +35,24 @@
 
 Membership::Membership(Options Settings) : m_Options(std::move(Settings)) {}
 
-std::vector<Action> Membership::step(const Event &Happened, BootTime) {
+std::vector<Action> Membership::step(const Event &Event, BootTime) {
   Actions Out;
-  std::visit([&](const auto &Which) { on(Which, Out); }, Happened);
+  std::visit([&](const auto &Chosen) { on(Chosen, Out); }, Event);
   return Out;
 }
 
 void Membership::on(const VmListRead &Read, Actions &Out) {
-  // An empty list is not believed: one read during a fault of the platform
-  // would make the entry give up every target at once, while agents that
-  // really left stop reporting and refuse work by themselves.
+  // An empty list is ignored once targets are known: a single read during a
+  // fault of the platform would make the entry disconnect from every target.
+  // Agents that are really gone stop reporting or refuse work themselves.
   if (Read.Vms.empty() && !m_Targets.empty())
     return;
   m_ListKnown = true;
-  takePeers(Read.Vms, Out);
-  takeTargets(Read.Vms, Out);
+  updatePeers(Read.Vms, Out);
+  updateTargets(Read.Vms, Out);
 }
 
-void Membership::takePeers(const std::vector<Vm> &Listed, Actions &Out) {
+void Membership::updatePeers(const std::vector<Vm> &Listed, Actions &Out) {
   std::vector<Vm> Peers;
   for (const Vm &Candidate : Listed)
     if (Candidate.Kind == VmKind::Entry &&
@@ -60,142 +60,145 @@
         Candidate.Id != m_Options.EntryId && Candidate.State == VmState::Live)
       Peers.push_back(Candidate);
   std::sort(Peers.begin(), Peers.end(),
-            [](const Vm &A, const Vm &B) { return A.Id < B.Id; });
+            [](const Vm &Left, const Vm &Right) { return Left.Id < Right.Id; });
   if (sameVms(Peers, m_Peers))
     return;
   m_Peers = std::move(Peers);
   Out.push_back(PeersChanged{m_Peers});
 }
 
-void Membership::takeTargets(const std::vector<Vm> &Listed, Actions &Out) {
-  std::set<std::string> Seen;
+void Membership::updateTargets(const std::vector<Vm> &Listed, Actions &Out) {
+  std::set<std::string> ListedIds;
   for (const Vm &Candidate : Listed) {
     if (Candidate.Kind != VmKind::Target ||
         Candidate.Region != m_Options.Region)
       continue;
-    Seen.insert(Candidate.Id);
-    const auto [Place, IsNew] = m_Targets.try_emplace(Candidate.Id);
+    ListedIds.insert(Candidate.Id);
+    const auto [Position, IsNew] = m_Targets.try_emplace(Candidate.Id);
     if (IsNew) {
-      Place->second.Listed = Candidate;
-      if (const auto Wish = m_Wishes.find(Candidate.Id); Wish != m_Wishes.end())
-        Place->second.Wish = Wish->second;
+      Position->second.Listed = Candidate;
+      if (const auto Desired = m_DesiredStates.find(Candidate.Id);
+          Desired != m_DesiredStates.end())
+        Position->second.DesiredState = Desired->second;
     } else {
-      update(Place->second, Candidate, Out);
+      updateTarget(Position->second, Candidate, Out);
     }
   }
-  for (auto &[Id, Known] : m_Targets)
-    if (!Seen.contains(Id) && Known.Listed.State != VmState::Gone) {
-      Known.Listed.State = VmState::Gone;
+  for (auto &[Id, Target] : m_Targets)
+    if (!ListedIds.contains(Id) && Target.Listed.State != VmState::Gone) {
+      Target.Listed.State = VmState::Gone;
       Out.push_back(RoutingChanged{});
     }
-  chooseSubset(Out);
-  forgetGone();
+  selectSubset(Out);
+  removeGoneTargets();
 }
 
-void Membership::update(TargetState &Known, const Vm &Listed, Actions &Out) {
-  if (sameVm(Known.Listed, Listed))
+void Membership::updateTarget(TargetState &Target, const Vm &Listed,
+                              Actions &Out) {
+  if (sameVm(Target.Listed, Listed))
     return;
-  // A VM that was replaced under its id: the old connection leads nowhere.
-  if (Known.InSubset && Known.Listed.Peer != Listed.Peer)
-    leave(Known, Out);
-  const bool BeganToLeave =
-      Known.Listed.State == VmState::Live && Listed.State == VmState::Leaving;
-  Known.Listed = Listed;
-  if (BeganToLeave && Known.Connected)
-    Out.push_back(TellLeaving{Listed.Id});
+  // The VM was replaced under the same id, so the connection is useless.
+  if (Target.InSubset && Target.Listed.Peer != Listed.Peer)
+    removeFromSubset(Target, Out);
+  const bool StartedLeaving =
+      Target.Listed.State == VmState::Live && Listed.State == VmState::Leaving;
+  Target.Listed = Listed;
+  if (StartedLeaving && Target.Connected)
+    Out.push_back(NotifyLeaving{Listed.Id});
   Out.push_back(RoutingChanged{});
 }
 
-void Membership::chooseSubset(Actions &Out) {
+void Membership::selectSubset(Actions &Out) {
   std::map<std::string, std::vector<route::SubsetMember>> ByBackEnd;
-  for (const auto &[Id, Known] : m_Targets)
-    if (Known.Listed.State != VmState::Gone)
-      ByBackEnd[Known.Listed.BackEnd].push_back({Id, Known.Listed.Zone});
+  for (const auto &[Id, Target] : m_Targets)
+    if (Target.Listed.State != VmState::Gone)
+      ByBackEnd[Target.Listed.BackEnd].push_back({Id, Target.Listed.Zone});
   std::vector<std::string> Entries{m_Options.EntryId};
   for (const Vm &Peer : m_Peers)
     Entries.push_back(Peer.Id);
 
   std::set<std::string> Chosen;
   for (const auto &[BackEnd, Members] : ByBackEnd) {
-    const size_t Count = m_Planned.contains(BackEnd)
+    const size_t Count = m_PlannedBackEnds.contains(BackEnd)
                              ? Members.size()
                              : m_Options.TargetsPerBackEnd;
     for (std::string &Id : route::subsetFor(m_Options.EntryId, m_Options.Zone,
                                             Members, Count, Entries))
       Chosen.insert(std::move(Id));
   }
-  for (auto &[Id, Known] : m_Targets) {
-    if (Chosen.contains(Id) && !Known.InSubset)
-      enter(Known, Out);
-    else if (!Chosen.contains(Id) && Known.InSubset)
-      leave(Known, Out);
+  for (auto &[Id, Target] : m_Targets) {
+    if (Chosen.contains(Id) && !Target.InSubset)
+      addToSubset(Target, Out);
+    else if (!Chosen.contains(Id) && Target.InSubset)
+      removeFromSubset(Target, Out);
   }
 }
 
-void Membership::enter(TargetState &Known, Actions &Out) {
-  Known.InSubset = true;
-  Out.push_back(Connect{Known.Listed});
+void Membership::addToSubset(TargetState &Target, Actions &Out) {
+  Target.InSubset = true;
+  Out.push_back(Connect{Target.Listed});
   Out.push_back(RoutingChanged{});
 }
 
-void Membership::leave(TargetState &Known, Actions &Out) {
-  Known.InSubset = false;
-  Known.Connected = false;
-  Known.Report.reset();
-  Out.push_back(Disconnect{Known.Listed.Id});
+void Membership::removeFromSubset(TargetState &Target, Actions &Out) {
+  Target.InSubset = false;
+  Target.Connected = false;
+  Target.Report.reset();
+  Out.push_back(Disconnect{Target.Listed.Id});
   Out.push_back(RoutingChanged{});
 }
 
-void Membership::forgetGone() {
-  std::erase_if(m_Targets, [](const auto &Entry) {
-    return Entry.second.Listed.State == VmState::Gone && !Entry.second.InSubset;
+void Membership::removeGoneTargets() {
+  std::erase_if(m_Targets, [](const auto &Item) {
+    return Item.second.Listed.State == VmState::Gone && !Item.second.InSubset;
   });
 }
 
-void Membership::on(const WishesRead &Read, Actions &Out) {
-  m_Wishes = Read.Wishes;
-  for (auto &[Id, Known] : m_Targets) {
-    const auto Wish = m_Wishes.find(Id);
-    const record::TargetIntent Now =
-        Wish == m_Wishes.end() ? record::TargetIntent::Serve : Wish->second;
-    if (std::exchange(Known.Wish, Now) != Now)
+void Membership::on(const DesiredStatesRead &Read, Actions &Out) {
+  m_DesiredStates = Read.DesiredStates;
+  for (auto &[Id, Target] : m_Targets) {
+    const auto Desired = m_DesiredStates.find(Id);
+    const record::TargetIntent State = Desired == m_DesiredStates.end()
+                                           ? record::TargetIntent::Serve
+                                           : Desired->second;
+    if (std::exchange(Target.DesiredState, State) != State)
       Out.push_back(RoutingChanged{});
   }
 }
 
-void Membership::on(const PlannedChanged &Changed, Actions &Out) {
-  if (m_Planned == Changed.BackEnds)
+void Membership::on(const PlannedBackEndsChanged &Changed, Actions &Out) {
+  if (m_PlannedBackEnds == Changed.BackEnds)
     return;
-  m_Planned = Changed.BackEnds;
-  chooseSubset(Out);
+  m_PlannedBackEnds = Changed.BackEnds;
+  selectSubset(Out);
 }
 
 void Membership::on(const ConnectionChanged &Changed, Actions &Out) {
   const auto Found = m_Targets.find(Changed.Target);
   if (Found == m_Targets.end() || !Found->second.InSubset)
     return;
-  TargetState &Known = Found->second;
-  if (Known.Connected == Changed.Connected)
+  TargetState &Target = Found->second;
+  if (Target.Connected == Changed.Connected)
     return;
-  Known.Connected = Changed.Connected;
-  // What it last said may be of a process that no longer lives.
-  Known.Report.reset();
-  if (Known.Connected && Known.Listed.State == VmState::Leaving)
-    Out.push_back(TellLeaving{Changed.Target});
+  Target.Connected = Changed.Connected;
+  // The last report may be from a process that has ended.
+  Target.Report.reset();
+  if (Target.Connected && Target.Listed.State == VmState::Leaving)
+    Out.push_back(NotifyLeaving{Changed.Target});
   Out.push_back(RoutingChanged{});
 }
 
-void Membership::on(const Reported &Report, Actions &Out) {
-  const auto Found = m_Targets.find(Report.Target);
+void Membership::on(const ReportReceived &Received, Actions &Out) {
+  const auto Found = m_Targets.find(Received.Target);
   if (Found == m_Targets.end() || !Found->second.Connected)
     return;
-  TargetState &Known = Found->second;
-  TargetReport Before = Known.Report.value_or(TargetReport{});
-  const bool IsFirst = !Known.Report;
-  Known.Report = Report.Report;
-  // The count changes with every request and says nothing about routing.
-  Before.RequestsInFlight = Report.Report.RequestsInFlight;
-  if (IsFirst || Before != Report.Report)
+  TargetState &Target = Found->second;
+  TargetReport Previous = Target.Report.value_or(TargetReport{});
+  const bool IsFirst = !Target.Report;
+  Target.Report = Received.Report;
+  // The count changes with every request and does not affect routing.
+  Previous.RequestsInFlight = Received.Report.RequestsInFlight;
+  if (IsFirst || Previous != Received.Report)
     Out.push_back(RoutingChanged{});
 }
 
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -1,7 +1,8 @@
 //===- Membership.h - Targets and peers of one entry ------------*- C++ -*-===//
 //
-// State machine that keeps the set of targets which an entry is connected to,
-// from the platform's list, the operators' records and what agents report.
+// State machine that selects the targets to which an entry connects and tracks
+// their state, from the platform's list, the operators' records and the agents'
+// reports.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,9 +22,9 @@
 struct Options {
   std::string EntryId;
   std::string Zone;
-  /// Targets and peers of other regions are left out.
+  /// Targets and peers of other regions are ignored.
   std::string Region;
-  /// Agents of one back end that the entry is connected to.
+  /// Number of agents of one back end to which the entry connects.
   size_t TargetsPerBackEnd = 8;
 };
 
@@ -31,87 +32,90 @@
 struct VmListRead {
   std::vector<platform::Vm> Vms;
 };
-/// Operators' records about targets changed; targets without one serve.
-struct WishesRead {
-  std::map<std::string, record::TargetIntent> Wishes;
+/// The operators' records of targets were read. A target without a record
+/// serves.
+struct DesiredStatesRead {
+  std::map<std::string, record::TargetIntent> DesiredStates;
 };
-/// The channel of a target came up or went down.
+/// The channel to a target's agent was connected or lost.
 struct ConnectionChanged {
   std::string Target;
   bool Connected = false;
 };
-struct Reported {
+/// The agent of a target sent a report.
+struct ReportReceived {
   std::string Target;
   TargetReport Report;
 };
 
-/// Back ends that this entry plans for: it is connected to all their targets,
-/// because a planner has to see the whole shard.
-struct PlannedChanged {
+/// The back ends for which this entry plans changed. It connects to all of
+/// their targets, because a planner needs the state of the whole shard.
+struct PlannedBackEndsChanged {
   std::set<std::string> BackEnds;
 };
 
-using Event = std::variant<VmListRead, WishesRead, ConnectionChanged, Reported,
-                           PlannedChanged>;
+using Event = std::variant<VmListRead, DesiredStatesRead, ConnectionChanged,
+                           ReportReceived, PlannedBackEndsChanged>;
 
-/// Connect to the target's agent and keep connected.
+/// Connect to the target's agent and reconnect when the connection is lost.
 struct Connect {
   platform::Vm Target;
 };
-/// Give the connection up once the requests on it have ended.
+/// Close the connection once its requests have ended.
 struct Disconnect {
   std::string Target;
 };
-/// Tell the agent that its VM is about to leave; it may not know yet.
-struct TellLeaving {
+/// Notify the agent that its VM is leaving; it may not know that yet.
+struct NotifyLeaving {
   std::string Target;
 };
-/// Other entries of the region changed.
+/// The set of other entries in the region changed.
 struct PeersChanged {
   std::vector<platform::Vm> Peers;
 };
-/// What routing may use has changed.
+/// State that routing depends on has changed.
 struct RoutingChanged {};
 
-using Action = std::variant<Connect, Disconnect, TellLeaving, PeersChanged,
+using Action = std::variant<Connect, Disconnect, NotifyLeaving, PeersChanged,
                             RoutingChanged>;
 
 class Membership {
 public:
   explicit Membership(Options Settings);
 
-  std::vector<Action> step(const Event &Happened, BootTime Now);
+  std::vector<Action> step(const Event &Event, BootTime Now);
 
-  /// By id; targets that left the list stay while connected.
+  /// Targets on the platform's list, by id.
   const std::map<std::string, TargetState> &targets() const {
     return m_Targets;
   }
   const std::vector<platform::Vm> &peers() const { return m_Peers; }
-  /// The list was read at least once.
+  /// Whether the list has been read at least once.
   bool listKnown() const { return m_ListKnown; }
 
 private:
   using Actions = std::vector<Action>;
 
   void on(const VmListRead &, Actions &Out);
-  void on(const WishesRead &, Actions &Out);
+  void on(const DesiredStatesRead &, Actions &Out);
   void on(const ConnectionChanged &, Actions &Out);
-  void on(const Reported &, Actions &Out);
-  void on(const PlannedChanged &, Actions &Out);
-
-  void takeTargets(const std::vector<platform::Vm> &Listed, Actions &Out);
-  void takePeers(const std::vector<platform::Vm> &Listed, Actions &Out);
-  void update(TargetState &Known, const platform::Vm &Listed, Actions &Out);
-  void chooseSubset(Actions &Out);
-  void enter(TargetState &Known, Actions &Out);
-  void leave(TargetState &Known, Actions &Out);
-  void forgetGone();
+  void on(const ReportReceived &, Actions &Out);
+  void on(const PlannedBackEndsChanged &, Actions &Out);
+
+  void updateTargets(const std::vector<platform::Vm> &Listed, Actions &Out);
+  void updatePeers(const std::vector<platform::Vm> &Listed, Actions &Out);
+  void updateTarget(TargetState &Target, const platform::Vm &Listed,
+                    Actions &Out);
+  void selectSubset(Actions &Out);
+  void addToSubset(TargetState &Target, Actions &Out);
+  void removeFromSubset(TargetState &Target, Actions &Out);
+  void removeGoneTargets();
 
   const Options m_Options;
   std::map<std::string, TargetState> m_Targets;
-  std::map<std::string, record::TargetIntent> m_Wishes;
-  std::set<std::string> m_Planned;
-  /// Live entries of the region without this one, ascending by id.
+  std::map<std::string, record::TargetIntent> m_DesiredStates;
+  std::set<std::string> m_PlannedBackEnds;
+  /// Live entries of the region except this one, sorted by id.
   std::vector<platform::Vm> m_Peers;
   bool m_ListKnown = false;
 };
--- a/Libraries/LibMembership/TargetState.cpp
+++ b/Libraries/LibMembership/TargetState.cpp
@@ -1,6 +1,6 @@
-//===- TargetState.cpp - What an entry knows of one target ----------------===//
+//===- TargetState.cpp - State of one target as seen by an entry ----------===//
 //
-// See TargetState.h.
+// Conversion of agent states to and from their names on the wire.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,10 +37,10 @@
 }
 
 bool TargetState::acceptsWork() const {
-  // Any one of the sources that says "leaving" is enough: each may know it
-  // first, and the others follow.
+  // A target that any one source reports as leaving gets no work: each of them
+  // may be the first to know.
   return InSubset && Connected && Listed.State == platform::VmState::Live &&
-         Wish == record::TargetIntent::Serve && Report &&
+         DesiredState == record::TargetIntent::Serve && Report &&
          Report->State == AgentState::Serving && Report->Accepting;
 }
 
--- a/Libraries/LibMembership/TargetState.h
+++ b/Libraries/LibMembership/TargetState.h
@@ -1,7 +1,8 @@
-//===- TargetState.h - What an entry knows of one target --------*- C++ -*-===//
+//===- TargetState.h - State of one target as seen by an entry --*- C++ -*-===//
 //
-// Three sources tell about a target: the platform's list, which lags; the
-// operators' records; and its own agent, over the Sync stream.
+// Combines three sources of information about a target: the platform's list,
+// which lags; the operators' records; and the reports of the target's agent on
+// the Sync stream.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,21 +19,21 @@
 
 namespace figlift::membership {
 
-/// What an agent says that it is doing.
+/// State of the target as its agent reports it.
 enum class AgentState { Recovering, Serving, Draining, Drained };
 
-/// The state of a name on the wire; an unknown name is Recovering, which
-/// gives it no work.
+/// State by its name on the wire. An unknown name is read as Recovering, so
+/// that the target gets no work.
 AgentState agentStateFromName(std::string_view Name);
 std::string_view agentStateName(AgentState State);
 
 /// An agent's last report.
 struct TargetReport {
   AgentState State = AgentState::Recovering;
-  /// False while its target cannot take work, whatever the state.
+  /// False while the target cannot accept work, whatever its state.
   bool Accepting = false;
   std::string Role;
-  /// "name@version".
+  /// "name@version" of each loaded model.
   std::vector<std::string> Models;
   std::vector<uint64_t> PrefixHashes;
   uint64_t Revision = 0;
@@ -45,15 +46,16 @@
 
 struct TargetState {
   platform::Vm Listed;
-  /// This entry keeps a channel to it.
+  /// Whether this entry keeps a channel to the target's agent.
   bool InSubset = false;
   bool Connected = false;
   std::optional<TargetReport> Report;
-  record::TargetIntent Wish = record::TargetIntent::Serve;
+  record::TargetIntent DesiredState = record::TargetIntent::Serve;
 
-  /// Whether new work may go there.
+  /// Whether the target may receive new work.
   bool acceptsWork() const;
-  /// One word for operators: the agent's state, or "unreachable", "gone".
+  /// State name for operators: that of the agent, or "gone", "not-connected" or
+  /// "unreachable".
   std::string_view describe() const;
 };
 
--- a/Services/figlift-entry/EntryShardView.cpp
+++ b/Services/figlift-entry/EntryShardView.cpp
@@ -59,9 +59,9 @@
   if (!Reported)
     // Retiring an unreachable target is an operator's confirmation that it has
     // stopped.
-    return State.Wish == TargetIntent::Retire ? HomeState::Gone
-                                              : HomeState::CutOff;
-  if (State.Wish != TargetIntent::Serve ||
+    return State.DesiredState == TargetIntent::Retire ? HomeState::Gone
+                                                      : HomeState::CutOff;
+  if (State.DesiredState != TargetIntent::Serve ||
       State.Listed.State != platform::VmState::Live)
     return HomeState::Leaving;
   switch (State.Report->State) {
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -102,7 +102,7 @@
 }
 
 void Fleet::setPlanned(std::set<std::string> BackEnds) {
-  step(membership::PlannedChanged{std::move(BackEnds)});
+  step(membership::PlannedBackEndsChanged{std::move(BackEnds)});
 }
 
 void Fleet::step(const membership::Event &Event) {
@@ -137,7 +137,7 @@
   m_Health.forget(Action.Target);
 }
 
-void Fleet::perform(const membership::TellLeaving &Action) {
+void Fleet::perform(const membership::NotifyLeaving &Action) {
   if (const auto Iterator = m_Links.find(Action.Target);
       Iterator != m_Links.end())
     Iterator->second.Link->requestDrain(
@@ -213,7 +213,7 @@
   if (Report.prefixes_unchanged())
     *Complete.mutable_prefix_hashes() = Last.Message.prefix_hashes();
   Last = {std::move(Complete), BootClock::now()};
-  step(membership::Reported{Target, reportFromWire(Last.Message)});
+  step(membership::ReportReceived{Target, reportFromWire(Last.Message)});
 }
 
 void Fleet::learnSlices(const std::string &Target,
@@ -245,11 +245,11 @@
       {{"revision", Revision}});
   log::logEvent(log::Level::Info, "revision-in-force",
                 {{"revision", Revision}});
-  membership::WishesRead Wishes;
+  membership::DesiredStatesRead DesiredStates;
   for (const config::Item *Item : m_Configuration->list("target"))
-    Wishes.Wishes[Item->Stored.Name] =
+    DesiredStates.DesiredStates[Item->Stored.Name] =
         m_Configuration->targetIntent(Item->Stored.Name);
-  step(Wishes);
+  step(DesiredStates);
   pushConfiguration(Previous ? Previous->revision() : 0);
   schedulePublish();
 }
--- a/Services/figlift-entry/Fleet.h
+++ b/Services/figlift-entry/Fleet.h
@@ -98,7 +98,7 @@
   void step(const membership::Event &Event);
   void perform(const membership::Connect &Action);
   void perform(const membership::Disconnect &Action);
-  void perform(const membership::TellLeaving &Action);
+  void perform(const membership::NotifyLeaving &Action);
   std::vector<platform::Vm> selectPeers(std::vector<platform::Vm> Peers) const;
   void perform(const membership::PeersChanged &Action);
   void perform(const membership::RoutingChanged &Action);
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -1,6 +1,6 @@
-//===- TestMembership.cpp - Targets and peers of one entry ----------------===//
+//===- TestMembership.cpp - Tests of Membership ---------------------------===//
 //
-// Every source that tells about a target, alone and against the others.
+// Tests each source of information about a target, alone and combined.
 //
 //===----------------------------------------------------------------------===//
 
@@ -40,8 +40,8 @@
 
 template <typename T> size_t count(const std::vector<Action> &Actions) {
   return static_cast<size_t>(
-      std::count_if(Actions.begin(), Actions.end(), [](const Action &Which) {
-        return std::holds_alternative<T>(Which);
+      std::count_if(Actions.begin(), Actions.end(), [](const Action &Action) {
+        return std::holds_alternative<T>(Action);
       }));
 }
 
@@ -53,8 +53,8 @@
                       .Region = "blue-ridge",
                       .TargetsPerBackEnd = 2}};
 
-  std::vector<Action> step(Event Happened) {
-    return Machine.step(Happened, BootTime{});
+  std::vector<Action> step(Event Event) {
+    return Machine.step(Event, BootTime{});
   }
   bool accepts(const std::string &Id) {
     return Machine.targets().at(Id).acceptsWork();
@@ -62,75 +62,74 @@
   void serve(const std::string &Id) {
     step(VmListRead{{target(Id)}});
     step(ConnectionChanged{Id, true});
-    step(Reported{Id, serving()});
+    step(ReportReceived{Id, serving()});
   }
 };
 
-TEST(Membership, ATargetServesOnceItIsListedConnectedAndSaysSo) {
+TEST(Membership, ATargetServesOnceItIsListedConnectedAndReportsServing) {
   CHECK_EQUAL(1u, count<Connect>(step(VmListRead{{target("t1")}})));
   CHECK_FALSE(accepts("t1"));
   step(ConnectionChanged{"t1", true});
   CHECK_FALSE(accepts("t1"));
-  CHECK_EQUAL(1u, count<RoutingChanged>(step(Reported{"t1", serving()})));
+  CHECK_EQUAL(1u, count<RoutingChanged>(step(ReportReceived{"t1", serving()})));
   CHECK_TRUE(accepts("t1"));
 }
 
-TEST(Membership, AnySourceAloneTakesATargetOutOfWork) {
+TEST(Membership, AnySingleSourceStopsWorkForATarget) {
   serve("t1");
-  step(WishesRead{{{"t1", record::TargetIntent::Drain}}});
+  step(DesiredStatesRead{{{"t1", record::TargetIntent::Drain}}});
   CHECK_FALSE(accepts("t1"));
-  step(WishesRead{});
+  step(DesiredStatesRead{});
   CHECK_TRUE(accepts("t1"));
 
   TargetReport Draining = serving();
   Draining.State = AgentState::Draining;
-  step(Reported{"t1", Draining});
+  step(ReportReceived{"t1", Draining});
   CHECK_FALSE(accepts("t1"));
-  step(Reported{"t1", serving()});
+  step(ReportReceived{"t1", serving()});
 
-  const auto Told = step(VmListRead{{target("t1", VmState::Leaving)}});
+  const auto Actions = step(VmListRead{{target("t1", VmState::Leaving)}});
   CHECK_FALSE(accepts("t1"));
-  CHECK_EQUAL(1u, count<TellLeaving>(Told));
+  CHECK_EQUAL(1u, count<NotifyLeaving>(Actions));
 }
 
-TEST(Membership, AWishIsKnownBeforeItsTarget) {
-  step(WishesRead{{{"t1", record::TargetIntent::Retire}}});
+TEST(Membership, ADesiredStateMayPrecedeItsTarget) {
+  step(DesiredStatesRead{{{"t1", record::TargetIntent::Retire}}});
   serve("t1");
   CHECK_FALSE(accepts("t1"));
 }
 
-TEST(Membership, AnEmptyListIsNotBelieved) {
-  // Symptom: every request is refused for a second although all targets live.
-  // Sequence: the platform answers one read of the list with no VM at all.
-  // Cause: the entry gives up every connection and has to make them anew.
+TEST(Membership, AnEmptyListIsIgnored) {
+  // Guards against a second of refused requests while all targets are alive:
+  // the platform replies once with an empty list, and the entry closes and
+  // reopens every connection.
   serve("t1");
   CHECK_EQUAL(0u, step(VmListRead{}).size());
   CHECK_TRUE(accepts("t1"));
 }
 
-TEST(Membership, ATargetThatLeftTheListIsDisconnectedAndForgotten) {
+TEST(Membership, ATargetThatLeftTheListIsDisconnectedAndRemoved) {
   serve("t1");
-  const auto Left = step(VmListRead{{entry("e1")}});
-  CHECK_EQUAL(1u, count<Disconnect>(Left));
+  const auto Actions = step(VmListRead{{entry("e1")}});
+  CHECK_EQUAL(1u, count<Disconnect>(Actions));
   CHECK_EQUAL(0u, Machine.targets().size());
 }
 
-TEST(Membership, AReportOfAnEarlierConnectionIsForgotten) {
-  // Symptom: a new agent gets work while it is still recovering.
-  // Sequence: the agent restarts; the entry reconnects and routes by what the
-  // predecessor said last.
-  // Cause: the report outlived the connection on which it came.
+TEST(Membership, AReportOfAnEarlierConnectionIsDropped) {
+  // Guards against work for an agent that is still recovering: the agent
+  // restarts, and the entry reconnects and routes by the last report of the
+  // predecessor, which must not outlive its connection.
   serve("t1");
   step(ConnectionChanged{"t1", false});
   step(ConnectionChanged{"t1", true});
   CHECK_FALSE(accepts("t1"));
 }
 
-TEST(Membership, AVmReplacedUnderItsIdIsConnectedAnew) {
+TEST(Membership, AVmReplacedUnderItsIdIsReconnected) {
   serve("t1");
-  const auto Moved = step(VmListRead{{target("t1", VmState::Live, 2)}});
-  CHECK_EQUAL(1u, count<Disconnect>(Moved));
-  CHECK_EQUAL(1u, count<Connect>(Moved));
+  const auto Actions = step(VmListRead{{target("t1", VmState::Live, 2)}});
+  CHECK_EQUAL(1u, count<Disconnect>(Actions));
+  CHECK_EQUAL(1u, count<Connect>(Actions));
 }
 
 TEST(Membership, TheSubsetIsBoundedForEachBackEnd) {
@@ -159,6 +158,6 @@
   serve("t1");
   TargetReport Busier = serving();
   Busier.RequestsInFlight = 7;
-  CHECK_EQUAL(0u, step(Reported{"t1", Busier}).size());
+  CHECK_EQUAL(0u, step(ReportReceived{"t1", Busier}).size());
   CHECK_EQUAL(7u, Machine.targets().at("t1").Report->RequestsInFlight);
 }
