--- a/Libraries/LibTarget/EngineMessages.cpp
+++ b/Libraries/LibTarget/EngineMessages.cpp
@@ -1,6 +1,6 @@
 //===- EngineMessages.cpp - JSON of the engine's HTTP interface -----------===//
 //
-// Unknown members are ignored, so that a newer engine is understood.
+// Unknown members are ignored for compatibility with newer engines.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,38 +37,39 @@
 }
 
 namespace {
-struct KindWriter {
+struct OrderWriter {
   Json &Body;
-  void operator()(const SetRole &Kind) const {
+  void operator()(const SetRole &Order) const {
     Body["kind"] = "set_role";
-    Body["role"] = Kind.Role;
+    Body["role"] = Order.Role;
   }
-  void operator()(const LoadModel &Kind) const {
+  void operator()(const LoadModel &Order) const {
     Body["kind"] = "load_model";
-    writeModel(Body, Kind.Model, Kind.Version, Kind.Adapter);
+    writeModel(Body, Order.Model, Order.Version, Order.Adapter);
   }
-  void operator()(const UnloadModel &Kind) const {
+  void operator()(const UnloadModel &Order) const {
     Body["kind"] = "unload_model";
-    writeModel(Body, Kind.Model, Kind.Version, Kind.Adapter);
+    writeModel(Body, Order.Model, Order.Version, Order.Adapter);
   }
 };
 } // namespace
 
 std::string writeOrder(const OrderCall &Call) {
   Json Body{{"order_id", Call.OrderId}, {"epoch", Call.Epoch}};
-  std::visit(KindWriter{Body}, Call.Kind);
+  std::visit(OrderWriter{Body}, Call.Kind);
   return Body.dump();
 }
 
-/// Runs \p Read on the parsed text; malformed JSON becomes a TargetFailed.
+/// Parses the text and passes it to \p Read. Returns TargetFailed if the JSON
+/// is malformed or lacks a member.
 template <typename T, typename Reader>
 static Result<T> readJson(std::string_view Text, Reader Read) {
   try {
     return Read(Json::parse(Text));
-  } catch (const std::exception &Caught) {
+  } catch (const std::exception &Exception) {
     return failure(ResultCode::TargetFailed,
                    std::string("the engine's answer is malformed: ") +
-                       Caught.what());
+                       Exception.what());
   }
 }
 
@@ -98,54 +99,55 @@
   return Text == "failed" ? OrderState::Failed : OrderState::None;
 }
 
-static std::string textOf(const Json &From, const char *Key) {
-  const auto Found = From.find(Key);
-  if (Found == From.end() || Found->is_null())
+static std::string textMember(const Json &Object, const char *Key) {
+  const auto Found = Object.find(Key);
+  if (Found == Object.end() || Found->is_null())
     return {};
   return Found->is_string() ? Found->get<std::string>() : Found->dump();
 }
 
-static EngineState toState(const Json &From) {
+static EngineState toEngineState(const Json &Object) {
   EngineState State;
-  State.Role = From.at("role").get<std::string>();
-  for (const Json &Model : From.value("models", Json::array()))
+  State.Role = Object.at("role").get<std::string>();
+  for (const Json &Model : Object.value("models", Json::array()))
     State.Models.push_back(
-        {Model.at("name").get<std::string>(), textOf(Model, "version"),
+        {Model.at("name").get<std::string>(), textMember(Model, "version"),
          Model.value("adapters", std::vector<std::string>{})});
-  State.OrderId = textOf(From, "order_id");
-  State.Order = toOrderState(textOf(From, "order_state"));
-  State.HighestEpoch = From.value("highest_epoch", uint64_t{0});
-  State.Running = From.value("running", 0u);
-  State.Waiting = From.value("waiting", 0u);
-  State.Boot = textOf(From, "boot");
+  State.OrderId = textMember(Object, "order_id");
+  State.Order = toOrderState(textMember(Object, "order_state"));
+  State.HighestEpoch = Object.value("highest_epoch", uint64_t{0});
+  State.Running = Object.value("running", 0u);
+  State.Waiting = Object.value("waiting", 0u);
+  State.Boot = textMember(Object, "boot");
   return State;
 }
 
 Result<EngineState> readState(std::string_view Body) {
-  return readJson<EngineState>(Body, toState);
+  return readJson<EngineState>(Body, toEngineState);
 }
 
 Result<EngineLoad> readLoad(std::string_view Body) {
-  return readJson<EngineLoad>(Body, [](const Json &From) {
+  return readJson<EngineLoad>(Body, [](const Json &Object) {
     EngineLoad Load;
-    Load.QueuedPrefillTokens = From.value("queued_prefill_tokens", uint64_t{0});
-    Load.Running = From.value("running", 0u);
-    Load.KvFreeTokens = From.value("kv_free_tokens", uint64_t{0});
-    Load.Age = std::chrono::milliseconds(From.value("age_ms", int64_t{0}));
+    Load.QueuedPrefillTokens =
+        Object.value("queued_prefill_tokens", uint64_t{0});
+    Load.Running = Object.value("running", 0u);
+    Load.KvFreeTokens = Object.value("kv_free_tokens", uint64_t{0});
+    Load.Age = std::chrono::milliseconds(Object.value("age_ms", int64_t{0}));
     return Load;
   });
 }
 
-/// Hashes travel as numbers or, beyond 53 bits, as decimal text.
-static uint64_t toHash(const Json &From) {
-  return From.is_string() ? std::stoull(From.get<std::string>())
-                          : From.get<uint64_t>();
+/// Hashes are encoded as numbers or, above 53 bits, as decimal text.
+static uint64_t toHash(const Json &Object) {
+  return Object.is_string() ? std::stoull(Object.get<std::string>())
+                            : Object.get<uint64_t>();
 }
 
 Result<std::vector<CacheEvent>> readCacheEvents(std::string_view Body) {
-  return readJson<std::vector<CacheEvent>>(Body, [](const Json &From) {
+  return readJson<std::vector<CacheEvent>>(Body, [](const Json &Object) {
     std::vector<CacheEvent> Events;
-    for (const Json &Event : From.at("events")) {
+    for (const Json &Event : Object.at("events")) {
       const bool Stored = Event.contains("stored");
       Events.push_back({Event.at("sequence").get<uint64_t>(), Stored,
                         toHash(Event.at(Stored ? "stored" : "evicted"))});
--- a/Libraries/LibTarget/EngineMessages.h
+++ b/Libraries/LibTarget/EngineMessages.h
@@ -1,6 +1,6 @@
 //===- EngineMessages.h - JSON of the engine's HTTP interface ---*- C++ -*-===//
 //
-// Pure translation between the engine's JSON and the types of Target.h.
+// Pure conversion between the engine's JSON and the types of Target.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,9 @@
 std::string writeCompletion(const CompletionCall &Call);
 std::string writeOrder(const OrderCall &Call);
 
-/// What one event of a completion's stream says.
+/// Marks the end of a completion's stream, "[DONE]".
 struct StreamDone {};
+/// Content of one event of a completion's stream.
 using StreamItem = std::variant<Token, CompletionEnd, StreamDone>;
 Result<StreamItem> readStreamItem(std::string_view Data);
 
@@ -24,7 +25,7 @@
 Result<EngineLoad> readLoad(std::string_view Body);
 Result<std::vector<CacheEvent>> readCacheEvents(std::string_view Body);
 
-/// The refusal of an order by its status and body.
+/// Error of a refused order, from the status and the body of the response.
 Error readOrderRefusal(unsigned Status, std::string_view Body);
 
 } // namespace figlift::target
--- a/Libraries/LibTarget/EventStreamParser.cpp
+++ b/Libraries/LibTarget/EventStreamParser.cpp
@@ -1,7 +1,7 @@
 //===- EventStreamParser.cpp - Incremental server-sent events -------------===//
 //
-// Lines end with LF or CR LF; an empty line ends an event; lines other than
-// "data:" (comments, ids) carry nothing that figlift needs.
+// Lines end with LF or CR LF, and an empty line ends an event. All fields
+// except "data:" are ignored.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,7 +11,7 @@
 
 static constexpr std::string_view DataField = "data:";
 
-std::vector<std::string> EventStreamParser::take(std::string_view Bytes) {
+std::vector<std::string> EventStreamParser::parse(std::string_view Bytes) {
   std::vector<std::string> Events;
   while (!m_Overflowed && !Bytes.empty()) {
     const size_t End = Bytes.find('\n');
@@ -24,14 +24,14 @@
     if (End == std::string_view::npos)
       break;
     Bytes.remove_prefix(End + 1);
-    takeLine(m_Line, Events);
+    parseLine(m_Line, Events);
     m_Line.clear();
   }
   return Events;
 }
 
-void EventStreamParser::takeLine(std::string_view Line,
-                                 std::vector<std::string> &Events) {
+void EventStreamParser::parseLine(std::string_view Line,
+                                  std::vector<std::string> &Events) {
   if (Line.ends_with('\r'))
     Line.remove_suffix(1);
   if (Line.empty()) {
--- a/Libraries/LibTarget/EventStreamParser.h
+++ b/Libraries/LibTarget/EventStreamParser.h
@@ -1,7 +1,7 @@
 //===- EventStreamParser.h - Incremental server-sent events -----*- C++ -*-===//
 //
-// Splits the bytes of a text/event-stream answer into the data of its events,
-// however the bytes are cut into chunks.
+// Extracts the data of the events from a text/event-stream body that arrives in
+// chunks of any size.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,19 +16,21 @@
 
 class EventStreamParser {
 public:
-  /// An event longer than this ends the stream: overflowed() turns true.
+  /// Parsing stops at an event longer than \p MaximumEventBytes, and
+  /// overflowed() becomes true.
   explicit EventStreamParser(size_t MaximumEventBytes = 1u << 20)
       : m_MaximumEventBytes(MaximumEventBytes) {}
 
-  /// Takes the next bytes; returns the data of the events they complete.
-  std::vector<std::string> take(std::string_view Bytes);
+  /// Parses the next chunk and returns the data of the events that it
+  /// completes.
+  std::vector<std::string> parse(std::string_view Bytes);
   bool overflowed() const { return m_Overflowed; }
 
 private:
-  void takeLine(std::string_view Line, std::vector<std::string> &Events);
+  void parseLine(std::string_view Line, std::vector<std::string> &Events);
 
   const size_t m_MaximumEventBytes;
-  /// The begun line, without its end; never longer than the limit.
+  /// Incomplete last line. Never longer than the limit.
   std::string m_Line;
   std::string m_Data;
   bool m_HasData = false;
--- a/Libraries/LibTarget/HttpCall.cpp
+++ b/Libraries/LibTarget/HttpCall.cpp
@@ -1,6 +1,6 @@
 //===- HttpCall.cpp - One HTTP call to a target ---------------------------===//
 //
-// cpprestsdk reports failures as exceptions; they end here.
+// Converts the exceptions of cpprestsdk to CallError.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,9 +12,9 @@
 
 namespace http = web::http;
 
-/// cpprestsdk's text for a connection that never came into being. Its error
-/// code cannot tell: the same one stands for a failed write.
-static constexpr std::string_view NeverConnected = "Failed to connect";
+/// Prefix of cpprestsdk's message for a connection that was never established.
+/// Its error code is ambiguous, because a failed write has the same one.
+static constexpr std::string_view NotConnectedPrefix = "Failed to connect";
 
 HttpClientPointer makeClient(const Endpoint &Target,
                              std::chrono::milliseconds Timeout) {
@@ -30,13 +30,13 @@
           {ResultCode::TargetFailed, std::move(Message), {}, std::nullopt}};
 }
 
-CallError describeFailure(std::exception_ptr Thrown) {
+CallError describeFailure(std::exception_ptr Exception) {
   try {
-    std::rethrow_exception(Thrown);
-  } catch (const std::exception &Caught) {
-    const std::string_view Text = Caught.what();
-    const bool Never = Text.starts_with(NeverConnected);
-    return makeError(Never ? Execution::NotRun : Execution::MayHaveRun,
+    std::rethrow_exception(Exception);
+  } catch (const std::exception &Failure) {
+    const std::string_view Text = Failure.what();
+    const bool NotConnected = Text.starts_with(NotConnectedPrefix);
+    return makeError(NotConnected ? Execution::NotRun : Execution::MayHaveRun,
                      std::string(Text));
   } catch (...) {
     return makeError(Execution::MayHaveRun, "unknown failure");
@@ -50,9 +50,9 @@
     return std::nullopt;
   const std::string &Text = Found->second;
   unsigned Seconds = 0;
-  const auto [End, Fault] =
+  const auto [End, ErrorCode] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Seconds);
-  if (Fault != std::errc())
+  if (ErrorCode != std::errc())
     return std::nullopt;
   return std::chrono::seconds(Seconds);
 }
@@ -69,25 +69,25 @@
 
 void sendCall(const HttpClientPointer &Client,
               const http::http_request &Request, CallDone<HttpAnswer> Done) {
-  auto WithBody = [](http::http_response Response) {
+  auto ReadBody = [](http::http_response Response) {
     return Response.extract_vector().then(
         [Response](std::vector<unsigned char> Body) {
           return makeAnswer(Response, Body);
         });
   };
-  // The client is kept until the answer is there: its end closes the
-  // connection under the call.
-  auto AtEnd = [Client, Done](pplx::task<HttpAnswer> Ended) {
-    std::exception_ptr Thrown;
+  // The client is kept alive until the answer has arrived, because its
+  // destructor closes the connection of the call.
+  auto OnEnd = [Client, Done](pplx::task<HttpAnswer> Ended) {
+    std::exception_ptr Exception;
     try {
       Done(Ended.get());
       return;
     } catch (...) {
-      Thrown = std::current_exception();
+      Exception = std::current_exception();
     }
-    Done(describeFailure(Thrown));
+    Done(describeFailure(Exception));
   };
-  Client->request(Request).then(WithBody).then(AtEnd);
+  Client->request(Request).then(ReadBody).then(OnEnd);
 }
 
 } // namespace figlift::target
--- a/Libraries/LibTarget/HttpCall.h
+++ b/Libraries/LibTarget/HttpCall.h
@@ -1,7 +1,7 @@
 //===- HttpCall.h - One HTTP call to a target -------------------*- C++ -*-===//
 //
-// What HttpEngine and HttpService share: a bounded call without redirects and
-// the reading of cpprestsdk's failures as "not run" or "may have run".
+// Shared by HttpEngine and HttpService: calls with a time-out and without
+// redirects, whose failures are classified as "not run" or "may have run".
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,24 +20,25 @@
   unsigned Status = 0;
   std::string ContentType;
   std::string Body;
-  /// Seconds from a Retry-After header, when the target sent one.
+  /// Value of the Retry-After header, if the target sent one.
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
-/// Whether a call may travel on a connection that earlier calls used.
+/// Whether a call may use a connection that earlier calls have used.
 enum class Connection { Pooled, Fresh };
 
 using HttpClientPointer = std::shared_ptr<web::http::client::http_client>;
 
-/// A client that follows no redirect: a redirected POST would run a second
-/// time at a place that nobody chose.
+/// Creates a client that does not follow redirects: a redirected POST would run
+/// a second time, at a server that routing did not choose.
 HttpClientPointer makeClient(const Endpoint &Target,
                              std::chrono::milliseconds Timeout);
 
-/// The failure inside \p Thrown; call it inside no other handler.
-CallError describeFailure(std::exception_ptr Thrown);
+/// Converts an exception of cpprestsdk. Must not be called within a catch
+/// block.
+CallError describeFailure(std::exception_ptr Exception);
 
-/// Sends \p Request and reads the whole answer.
+/// Sends \p Request and reads the complete response.
 void sendCall(const HttpClientPointer &Client,
               const web::http::http_request &Request,
               CallDone<HttpAnswer> Done);
--- a/Libraries/LibTarget/HttpEngine.cpp
+++ b/Libraries/LibTarget/HttpEngine.cpp
@@ -1,7 +1,7 @@
 //===- HttpEngine.cpp - Model engine over HTTP ----------------------------===//
 //
-// The body of a completion's answer goes through a SinkBuffer into the
-// incremental parser, on whichever pool thread read it.
+// The body of a completion's response passes through a SinkBuffer to the
+// incremental parser on the pool thread that read it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,8 +17,8 @@
 
 static constexpr unsigned StatusOk = 200;
 static constexpr unsigned StatusUnavailable = 503;
-static constexpr unsigned StatusTooMany = 429;
-static constexpr size_t MaximumErrorText = 1024;
+static constexpr unsigned StatusTooManyRequests = 429;
+static constexpr size_t MaximumErrorBytes = 1024;
 
 static http::http_request makeJsonRequest(const http::method &Method,
                                           const std::string &Path,
@@ -32,37 +32,38 @@
 
 namespace {
 
-/// One answer on its way in. The sink and the end handler of the request are
-/// chained by cpprestsdk, so members need no lock.
+/// Receives the streamed response of one completion. cpprestsdk calls the sink
+/// and the end handler of the request in sequence, so the members need no lock.
 class StreamedCompletion final
     : public Completion,
       public std::enable_shared_from_this<StreamedCompletion> {
 public:
-  StreamedCompletion(HttpClientPointer Client, HttpClientPointer Calls,
+  StreamedCompletion(HttpClientPointer Client, HttpClientPointer CallClient,
                      std::string RequestId,
                      std::shared_ptr<CompletionListener> Listener)
-      : m_Client(std::move(Client)), m_Calls(std::move(Calls)),
+      : m_Client(std::move(Client)), m_CallClient(std::move(CallClient)),
         m_RequestId(std::move(RequestId)), m_Listener(std::move(Listener)) {}
 
   void start(http::http_request Request);
   void cancel() override;
 
 private:
-  void take(std::string_view Bytes);
-  void takeItem(const StreamItem &Item);
+  void receive(std::string_view Bytes);
+  void handleItem(const StreamItem &Item);
   void end(pplx::task<unsigned> Ended);
-  CallResult<CompletionEnd> judge(unsigned Status);
+  CallResult<CompletionEnd> toResult(unsigned Status);
 
   const HttpClientPointer m_Client;
-  const HttpClientPointer m_Calls;
+  const HttpClientPointer m_CallClient;
   const std::string m_RequestId;
   const std::shared_ptr<CompletionListener> m_Listener;
   pplx::cancellation_token_source m_Cancellation;
   EventStreamParser m_Parser;
-  /// First bytes of the body: the reason, if the status says refused.
+  /// First bytes of the body, which are the error message if the status is not
+  /// 200.
   std::string m_Head;
   std::optional<CompletionEnd> m_End;
-  /// [DONE] was read; without it the answer is cut.
+  /// [DONE] was read. Without it the answer is incomplete.
   bool m_Done = false;
   std::optional<Error> m_Malformed;
 };
@@ -70,46 +71,46 @@
 void StreamedCompletion::start(http::http_request Request) {
   auto Self = shared_from_this();
   auto Sink = std::make_shared<SinkBuffer>(
-      [Self](std::string_view Bytes) { Self->take(Bytes); });
+      [Self](std::string_view Bytes) { Self->receive(Bytes); });
   Request.set_response_stream(concurrency::streams::ostream(
       concurrency::streams::streambuf<uint8_t>(Sink)));
-  auto WholeBody = [](http::http_response Response) {
-    return Response.content_ready().then([](http::http_response Whole) {
-      return static_cast<unsigned>(Whole.status_code());
+  auto AwaitBody = [](http::http_response Response) {
+    return Response.content_ready().then([](http::http_response Complete) {
+      return static_cast<unsigned>(Complete.status_code());
     });
   };
   m_Client->request(Request, m_Cancellation.get_token())
-      .then(WholeBody)
+      .then(AwaitBody)
       .then([Self](pplx::task<unsigned> Ended) { Self->end(Ended); });
 }
 
 void StreamedCompletion::cancel() {
-  // Closing the connection alone would do for most engines; the DELETE is for
-  // those which notice a closed connection only when they next write.
+  // Closing the connection is sufficient for most engines. The DELETE is for
+  // those that detect a closed connection only at their next write.
   m_Cancellation.cancel();
-  sendCall(m_Calls,
+  sendCall(m_CallClient,
            makeJsonRequest(
                http::methods::DEL,
                "/v1/requests/" + web::uri::encode_data_string(m_RequestId), {}),
            [](const CallResult<HttpAnswer> &) {});
 }
 
-void StreamedCompletion::take(std::string_view Bytes) {
-  if (m_Head.size() < MaximumErrorText)
-    m_Head.append(Bytes.substr(0, MaximumErrorText - m_Head.size()));
-  for (const std::string &Data : m_Parser.take(Bytes)) {
+void StreamedCompletion::receive(std::string_view Bytes) {
+  if (m_Head.size() < MaximumErrorBytes)
+    m_Head.append(Bytes.substr(0, MaximumErrorBytes - m_Head.size()));
+  for (const std::string &Data : m_Parser.parse(Bytes)) {
     auto Item = readStreamItem(Data);
     if (!Item) {
       m_Malformed = Item.error();
       return;
     }
-    takeItem(Item.value());
+    handleItem(Item.value());
   }
 }
 
-void StreamedCompletion::takeItem(const StreamItem &Item) {
-  if (const auto *Produced = std::get_if<Token>(&Item))
-    m_Listener->onToken(*Produced);
+void StreamedCompletion::handleItem(const StreamItem &Item) {
+  if (const auto *NewToken = std::get_if<Token>(&Item))
+    m_Listener->onToken(*NewToken);
   else if (const auto *End = std::get_if<CompletionEnd>(&Item))
     m_End = *End;
   else
@@ -117,21 +118,21 @@
 }
 
 void StreamedCompletion::end(pplx::task<unsigned> Ended) {
-  std::exception_ptr Thrown;
+  std::exception_ptr Exception;
   unsigned Status = 0;
   try {
     Status = Ended.get();
   } catch (...) {
-    Thrown = std::current_exception();
+    Exception = std::current_exception();
   }
-  if (Thrown)
-    m_Listener->onEnd(describeFailure(Thrown));
+  if (Exception)
+    m_Listener->onEnd(describeFailure(Exception));
   else
-    m_Listener->onEnd(judge(Status));
+    m_Listener->onEnd(toResult(Status));
 }
 
-CallResult<CompletionEnd> StreamedCompletion::judge(unsigned Status) {
-  if (Status == StatusUnavailable || Status == StatusTooMany)
+CallResult<CompletionEnd> StreamedCompletion::toResult(unsigned Status) {
+  if (Status == StatusUnavailable || Status == StatusTooManyRequests)
     return CallError{Execution::NotRun,
                      {ResultCode::NotReady, m_Head, {}, std::nullopt}};
   if (Status != StatusOk) {
@@ -149,7 +150,7 @@
     return std::move(*m_End);
   return CallError{Execution::MayHaveRun,
                    {ResultCode::TargetFailed,
-                    "the engine's answer ended before it was whole",
+                    "the engine's answer ended before it was complete",
                     {},
                     std::nullopt}};
 }
@@ -158,44 +159,46 @@
 
 HttpEngine::HttpEngine(HttpEngineOptions Options)
     : m_Options(std::move(Options)),
-      m_Completions(makeClient(m_Options.Target, m_Options.SilenceTimeout)),
-      m_Calls(makeClient(m_Options.Target, m_Options.CallTimeout)) {}
+      m_CompletionClient(
+          makeClient(m_Options.Target, m_Options.SilenceTimeout)),
+      m_CallClient(makeClient(m_Options.Target, m_Options.CallTimeout)) {}
 
 std::shared_ptr<Completion>
 HttpEngine::complete(CompletionCall Call,
                      std::shared_ptr<CompletionListener> Listener) {
-  auto Running = std::make_shared<StreamedCompletion>(
-      m_Completions, m_Calls, Call.RequestId, std::move(Listener));
-  Running->start(makeJsonRequest(http::methods::POST, "/v1/completions",
-                                 writeCompletion(Call)));
-  return Running;
+  auto Streamed = std::make_shared<StreamedCompletion>(
+      m_CompletionClient, m_CallClient, Call.RequestId, std::move(Listener));
+  Streamed->start(makeJsonRequest(http::methods::POST, "/v1/completions",
+                                  writeCompletion(Call)));
+  return Streamed;
 }
 
 void HttpEngine::order(OrderCall Call, CallDone<std::monostate> Done) {
-  // On a fresh connection, because a reused one may be sent again by
-  // cpprestsdk after the engine took the order and crashed.
+  // Uses a new connection: on a reused one, cpprestsdk may resend the order
+  // after the engine accepted it and crashed.
   auto Client = makeClient(m_Options.Target, m_Options.CallTimeout);
-  sendCall(
-      Client,
-      makeJsonRequest(http::methods::POST, "/v1/orders", writeOrder(Call)),
-      [Done = std::move(Done)](CallResult<HttpAnswer> Answer) {
-        if (!Answer)
-          return Done(Answer.error());
-        const HttpAnswer &Whole = Answer.value();
-        if (Whole.Status / 100 == 2)
-          return Done(std::monostate{});
-        const auto Executed =
-            Whole.Status < 500 ? Execution::NotRun : Execution::MayHaveRun;
-        Done(CallError{Executed, readOrderRefusal(Whole.Status, Whole.Body)});
-      });
+  sendCall(Client,
+           makeJsonRequest(http::methods::POST, "/v1/orders", writeOrder(Call)),
+           [Done = std::move(Done)](CallResult<HttpAnswer> Answer) {
+             if (!Answer)
+               return Done(Answer.error());
+             const HttpAnswer &Response = Answer.value();
+             if (Response.Status / 100 == 2)
+               return Done(std::monostate{});
+             const auto Executed = Response.Status < 500
+                                       ? Execution::NotRun
+                                       : Execution::MayHaveRun;
+             Done(CallError{Executed,
+                            readOrderRefusal(Response.Status, Response.Body)});
+           });
 }
 
-/// Sends a GET and reads its body with \p Read.
+/// Sends a GET and parses the body of the response with \p Parse.
 template <typename T>
 static void query(const HttpClientPointer &Client, const std::string &Path,
-                  Result<T> (*Read)(std::string_view), CallDone<T> Done) {
+                  Result<T> (*Parse)(std::string_view), CallDone<T> Done) {
   sendCall(Client, makeJsonRequest(http::methods::GET, Path, {}),
-           [Read, Done = std::move(Done)](CallResult<HttpAnswer> Answer) {
+           [Parse, Done = std::move(Done)](CallResult<HttpAnswer> Answer) {
              if (!Answer)
                return Done(Answer.error());
              if (Answer.value().Status != StatusOk)
@@ -205,7 +208,7 @@
                               "status " + std::to_string(Answer.value().Status),
                               {},
                               std::nullopt}});
-             auto Parsed = Read(Answer.value().Body);
+             auto Parsed = Parse(Answer.value().Body);
              if (!Parsed)
                return Done(CallError{Execution::NotApplicable, Parsed.error()});
              Done(std::move(Parsed.value()));
@@ -213,17 +216,17 @@
 }
 
 void HttpEngine::state(CallDone<EngineState> Done) {
-  query<EngineState>(m_Calls, "/v1/state", readState, std::move(Done));
+  query<EngineState>(m_CallClient, "/v1/state", readState, std::move(Done));
 }
 
 void HttpEngine::load(CallDone<EngineLoad> Done) {
-  query<EngineLoad>(m_Calls, "/v1/load", readLoad, std::move(Done));
+  query<EngineLoad>(m_CallClient, "/v1/load", readLoad, std::move(Done));
 }
 
 void HttpEngine::cacheEvents(uint64_t After,
                              CallDone<std::vector<CacheEvent>> Done) {
   query<std::vector<CacheEvent>>(
-      m_Calls, "/v1/cache-events?after=" + std::to_string(After),
+      m_CallClient, "/v1/cache-events?after=" + std::to_string(After),
       readCacheEvents, std::move(Done));
 }
 
--- a/Libraries/LibTarget/HttpEngine.h
+++ b/Libraries/LibTarget/HttpEngine.h
@@ -1,7 +1,8 @@
 //===- HttpEngine.h - Model engine over HTTP --------------------*- C++ -*-===//
 //
-// Calls the engine beside which an agent runs. Answers arrive as server-sent
-// events and are handed on token by token; no thread waits for a stream.
+// Client of the engine beside which an agent runs. Answers arrive as
+// server-sent events, and each token is passed on as it arrives. No thread
+// waits for a stream.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +14,8 @@
 
 struct HttpEngineOptions {
   Endpoint Target;
-  /// Longest silence within a completion, its wait in the queue included.
+  /// Longest time without data during a completion, including its time in the
+  /// engine's queue.
   std::chrono::milliseconds SilenceTimeout{60000};
   std::chrono::milliseconds CallTimeout{3000};
 };
@@ -32,8 +34,8 @@
 
 private:
   const HttpEngineOptions m_Options;
-  HttpClientPointer m_Completions;
-  HttpClientPointer m_Calls;
+  HttpClientPointer m_CompletionClient;
+  HttpClientPointer m_CallClient;
 };
 
 } // namespace figlift::target
--- a/Libraries/LibTarget/HttpService.h
+++ b/Libraries/LibTarget/HttpService.h
@@ -1,6 +1,6 @@
 //===- HttpService.h - Plain service over HTTP ------------------*- C++ -*-===//
 //
-// Calls the plain service beside which an agent runs.
+// Client of the plain service beside which an agent runs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,8 +17,8 @@
 
 private:
   const Endpoint m_Target;
-  /// For calls that may be repeated; its connections are kept open.
-  HttpClientPointer m_Pooled;
+  /// Client for repeatable calls; keeps its connections open.
+  HttpClientPointer m_PooledClient;
 };
 
 } // namespace figlift::target
--- a/Libraries/LibTarget/SinkBuffer.h
+++ b/Libraries/LibTarget/SinkBuffer.h
@@ -1,7 +1,7 @@
-//===- SinkBuffer.h - Stream buffer that hands bytes on ---------*- C++ -*-===//
+//===- SinkBuffer.h - Unbuffered write-only stream buffer -------*- C++ -*-===//
 //
-// A cpprestsdk stream buffer without a buffer: each chunk of an HTTP answer is
-// passed to a function as soon as it was read from the socket. Reading through
+// A cpprestsdk stream buffer that passes each chunk of an HTTP response to a
+// function as soon as it has been read from the socket. Reading through
 // cpprestsdk's own buffers would need a pending read task for every stream.
 //
 //===----------------------------------------------------------------------===//
@@ -30,7 +30,9 @@
   size_t buffer_size(std::ios_base::openmode) const override { return 0; }
   void set_buffer_size(size_t, std::ios_base::openmode) override {}
   size_t in_avail() const override { return 0; }
-  pos_type getpos(std::ios_base::openmode) const override { return m_Taken; }
+  pos_type getpos(std::ios_base::openmode) const override {
+    return m_BytesConsumed;
+  }
   pos_type seekpos(pos_type, std::ios_base::openmode) override {
     return pos_type(traits::eof());
   }
@@ -75,12 +77,12 @@
     return pplx::task_from_result<int_type>(traits::eof());
   }
   void consume(const uint8_t *Bytes, size_t Count) {
-    m_Taken += static_cast<off_type>(Count);
+    m_BytesConsumed += static_cast<off_type>(Count);
     m_Consume({reinterpret_cast<const char *>(Bytes), Count});
   }
 
   Consumer m_Consume;
-  pos_type m_Taken{0};
+  pos_type m_BytesConsumed{0};
 };
 
 } // namespace figlift::target
--- a/Libraries/LibTarget/Target.h
+++ b/Libraries/LibTarget/Target.h
@@ -1,9 +1,9 @@
-//===- Target.h - What an agent asks of its target --------------*- C++ -*-===//
+//===- Target.h - Interfaces to an agent's target ---------------*- C++ -*-===//
 //
-// Interfaces to one model engine or one plain service. Every call says at its
-// end whether the target may have run it, because the promise of a refusal
-// that reads "not run" rests on that. Tests put mocks behind these; the agent
-// uses HttpEngine and HttpService.
+// Interfaces to a model engine or a plain service. The result of every call
+// states whether the target may have run it, because a refusal may report "not
+// run" only if the target did not run the call. The agent uses HttpEngine and
+// HttpService; tests use mocks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,10 +21,11 @@
 
 namespace figlift::target {
 
-/// Why a call did not end well, and whether the target may have run it.
+/// Why a call failed, and whether the target may have run it.
 struct CallError {
-  /// NotRun only when the target refused the call, or when no connection to
-  /// it came into being; MayHaveRun for everything else.
+  /// NotRun only if the target refused the call or no connection to it was
+  /// established; NotApplicable if a query got an invalid response; MayHaveRun
+  /// in all other cases.
   Execution Executed = Execution::MayHaveRun;
   Error Cause;
 };
@@ -33,11 +34,11 @@
 using CallResult =
     outcome::basic_result<T, CallError, outcome::policy::all_narrow>;
 
-/// Called exactly once, on a thread of the HTTP pool; must not block.
+/// Called exactly once, on a thread of the HTTP pool. Must not block.
 template <typename T> using CallDone = std::function<void(CallResult<T>)>;
 
 struct CompletionCall {
-  /// Unique for each attempt; names the sequence when it is cancelled.
+  /// Unique for each attempt; identifies the sequence when it is canceled.
   std::string RequestId;
   std::string Model;
   std::string Prompt;
@@ -45,7 +46,8 @@
   uint32_t MaximumTokens = 0;
   /// 0 is the most urgent.
   unsigned Priority = 0;
-  /// Tokens that an earlier attempt produced; the answer goes on after them.
+  /// Number of tokens that earlier attempts delivered; the answer continues
+  /// after them.
   uint32_t FirstToken = 0;
   std::string DeliveredText;
   std::string KvHandle;
@@ -64,13 +66,13 @@
   std::string KvHandle;
 };
 
-/// Receives one answer: calls come in order and never two at once, on threads
-/// of the HTTP pool, and must not block.
+/// Receives one answer. The members are called in order and never concurrently,
+/// on threads of the HTTP pool, and must not block.
 class CompletionListener {
 public:
   virtual ~CompletionListener() = default;
-  virtual void onToken(Token Produced) = 0;
-  /// Exactly once, and the last call.
+  virtual void onToken(Token NewToken) = 0;
+  /// Called exactly once, after all calls of onToken().
   virtual void onEnd(CallResult<CompletionEnd> End) = 0;
 };
 
@@ -78,7 +80,7 @@
 class Completion {
 public:
   virtual ~Completion() = default;
-  /// Drops the answer and tells the engine to stop; onEnd still comes.
+  /// Cancels the request and the engine's sequence; onEnd() is still called.
   virtual void cancel() = 0;
 };
 
@@ -116,7 +118,7 @@
 struct EngineState {
   std::string Role;
   std::vector<LoadedModel> Models;
-  /// The last order that the engine took, or empty.
+  /// The last order that the engine accepted, or empty.
   std::string OrderId;
   OrderState Order = OrderState::None;
   uint64_t HighestEpoch = 0;
@@ -126,17 +128,18 @@
   std::string Boot;
 };
 
-/// The engine's own report; old by Age when it arrives.
+/// The engine's own report.
 struct EngineLoad {
   uint64_t QueuedPrefillTokens = 0;
   uint32_t Running = 0;
   uint64_t KvFreeTokens = 0;
+  /// Age of the report when it arrives.
   std::chrono::milliseconds Age{0};
 };
 
 struct CacheEvent {
   uint64_t Sequence = 0;
-  /// true: stored; false: evicted.
+  /// True if the block was stored, false if it was evicted.
   bool Stored = true;
   uint64_t Hash = 0;
 };
@@ -147,8 +150,9 @@
   virtual std::shared_ptr<Completion>
   complete(CompletionCall Call,
            std::shared_ptr<CompletionListener> Listener) = 0;
-  /// Success: the engine took the order. Errors: StaleEpoch, OrderConflict
-  /// (another one is running), OrderRejectedByTarget, TargetFailed.
+  /// Succeeds if the engine accepted the order. Errors: StaleEpoch,
+  /// OrderConflict (another order is running), OrderRejectedByTarget and
+  /// TargetFailed.
   virtual void order(OrderCall Call, CallDone<std::monostate> Done) = 0;
   virtual void state(CallDone<EngineState> Done) = 0;
   virtual void load(CallDone<EngineLoad> Done) = 0;
@@ -163,7 +167,7 @@
   std::string Body;
   /// Sent as the Idempotency-Key header when not empty.
   std::string IdempotencyKey;
-  /// false: the work may run at most once.
+  /// If false, the call may run at most once.
   bool Repeatable = false;
   std::chrono::milliseconds Timeout{30000};
 };
--- a/Tests/Fuzz/Decoders.cpp
+++ b/Tests/Fuzz/Decoders.cpp
@@ -87,7 +87,7 @@
 
 std::string decodeEngine(std::string_view Bytes) {
   target::EventStreamParser Parser(4096);
-  for (const std::string &Data : Parser.take(Bytes))
+  for (const std::string &Data : Parser.parse(Bytes))
     if (std::string Fault = judge(target::readStreamItem(Data)); !Fault.empty())
       return Fault;
   for (const std::string &Fault :
--- a/Tests/LibTarget/OneShotServer.h
+++ b/Tests/LibTarget/ScriptedServer.h
@@ -1,7 +1,7 @@
-//===- OneShotServer.h - Engine that answers what a test says ---*- C++ -*-===//
+//===- ScriptedServer.h - HTTP server with scripted responses ---*- C++ -*-===//
 //
-// Listens on a free loopback port, counts requests and gives each connection
-// one scripted answer after another; an empty answer closes the connection.
+// Listens on a free loopback port, counts requests and sends the scripted
+// responses in order. An empty response closes the connection.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,10 +22,10 @@
 
 namespace figlift::test {
 
-class OneShotServer {
+class ScriptedServer {
 public:
-  explicit OneShotServer(std::deque<std::string> Answers)
-      : m_Answers(std::move(Answers)) {
+  explicit ScriptedServer(std::deque<std::string> Responses)
+      : m_Responses(std::move(Responses)) {
     m_Socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in Address{};
     Address.sin_family = AF_INET;
@@ -37,7 +37,7 @@
     m_Endpoint = {"127.0.0.1", ntohs(Address.sin_port)};
     m_Thread = std::thread([this] { serve(); });
   }
-  ~OneShotServer() {
+  ~ScriptedServer() {
     shutdown(m_Socket, SHUT_RDWR);
     m_Thread.join();
     close(m_Socket);
@@ -49,14 +49,14 @@
 private:
   void serve() {
     for (int Peer = -1; (Peer = accept(m_Socket, nullptr, nullptr)) >= 0;) {
-      while (answerOne(Peer)) {
+      while (handleRequest(Peer)) {
       }
       close(Peer);
     }
   }
 
-  /// Whether the connection stays open.
-  bool answerOne(int Peer) {
+  /// Returns whether the connection stays open.
+  bool handleRequest(int Peer) {
     std::string Head;
     char Byte = 0;
     while (!Head.ends_with("\r\n\r\n")) {
@@ -65,16 +65,18 @@
       Head += Byte;
     }
     ++m_Requests;
-    if (m_Answers.empty())
+    if (m_Responses.empty())
       return false;
-    const std::string Answer = m_Answers.front();
-    m_Answers.pop_front();
-    // Answers that must not be followed by another end with the connection.
-    return !Answer.empty() && write(Peer, Answer.data(), Answer.size()) > 0 &&
-           Answer.find("chunked") == std::string::npos;
+    const std::string Response = m_Responses.front();
+    m_Responses.pop_front();
+    // Chunked responses may be incomplete, so the connection is closed after
+    // them.
+    return !Response.empty() &&
+           write(Peer, Response.data(), Response.size()) > 0 &&
+           Response.find("chunked") == std::string::npos;
   }
 
-  std::deque<std::string> m_Answers;
+  std::deque<std::string> m_Responses;
   int m_Socket = -1;
   Endpoint m_Endpoint;
   std::atomic<unsigned> m_Requests{0};
--- a/Tests/LibTarget/TestEventStreamParser.cpp
+++ b/Tests/LibTarget/TestEventStreamParser.cpp
@@ -1,6 +1,6 @@
-//===- TestEventStreamParser.cpp - Server-sent events in pieces -----------===//
+//===- TestEventStreamParser.cpp - Tests of EventStreamParser -------------===//
 //
-// Events must come out the same however the network cuts them.
+// The parsed events must not depend on how the body is divided into chunks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,16 +12,15 @@
 
 TEST_GROUP(EventStreamParser){};
 
-TEST(EventStreamParser, EveryCutGivesTheSameEvents) {
-  // Symptom: a token of an answer is lost or doubled. Events: the engine's
-  // event crosses the border of two reads. Cause: a parser that expects an
-  // event, or a line end, within one read.
+TEST(EventStreamParser, EventsDoNotDependOnChunkBoundaries) {
+  // Guards against lost or duplicate tokens when an event or a line end of the
+  // engine's stream is divided between two reads.
   const std::string Whole =
       ": comment\ndata: {\"a\":1}\n\ndata:x\r\ndata: y\r\n\r\nid: 3\n\n";
   for (size_t Cut = 0; Cut <= Whole.size(); ++Cut) {
     EventStreamParser Parser;
-    auto Events = Parser.take(std::string_view(Whole).substr(0, Cut));
-    for (auto &Event : Parser.take(std::string_view(Whole).substr(Cut)))
+    auto Events = Parser.parse(std::string_view(Whole).substr(0, Cut));
+    for (auto &Event : Parser.parse(std::string_view(Whole).substr(Cut)))
       Events.push_back(Event);
     LONGS_EQUAL(2, Events.size());
     STRCMP_EQUAL("{\"a\":1}", Events[0].c_str());
@@ -30,10 +29,10 @@
 }
 
 TEST(EventStreamParser, EndlessLineOverflowsInsteadOfFillingMemory) {
-  // Symptom: the agent's memory grows without bound. Events: an engine sends
-  // bytes and never a line end. Cause: an unbounded line buffer.
+  // Guards against unbounded memory use when an engine sends data without a
+  // line end.
   EventStreamParser Parser(64);
   for (int Round = 0; Round < 10; ++Round)
-    Parser.take("0123456789");
+    Parser.parse("0123456789");
   CHECK(Parser.overflowed());
 }
--- a/Tests/LibTarget/TestHttpEngine.cpp
+++ b/Tests/LibTarget/TestHttpEngine.cpp
@@ -1,13 +1,13 @@
-//===- TestHttpEngine.cpp - Answers that arrive in pieces or break off ----===//
+//===- TestHttpEngine.cpp - Tests of HttpEngine ---------------------------===//
 //
-// Over real sockets: whether an engine may have run the work decides whether
-// a caller is told "not run".
+// Tests chunked, incomplete and refused responses over real sockets. Whether
+// the engine may have run the work decides whether a refusal reports "not run".
 //
 //===----------------------------------------------------------------------===//
 
 #include "LibTarget/HttpEngine.h"
 
-#include "OneShotServer.h"
+#include "ScriptedServer.h"
 
 #include <future>
 
@@ -17,18 +17,18 @@
 
 using namespace figlift;
 using namespace figlift::target;
-using figlift::test::OneShotServer;
+using figlift::test::ScriptedServer;
 
 namespace {
 
-// CppUTest's leak detector is not safe for threads, and cpprestsdk's pool
-// allocates on its own; so it is off for this suite.
+// CppUTest's leak detector is not thread-safe, and cpprestsdk's thread pool
+// allocates memory concurrently, so the detector is off for this suite.
 const bool LeakDetectorOff = [] {
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return true;
 }();
 
-const std::string Answered =
+const std::string OkResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: text/plain\r\n\r\n"
     "ok";
 
@@ -36,23 +36,25 @@
   std::string Text;
   std::promise<CallResult<CompletionEnd>> Promise;
 
-  void onToken(Token Produced) override { Text += Produced.Text; }
+  void onToken(Token NewToken) override { Text += NewToken.Text; }
   void onEnd(CallResult<CompletionEnd> End) override {
     Promise.set_value(std::move(End));
   }
 };
 
-/// An event stream in chunks of \p Size bytes, with its end if \p Whole.
-std::string streamOf(const std::string &Body, size_t Size, bool Whole) {
+/// Response with \p Body in chunks of \p Size bytes, and with the last chunk if
+/// \p Complete.
+std::string chunkedResponse(const std::string &Body, size_t Size,
+                            bool Complete) {
   std::string Out = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                     "Transfer-Encoding: chunked\r\n\r\n";
-  for (size_t At = 0; At < Body.size(); At += Size) {
-    const std::string Part = Body.substr(At, Size);
+  for (size_t Offset = 0; Offset < Body.size(); Offset += Size) {
+    const std::string Part = Body.substr(Offset, Size);
     char Length[16];
     snprintf(Length, sizeof(Length), "%zx\r\n", Part.size());
     Out += Length + Part + "\r\n";
   }
-  return Whole ? Out + "0\r\n\r\n" : Out;
+  return Complete ? Out + "0\r\n\r\n" : Out;
 }
 
 const std::string Tokens =
@@ -65,10 +67,10 @@
 CallResult<CompletionEnd> complete(const Endpoint &Target, std::string &Text) {
   HttpEngine Engine({Target, std::chrono::seconds(5), std::chrono::seconds(5)});
   const auto Listener = std::make_shared<Collector>();
-  const auto Running = Engine.complete({}, Listener);
-  auto How = Listener->Promise.get_future().get();
+  const auto Handle = Engine.complete({}, Listener);
+  auto Result = Listener->Promise.get_future().get();
   Text = Listener->Text;
-  return How;
+  return Result;
 }
 
 } // namespace
@@ -76,48 +78,48 @@
 TEST_GROUP(HttpEngine){};
 
 TEST(HttpEngine, RedirectIsNotFollowed) {
-  // Symptom: a call runs at a place that nobody chose. Events: the service
-  // answers with a redirect. Cause: a client that follows it by itself.
-  OneShotServer Elsewhere({Answered});
-  OneShotServer Server({"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" +
-                        Elsewhere.endpoint().toString() +
-                        "/v1/completions\r\nContent-Length: 0\r\n\r\n"});
+  // Guards against a call that runs at a server which routing did not choose,
+  // because the client follows a redirect.
+  ScriptedServer RedirectTarget({OkResponse});
+  ScriptedServer Server(
+      {"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" +
+       RedirectTarget.endpoint().toString() +
+       "/v1/completions\r\nContent-Length: 0\r\n\r\n"});
   std::string Text;
   CHECK_FALSE(complete(Server.endpoint(), Text).has_value());
-  LONGS_EQUAL(0, Elsewhere.requests());
+  LONGS_EQUAL(0, RedirectTarget.requests());
 }
 
-TEST(HttpEngine, StreamArrivesWholeInAnyChunks) {
+TEST(HttpEngine, StreamIsCompleteInChunksOfAnySize) {
   const std::string Body = Tokens + End;
   for (const size_t Size : {size_t(1), size_t(7), Body.size()}) {
-    OneShotServer Server({streamOf(Body, Size, true)});
+    ScriptedServer Server({chunkedResponse(Body, Size, true)});
     std::string Text;
-    const auto How = complete(Server.endpoint(), Text);
-    CHECK(How.has_value());
-    LONGS_EQUAL(2, How.value().TotalTokens);
+    const auto Result = complete(Server.endpoint(), Text);
+    CHECK(Result.has_value());
+    LONGS_EQUAL(2, Result.value().TotalTokens);
     STRCMP_EQUAL("ab", Text.c_str());
   }
 }
 
-TEST(HttpEngine, CutStreamIsNeverTakenForAWholeAnswer) {
-  // Symptom: a caller gets half an answer as if it were whole. Events: the
+TEST(HttpEngine, IncompleteStreamIsAnError) {
+  // Guards against an incomplete answer that is reported as complete: the
   // engine dies between two tokens, or ends its stream without the last event.
-  // Cause: an end of the body that counts as the end of the answer.
-  for (const bool EndsInOrder : {false, true}) {
-    OneShotServer Server({streamOf(Tokens, 16, EndsInOrder)});
+  for (const bool HasLastChunk : {false, true}) {
+    ScriptedServer Server({chunkedResponse(Tokens, 16, HasLastChunk)});
     std::string Text;
-    const auto How = complete(Server.endpoint(), Text);
-    CHECK_FALSE(How.has_value());
-    CHECK(How.error().Executed == Execution::MayHaveRun);
+    const auto Result = complete(Server.endpoint(), Text);
+    CHECK_FALSE(Result.has_value());
+    CHECK(Result.error().Executed == Execution::MayHaveRun);
     STRCMP_EQUAL("ab", Text.c_str());
   }
 }
 
-TEST(HttpEngine, EngineThatChangesItsRoleRefusesWithoutRunning) {
-  OneShotServer Server(
+TEST(HttpEngine, UnavailableEngineDidNotRun) {
+  ScriptedServer Server(
       {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"});
   std::string Text;
-  const auto How = complete(Server.endpoint(), Text);
-  CHECK_FALSE(How.has_value());
-  CHECK(How.error().Executed == Execution::NotRun);
+  const auto Result = complete(Server.endpoint(), Text);
+  CHECK_FALSE(Result.has_value());
+  CHECK(Result.error().Executed == Execution::NotRun);
 }
--- a/Tests/LibTarget/TestHttpService.cpp
+++ b/Tests/LibTarget/TestHttpService.cpp
@@ -1,6 +1,6 @@
-//===- TestHttpService.cpp - Calls to a plain service ---------------------===//
+//===- TestHttpService.cpp - Tests of HttpService -------------------------===//
 //
-// Against a server that breaks off where a service would.
+// Uses a server that fails at the points where a service may fail.
 //
 //===----------------------------------------------------------------------===//
 
@@ -43,13 +43,11 @@
 }
 ;
 
-TEST(HttpService, SendsWorkThatMayNotBeRepeatedOnce) {
-  // Symptom: a slot is held twice by one call.
-  // Sequence: an earlier call leaves a pooled connection; the next call goes
-  // out; the service runs it and dies before it answers; the client library
-  // sends the same request again on a new connection.
-  // Cause: the library takes a close on a reused connection for proof that
-  // the request was not processed.
+TEST(HttpService, SendsNonRepeatableCallsOnce) {
+  // Guards against a call that runs twice: a call is sent on a pooled
+  // connection, and the service runs it and dies before it answers. The client
+  // library treats the close of a reused connection as proof that the request
+  // was not processed, and resends it on a new connection.
   RawServer Server({{Step::What::Answer},
                     {Step::What::Answer},
                     {Step::What::CloseWithoutAnswer},
@@ -61,10 +59,10 @@
   CHECK_EQUAL(3u, Server.requests());
 }
 
-TEST(HttpService, SilenceMayHaveRun) {
-  // Symptom: "not run" is said of a call that the service took.
-  // Sequence: the service reads the call and says nothing until the timeout.
-  // Cause: a timeout is taken for a connection that never came into being.
+TEST(HttpService, TimeoutMayHaveRun) {
+  // Guards against "not run" for a call that the service received: the service
+  // reads the call and does not answer before the time-out, which must not be
+  // treated as a failure to connect.
   RawServer Server({{Step::What::Silence}});
   HttpService Service({"127.0.0.1", Server.port()});
   checkError(call(Service, false), Execution::MayHaveRun);
