--- a/Libraries/LibIdempotency/HomeMachine.cpp
+++ b/Libraries/LibIdempotency/HomeMachine.cpp
@@ -53,10 +53,11 @@
     Step.Out.push_back(RefuseCaller{Call.Token, *Code});
     return;
   }
-  TrackedClaim &Claimed = m_Claims[Call.Key];
-  Claimed.Value = {Call.Key, ClaimState::Sent, Call.Fingerprint, {}, Step.Wall};
-  Claimed.StateSince = Step.Now;
-  Claimed.Waiters = {Call.Token};
+  TrackedClaim &NewClaim = m_Claims[Call.Key];
+  NewClaim.Value = {
+      Call.Key, ClaimState::Sent, Call.Fingerprint, {}, Step.Wall};
+  NewClaim.StateSince = Step.Now;
+  NewClaim.Waiters = {Call.Token};
   Step.Out.push_back(SendToTarget{Call.Token, Call.Key});
 }
 
@@ -112,8 +113,8 @@
   setOutcome(Found->second, ClaimState::Answered, Step);
 }
 
-void HomeMachine::on(const TargetOutcomeUnknown &Lost, StepContext &Step) {
-  auto Found = m_Claims.find(Lost.Key);
+void HomeMachine::on(const TargetOutcomeUnknown &Unknown, StepContext &Step) {
+  auto Found = m_Claims.find(Unknown.Key);
   if (Found == m_Claims.end() || Found->second.Value.State != ClaimState::Sent)
     return;
   setOutcome(Found->second, ClaimState::Unknown, Step);
@@ -134,40 +135,40 @@
   m_Claims.erase(Found);
 }
 
-void HomeMachine::setOutcome(TrackedClaim &Open, ClaimState State,
+void HomeMachine::setOutcome(TrackedClaim &Tracked, ClaimState State,
                              StepContext &Step) {
-  Open.Value.State = State;
-  Open.StateSince = Step.Now;
-  answerWaiters(Open, Step);
-  forwardOutcome(Open, Step);
+  Tracked.Value.State = State;
+  Tracked.StateSince = Step.Now;
+  answerWaiters(Tracked, Step);
+  forwardOutcome(Tracked, Step);
 }
 
-void HomeMachine::answerWaiters(TrackedClaim &Settled, StepContext &Step) {
+void HomeMachine::answerWaiters(TrackedClaim &Tracked, StepContext &Step) {
   // The first waiter of a call that was sent here is the caller whose request
   // ran; all others get a replayed answer.
-  bool Replayed = Settled.AnswersAreReplays;
-  for (uint64_t Token : std::exchange(Settled.Waiters, {})) {
-    if (Settled.Value.State == ClaimState::Answered)
-      Step.Out.push_back(AnswerCaller{Token, *Settled.Value.Result, Replayed});
+  bool Replayed = Tracked.AnswersAreReplays;
+  for (uint64_t Token : std::exchange(Tracked.Waiters, {})) {
+    if (Tracked.Value.State == ClaimState::Answered)
+      Step.Out.push_back(AnswerCaller{Token, *Tracked.Value.Result, Replayed});
     else
       Step.Out.push_back(ReportUnknownOutcome{Token});
     Replayed = true;
   }
-  Settled.AnswersAreReplays = true;
+  Tracked.AnswersAreReplays = true;
 }
 
 /// Sends the outcome to the successor, which received the claim as Sent and
 /// whose callers wait for it.
-void HomeMachine::forwardOutcome(const TrackedClaim &Settled,
+void HomeMachine::forwardOutcome(const TrackedClaim &Tracked,
                                  StepContext &Step) {
-  SliceId Id = sliceOf(Settled.Value.Key);
+  SliceId Id = sliceOf(Tracked.Value.Key);
   const SliceRecord &Slice = m_Slices[Id];
   if (!wasSentToSuccessor(Slice))
     return;
   Step.Out.push_back(SendClaims{Slice.Successor,
                                 Id,
                                 Slice.SuccessorEpoch,
-                                {Settled.Value},
+                                {Tracked.Value},
                                 false,
                                 Slice.OldKeysUntil});
 }
--- a/Libraries/LibIdempotency/HomeMachine.h
+++ b/Libraries/LibIdempotency/HomeMachine.h
@@ -148,9 +148,9 @@
                                         WallTime Wall) const;
   bool mayHaveRunBefore(const CallReceived &Call, const SliceRecord &Slice,
                         WallTime Wall) const;
-  void setOutcome(TrackedClaim &Open, ClaimState State, StepContext &Step);
-  void answerWaiters(TrackedClaim &Settled, StepContext &Step);
-  void forwardOutcome(const TrackedClaim &Settled, StepContext &Step);
+  void setOutcome(TrackedClaim &Tracked, ClaimState State, StepContext &Step);
+  void answerWaiters(TrackedClaim &Tracked, StepContext &Step);
+  void forwardOutcome(const TrackedClaim &Tracked, StepContext &Step);
   void merge(const Claim &Received, StepContext &Step);
   bool wasSentToSuccessor(const SliceRecord &Slice) const;
 
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -41,15 +41,15 @@
   return Out;
 }
 
-void Membership::on(const VmListRead &Read, Actions &Out) {
+void Membership::on(const VmListRead &List, Actions &Out) {
   // An empty list is ignored once targets are known: a single read during a
   // fault of the platform would make the entry disconnect from every target.
   // Agents that are really gone stop reporting or refuse work themselves.
-  if (Read.Vms.empty() && !m_Targets.empty())
+  if (List.Vms.empty() && !m_Targets.empty())
     return;
   m_ListKnown = true;
-  updatePeers(Read.Vms, Out);
-  updateTargets(Read.Vms, Out);
+  updatePeers(List.Vms, Out);
+  updateTargets(List.Vms, Out);
 }
 
 void Membership::updatePeers(const std::vector<Vm> &Listed, Actions &Out) {
@@ -154,8 +154,8 @@
   });
 }
 
-void Membership::on(const DesiredStatesRead &Read, Actions &Out) {
-  m_DesiredStates = Read.DesiredStates;
+void Membership::on(const DesiredStatesRead &Records, Actions &Out) {
+  m_DesiredStates = Records.DesiredStates;
   for (auto &[Id, Target] : m_Targets) {
     const auto Desired = m_DesiredStates.find(Id);
     const record::TargetIntent State = Desired == m_DesiredStates.end()
--- a/Libraries/LibTarget/EngineMessages.cpp
+++ b/Libraries/LibTarget/EngineMessages.cpp
@@ -60,12 +60,12 @@
   return Body.dump();
 }
 
-/// Parses the text and passes it to \p Read. Returns TargetFailed if the JSON
-/// is malformed or lacks a member.
-template <typename T, typename Reader>
-static Result<T> readJson(std::string_view Text, Reader Read) {
+/// Parses the text and passes it to \p Convert. Returns TargetFailed if the
+/// JSON is malformed or lacks a member.
+template <typename T, typename Converter>
+static Result<T> readJson(std::string_view Text, Converter Convert) {
   try {
-    return Read(Json::parse(Text));
+    return Convert(Json::parse(Text));
   } catch (const std::exception &Exception) {
     return failure(ResultCode::TargetFailed,
                    std::string("the engine's answer is malformed: ") +
--- a/Libraries/LibTarget/HttpCall.cpp
+++ b/Libraries/LibTarget/HttpCall.cpp
@@ -77,10 +77,10 @@
   };
   // The client is kept alive until the answer has arrived, because its
   // destructor closes the connection of the call.
-  auto OnEnd = [Client, Done](pplx::task<HttpAnswer> Ended) {
+  auto OnEnd = [Client, Done](pplx::task<HttpAnswer> AnswerTask) {
     std::exception_ptr Exception;
     try {
-      Done(Ended.get());
+      Done(AnswerTask.get());
       return;
     } catch (...) {
       Exception = std::current_exception();
--- a/Libraries/LibTarget/HttpEngine.cpp
+++ b/Libraries/LibTarget/HttpEngine.cpp
@@ -50,7 +50,7 @@
 private:
   void receive(std::string_view Bytes);
   void handleItem(const StreamItem &Item);
-  void end(pplx::task<unsigned> Ended);
+  void end(pplx::task<unsigned> StatusTask);
   CallResult<CompletionEnd> toResult(unsigned Status);
 
   const HttpClientPointer m_Client;
@@ -81,7 +81,7 @@
   };
   m_Client->request(Request, m_Cancellation.get_token())
       .then(AwaitBody)
-      .then([Self](pplx::task<unsigned> Ended) { Self->end(Ended); });
+      .then([Self](pplx::task<unsigned> StatusTask) { Self->end(StatusTask); });
 }
 
 void StreamedCompletion::cancel() {
@@ -117,11 +117,11 @@
     m_Done = true;
 }
 
-void StreamedCompletion::end(pplx::task<unsigned> Ended) {
+void StreamedCompletion::end(pplx::task<unsigned> StatusTask) {
   std::exception_ptr Exception;
   unsigned Status = 0;
   try {
-    Status = Ended.get();
+    Status = StatusTask.get();
   } catch (...) {
     Exception = std::current_exception();
   }
--- a/Services/figlift-agent/Orders.cpp
+++ b/Services/figlift-agent/Orders.cpp
@@ -84,7 +84,7 @@
 void Orders::perform(const order::ReadIntentRow &) {
   m_Dependencies.Store.read(
       orderRowKey(m_Shared.Settings.Process.Id),
-      [this](Result<platform::Row> Read) { readLease(std::move(Read)); });
+      [this](Result<platform::Row> Row) { readLease(std::move(Row)); });
 }
 
 /// Reads the lease row after the order row, so that an epoch which was acquired
@@ -104,10 +104,10 @@
         const auto LeaseRow = readLeaseRow(Lease.value().Value);
         if (!Row || !LeaseRow)
           return m_Shared.Loop.post(OnFailure);
-        const order::IntentRowRead Read{
+        const order::IntentRowRead Rows{
             Intent.Version, Row.value(), Lease.value().Version,
             LeaseRow.value().Epoch, !LeaseRow.value().Holder.empty()};
-        m_Shared.Loop.post([this, Read] { step(Read); });
+        m_Shared.Loop.post([this, Rows] { step(Rows); });
       });
 }
 
@@ -174,20 +174,20 @@
 }
 
 void Orders::perform(const order::ReadEngineState &) {
-  m_Dependencies.Engine.state([this](const auto &Read) {
-    m_Shared.Loop.post([this, Read] { onEngineState(true, Read); });
+  m_Dependencies.Engine.state([this](const auto &Response) {
+    m_Shared.Loop.post([this, Response] { onEngineState(true, Response); });
   });
 }
 
 void Orders::pollEngine() {
-  m_Dependencies.Engine.state([this](const auto &Read) {
-    m_Shared.Loop.post([this, Read] { onEngineState(false, Read); });
+  m_Dependencies.Engine.state([this](const auto &Response) {
+    m_Shared.Loop.post([this, Response] { onEngineState(false, Response); });
   });
 }
 
 void Orders::onEngineState(
-    bool Requested, const target::CallResult<target::EngineState> &Read) {
-  if (!Read) {
+    bool Requested, const target::CallResult<target::EngineState> &Response) {
+  if (!Response) {
     if (m_Engine)
       m_Shared.Events.record(
           timeline::kinds::TargetDown,
@@ -197,7 +197,7 @@
       step(order::EngineUnreachable{});
     return;
   }
-  const order::EngineState State = toOrderState(Read.value());
+  const order::EngineState State = toOrderState(Response.value());
   if (!m_Engine)
     m_Shared.Events.record(timeline::kinds::TargetUp,
                            {SubjectType::Target, m_Shared.Settings.Process.Id},
--- a/Services/figlift-agent/Orders.h
+++ b/Services/figlift-agent/Orders.h
@@ -65,7 +65,7 @@
   void commit(platform::Transaction Transaction);
   void pollEngine();
   void onEngineState(bool Requested,
-                     const target::CallResult<target::EngineState> &Read);
+                     const target::CallResult<target::EngineState> &Response);
 
   Context m_Shared;
   Dependencies m_Dependencies;
--- a/Tests/LibIdempotency/HomeSimulation.h
+++ b/Tests/LibIdempotency/HomeSimulation.h
@@ -59,7 +59,8 @@
   }
 
   template <typename Sink> void describe(Sink &&Put) const {
-    Put(m_Time, m_Row.Home, m_Row.Epoch, m_Row.Version, m_Row.How, m_Violation);
+    Put(m_Time, m_Row.Home, m_Row.Epoch, m_Row.Version, m_Row.Reason,
+        m_Violation);
     Put(m_Kills, m_Restarts, m_Handovers, m_Takeovers, m_Lost, m_Failures);
     for (size_t Key = 0; Key != m_Keys.size(); ++Key)
       Put(m_Calls[Key], m_Runs[Key]);
@@ -144,7 +145,7 @@
     int Home = 0;
     uint64_t Epoch = 1;
     uint64_t Version = 1;
-    GrantReason How = GrantReason::Initial;
+    GrantReason Reason = GrantReason::Initial;
   };
 
   static std::vector<std::string> keysOfOneSlice(size_t Count) {
@@ -332,7 +333,7 @@
           [&](HomeSimulation &Next) { Next.recover(I); });
     if (Current.Alive && Current.Recovered && HoldsGrant)
       Try(label(I) + "reads its grant", [&](HomeSimulation &Next) {
-        Next.feed(I, SliceGranted{slice(), m_Row.Epoch, m_Row.How});
+        Next.feed(I, SliceGranted{slice(), m_Row.Epoch, m_Row.Reason});
       });
     if (Current.Alive && Current.Recovered && !HoldsGrant)
       Try(label(I) + "reads the other's grant", [&](HomeSimulation &Next) {
--- a/Tests/LibTarget/TestEventStreamParser.cpp
+++ b/Tests/LibTarget/TestEventStreamParser.cpp
@@ -15,12 +15,12 @@
 TEST(EventStreamParser, EventsDoNotDependOnChunkBoundaries) {
   // Guards against lost or duplicate tokens when an event or a line end of the
   // engine's stream is divided between two reads.
-  const std::string Whole =
+  const std::string Stream =
       ": comment\ndata: {\"a\":1}\n\ndata:x\r\ndata: y\r\n\r\nid: 3\n\n";
-  for (size_t Cut = 0; Cut <= Whole.size(); ++Cut) {
+  for (size_t Cut = 0; Cut <= Stream.size(); ++Cut) {
     EventStreamParser Parser;
-    auto Events = Parser.parse(std::string_view(Whole).substr(0, Cut));
-    for (auto &Event : Parser.parse(std::string_view(Whole).substr(Cut)))
+    auto Events = Parser.parse(std::string_view(Stream).substr(0, Cut));
+    for (auto &Event : Parser.parse(std::string_view(Stream).substr(Cut)))
       Events.push_back(Event);
     LONGS_EQUAL(2, Events.size());
     STRCMP_EQUAL("{\"a\":1}", Events[0].c_str());
--- a/Tests/LibTarget/TestHttpService.cpp
+++ b/Tests/LibTarget/TestHttpService.cpp
@@ -20,20 +20,20 @@
 using figlift::test::Step;
 using std::chrono::milliseconds;
 
-TEST_GROUP(HttpService){
-    static CallResult<ServiceReply> call(HttpService & Service,
-                                         bool Repeatable){
-        auto Ended = std::make_shared<std::promise<CallResult<ServiceReply>>>();
+TEST_GROUP(HttpService){static CallResult<ServiceReply> call(HttpService &
+                                                                 Service,
+                                                             bool Repeatable){
+    auto Promise = std::make_shared<std::promise<CallResult<ServiceReply>>>();
 ServiceRequest Request;
 Request.Method = "POST";
 Request.Path = "/slots/7";
 Request.Body = "{}";
 Request.Repeatable = Repeatable;
 Request.Timeout = milliseconds(300);
-Service.call(Request, [Ended](CallResult<ServiceReply> Reply) {
-  Ended->set_value(std::move(Reply));
+Service.call(Request, [Promise](CallResult<ServiceReply> Reply) {
+  Promise->set_value(std::move(Reply));
 });
-return Ended->get_future().get();
+return Promise->get_future().get();
 }
 static void checkError(const CallResult<ServiceReply> &Reply,
                        Execution Executed) {
