--- a/Libraries/LibOrder/OrderMachine.cpp
+++ b/Libraries/LibOrder/OrderMachine.cpp
@@ -1,7 +1,7 @@
-//===- OrderMachine.cpp - Orders to one target ----------------------------===//
+//===- OrderMachine.cpp - Executes orders at one target -------------------===//
 //
-// See OrderMachine.h. This file holds the planner's and the store's side; the
-// engine's side is in OrderMachineEngine.cpp.
+// See OrderMachine.h. This file handles the events of planners and of the
+// store; OrderMachineEngine.cpp handles those of the engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr size_t BookSize = 256;
+constexpr size_t HistorySize = 256;
 
 OrderProgress progressOf(IntentState State) {
   switch (State) {
@@ -35,7 +35,7 @@
 std::vector<Action> OrderMachine::start(BootTime Now) {
   Actions Out;
   Context C{Now, Out};
-  // The predecessor is dead, but what it sent last may still be on its way.
+  // The predecessor has exited, but its last order may still be in flight.
   m_SettledAt = Now + m_Options.SettleTime;
   m_NextPoll = Now + m_Options.PollInterval;
   readRows(C);
@@ -43,10 +43,10 @@
   return Out;
 }
 
-std::vector<Action> OrderMachine::step(const Event &What, BootTime Now) {
+std::vector<Action> OrderMachine::step(const Event &Event, BootTime Now) {
   Actions Out;
   Context C{Now, Out};
-  std::visit([&](const auto &Event) { on(Event, C); }, What);
+  std::visit([&](const auto &Alternative) { on(Alternative, C); }, Event);
   return Out;
 }
 
@@ -64,64 +64,65 @@
     readEngine(C);
 }
 
-void OrderMachine::on(const OrderReceived &Call, Context &C) {
-  if (answerFromBook(Call, C))
+void OrderMachine::on(const OrderReceived &Received, Context &C) {
+  if (replyFromHistory(Received, C))
     return;
   auto Refuse = [&](ResultCode Code) {
     C.Out.push_back(
-        Reply{Call.Token, Code, OrderProgress::Refused, m_HighestEpoch});
+        Reply{Received.Token, Code, OrderProgress::Refused, m_HighestEpoch});
   };
-  if (Call.What.Epoch < m_HighestEpoch)
+  if (Received.NewOrder.Epoch < m_HighestEpoch)
     return Refuse(ResultCode::StaleEpoch);
   if (m_State == State::Recovering)
     return Refuse(ResultCode::NotReady);
   if (m_State != State::Idle)
     return Refuse(ResultCode::OrderConflict);
-  m_Current = Call.What;
-  m_Callers = {Call.Token};
+  m_Current = Received.NewOrder;
+  m_WaitingTokens = {Received.Token};
   m_State = State::CheckingAuthority;
   readRows(C);
 }
 
-/// A planner whose reply was lost asks again: it learns how far the order has
-/// come, and nothing is done twice.
-bool OrderMachine::answerFromBook(const OrderReceived &Call, Context &C) {
-  const Order &What = Call.What;
+/// A planner whose reply was lost retries the order. The retry gets the current
+/// progress and does not execute the order a second time.
+bool OrderMachine::replyFromHistory(const OrderReceived &Received, Context &C) {
+  const Order &Requested = Received.NewOrder;
   auto Answer = [&](const Order &Known, OrderProgress Progress) {
-    bool Same = Known == What;
-    ResultCode Code = Known.Id == m_NotDrained ? ResultCode::DeadlineExceeded
-                                               : ResultCode::Success;
-    C.Out.push_back(Reply{Call.Token, Same ? Code : ResultCode::OrderConflict,
-                          Same ? Progress : OrderProgress::Refused,
-                          m_HighestEpoch});
+    bool Same = Known == Requested;
+    ResultCode Code = Known.Id == m_UndrainedOrderId
+                          ? ResultCode::DeadlineExceeded
+                          : ResultCode::Success;
+    C.Out.push_back(
+        Reply{Received.Token, Same ? Code : ResultCode::OrderConflict,
+              Same ? Progress : OrderProgress::Refused, m_HighestEpoch});
     return true;
   };
-  if (m_Current && m_Current->Id == What.Id) {
+  if (m_Current && m_Current->Id == Requested.Id) {
     bool Undecided =
         m_State == State::CheckingAuthority || m_State == State::WritingIntent;
-    if (!Undecided || *m_Current != What)
+    if (!Undecided || *m_Current != Requested)
       return Answer(*m_Current, OrderProgress::Running);
-    m_Callers.push_back(Call.Token);
+    m_WaitingTokens.push_back(Received.Token);
     return true;
   }
-  auto Known = std::ranges::find(m_Book, What.Id,
-                                 [](const auto &Row) { return Row.What.Id; });
-  if (Known != m_Book.end())
-    return Answer(Known->What, progressOf(Known->State));
-  if (m_Row && m_Row->What.Id == What.Id)
-    return Answer(m_Row->What, progressOf(m_Row->State));
+  auto Known = std::ranges::find(m_History, Requested.Id,
+                                 [](const auto &Row) { return Row.Intent.Id; });
+  if (Known != m_History.end())
+    return Answer(Known->Intent, progressOf(Known->State));
+  if (m_Row && m_Row->Intent.Id == Requested.Id)
+    return Answer(m_Row->Intent, progressOf(m_Row->State));
   return false;
 }
 
 void OrderMachine::on(const IntentRowRead &Rows, Context &C) {
   m_Store = Store::Free;
-  uint64_t Floor = Rows.LeaseEpoch + (Rows.LeaseHeld ? 0 : 1);
+  uint64_t LowestValidEpoch = Rows.LeaseEpoch + (Rows.LeaseHeld ? 0 : 1);
   if (Rows.LeaseVersion != 0)
-    m_HighestEpoch = std::max(m_HighestEpoch, Floor);
+    m_HighestEpoch = std::max(m_HighestEpoch, LowestValidEpoch);
   m_RowVersion = Rows.Version;
   m_LeaseVersion = Rows.LeaseVersion;
   m_Row = Rows.Row;
-  if (m_Row && m_Row->What.Id.empty())
+  if (m_Row && m_Row->Intent.Id.empty())
     m_Row.reset();
   m_RowTakenOver = false;
   switch (m_State) {
@@ -132,26 +133,27 @@
     return;
   case State::CheckingAuthority:
   case State::WritingIntent:
-    return rowsForOrder(Rows, C);
+    return authorizeOrder(Rows, C);
   case State::WritingCompletion:
-    return rowsAtCompletion(Rows, C);
+    return confirmCompletion(Rows, C);
   default:
     return;
   }
 }
 
-/// Decides on m_Current with both rows in hand. After a commit in doubt the
-/// same rules hold: if the rows still have the versions of that commit, the
-/// same content is committed again and only one of the two can take effect;
-/// if one of them has moved on, the commit in doubt can no longer happen.
-void OrderMachine::rowsForOrder(const IntentRowRead &Rows, Context &C) {
-  bool Mine = Rows.Row && Rows.Row->What == *m_Current;
+/// Accepts or rejects m_Current based on both rows. The same rules apply after
+/// a commit with unknown outcome: if the rows still have the versions that the
+/// commit expected, the same content is committed again and only one of the two
+/// commits can take effect; if a version has changed, the earlier commit can no
+/// longer take effect.
+void OrderMachine::authorizeOrder(const IntentRowRead &Rows, Context &C) {
+  bool SameOrder = Rows.Row && Rows.Row->Intent == *m_Current;
   bool Intended = Rows.Row && Rows.Row->State == IntentState::Intended;
-  if (Mine && Intended && m_IntentInDoubt)
+  if (SameOrder && Intended && m_IntentOutcomeUnknown)
     return accept(C);
   if (Intended) {
-    // A commit of a predecessor took effect after it had died. The intent
-    // stands: it is carried out before anything else.
+    // A commit of a predecessor took effect after the predecessor exited. Its
+    // intent is valid and is executed first.
     refuse(C, ResultCode::OrderConflict);
     m_State = State::Recovering;
     if (m_Engine == Engine::Free)
@@ -166,13 +168,13 @@
   commitIntent(C);
 }
 
-void OrderMachine::rowsAtCompletion(const IntentRowRead &Rows, Context &C) {
-  bool Open = Rows.Row && Rows.Row->What.Id == m_Current->Id &&
+void OrderMachine::confirmCompletion(const IntentRowRead &Rows, Context &C) {
+  bool Open = Rows.Row && Rows.Row->Intent.Id == m_Current->Id &&
               Rows.Row->State == IntentState::Intended;
   if (Open)
     return commitCompletion(C);
-  if (Rows.Row && Rows.Row->What.Id == m_Current->Id)
-    m_End = Rows.Row->State;
+  if (Rows.Row && Rows.Row->Intent.Id == m_Current->Id)
+    m_FinalState = Rows.Row->State;
   becomeIdle(C);
 }
 
@@ -181,8 +183,8 @@
   m_NextPoll = C.Now + m_Options.PollInterval;
   if (m_State == State::CheckingAuthority)
     return refuse(C, ResultCode::StoreUnavailable);
-  // Nobody waits for a store that may be out for long: the planner asks again
-  // under the same id.
+  // The outage may last long, so the planner gets a reply now and retries under
+  // the same order id.
   if (m_State == State::WritingIntent)
     reply(C, ResultCode::StoreOutcomeUnknown, OrderProgress::Running);
 }
@@ -202,7 +204,7 @@
   }
   if (m_State != State::WritingCompletion)
     return;
-  m_Row = IntentRow{*m_Current, m_End};
+  m_Row = IntentRow{*m_Current, m_FinalState};
   becomeIdle(C);
 }
 
@@ -213,14 +215,14 @@
 
 void OrderMachine::on(const CommitOutcomeUnknown &, Context &C) {
   m_Store = Store::Free;
-  m_IntentInDoubt = m_State == State::WritingIntent;
+  m_IntentOutcomeUnknown = m_State == State::WritingIntent;
   readRows(C);
 }
 
 void OrderMachine::on(const CommitFailed &, Context &C) {
   m_Store = Store::Free;
   m_NextPoll = C.Now + m_Options.PollInterval;
-  if (m_State == State::WritingIntent && !m_IntentInDoubt)
+  if (m_State == State::WritingIntent && !m_IntentOutcomeUnknown)
     refuse(C, ResultCode::StoreUnavailable);
 }
 
@@ -237,35 +239,36 @@
 
 void OrderMachine::commitCompletion(Context &C) {
   m_Store = Store::Committing;
-  C.Out.push_back(CommitCompletionRow{m_RowVersion, {*m_Current, m_End}});
+  C.Out.push_back(
+      CommitCompletionRow{m_RowVersion, {*m_Current, m_FinalState}});
 }
 
-/// The intent is in the table: from here on it is carried out or abandoned,
-/// by this process or by its successor.
+/// The intent is in the table. This process or its successor will either
+/// complete or abandon it.
 void OrderMachine::accept(Context &C) {
-  m_IntentInDoubt = false;
+  m_IntentOutcomeUnknown = false;
   m_Fence = m_RowVersion;
   reply(C, ResultCode::Success, OrderProgress::Running);
   drain(C);
 }
 
 void OrderMachine::reply(Context &C, ResultCode Code, OrderProgress Progress) {
-  for (uint64_t Token : std::exchange(m_Callers, {}))
+  for (uint64_t Token : std::exchange(m_WaitingTokens, {}))
     C.Out.push_back(Reply{Token, Code, Progress, m_HighestEpoch});
 }
 
-/// Nothing was written and nothing will be: the order never existed.
+/// Rejects an order of which nothing was written and nothing can be any more.
 void OrderMachine::refuse(Context &C, ResultCode Code) {
   reply(C, Code, OrderProgress::Refused);
   m_Current.reset();
-  m_IntentInDoubt = false;
+  m_IntentOutcomeUnknown = false;
   m_State = State::Idle;
 }
 
 void OrderMachine::becomeIdle(Context &) {
-  m_Book.push_back({*m_Current, m_End});
-  if (m_Book.size() > BookSize)
-    m_Book.pop_front();
+  m_History.push_back({*m_Current, m_FinalState});
+  if (m_History.size() > HistorySize)
+    m_History.pop_front();
   m_Current.reset();
   m_State = State::Idle;
 }
--- a/Libraries/LibOrder/OrderMachineEngine.cpp
+++ b/Libraries/LibOrder/OrderMachineEngine.cpp
@@ -1,6 +1,6 @@
-//===- OrderMachineEngine.cpp - The engine's side of an order -------------===//
+//===- OrderMachineEngine.cpp - Drains and changes the engine -------------===//
 //
-// See OrderMachine.h. Draining, sending and reading back.
+// See OrderMachine.h. Draining, sending and polling of the engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,24 +13,25 @@
     send(C);
 }
 
-/// Requests are never cut for a change: the change is given up instead.
+/// Requests are never aborted for an order; the order is abandoned instead.
 void OrderMachine::on(const DrainTimedOut &, Context &C) {
   if (m_State != State::Draining)
     return;
-  m_NotDrained = m_Current->Id;
+  m_UndrainedOrderId = m_Current->Id;
   complete(IntentState::Abandoned, C);
 }
 
-void OrderMachine::on(const EngineStateRead &Read, Context &C) {
+void OrderMachine::on(const EngineStateRead &Event, Context &C) {
   if (m_Engine == Engine::Reading)
     m_Engine = Engine::Free;
-  bool Restarted = m_LastEngine && m_LastEngine->Boot != Read.State.Boot;
-  m_LastEngine = Read.State;
+  bool Restarted =
+      m_LastEngineState && m_LastEngineState->Boot != Event.State.Boot;
+  m_LastEngineState = Event.State;
   switch (m_State) {
   case State::Recovering:
-    return recover(Read.State, C);
+    return recover(Event.State, C);
   case State::Settling:
-    return settle(Read.State, C);
+    return settle(Event.State, C);
   case State::Idle:
     if (Restarted)
       report(C);
@@ -46,31 +47,29 @@
   m_NextPoll = C.Now + m_Options.PollInterval;
 }
 
-void OrderMachine::on(const EngineAccepted &, Context &C) {
-  sendingAnswered(C);
-}
+void OrderMachine::on(const EngineAccepted &, Context &C) { sendCompleted(C); }
 
 void OrderMachine::on(const EngineRejected &, Context &C) {
   m_Rejected = true;
-  sendingAnswered(C);
+  sendCompleted(C);
 }
 
-void OrderMachine::on(const EngineBusy &, Context &C) { sendingAnswered(C); }
+void OrderMachine::on(const EngineBusy &, Context &C) { sendCompleted(C); }
 
 void OrderMachine::on(const EngineNotReached &, Context &C) {
-  sendingAnswered(C);
+  sendCompleted(C);
 }
 
 void OrderMachine::on(const EngineOutcomeUnknown &, Context &C) {
   if (m_State != State::Sending)
     return;
-  // Counted from here and not from the decision to send: the shell may have
-  // been paused in between, and now it has closed the connection.
+  // The settle time starts here and not when the order was sent: the process
+  // may have been paused in between, and the connection is closed only now.
   m_SettledAt = C.Now + m_Options.SettleTime;
-  sendingAnswered(C);
+  sendCompleted(C);
 }
 
-void OrderMachine::sendingAnswered(Context &C) {
+void OrderMachine::sendCompleted(Context &C) {
   if (m_State != State::Sending)
     return;
   m_Engine = Engine::Free;
@@ -78,14 +77,14 @@
   readEngine(C);
 }
 
-/// Whether the last reading shows what all copies that were sent have done. It
-/// must have been sent after the bound: an answer that took long may show the
-/// engine as it was before a late copy arrived.
-bool OrderMachine::settled() const { return m_EngineReadSent >= m_SettledAt; }
+/// Whether the last read reflects every copy of the order that was sent. The
+/// read must have been sent after the settle time: a slow response may show the
+/// engine's state from before a late copy arrived.
+bool OrderMachine::settled() const { return m_EngineReadSentAt >= m_SettledAt; }
 
 void OrderMachine::readEngine(Context &C) {
   m_Engine = Engine::Reading;
-  m_EngineReadSent = C.Now;
+  m_EngineReadSentAt = C.Now;
   m_NextPoll = C.Now + m_Options.PollInterval;
   C.Out.push_back(ReadEngineState{});
 }
@@ -99,7 +98,7 @@
 
 void OrderMachine::drain(Context &C) {
   m_State = State::Draining;
-  m_Sends = 0;
+  m_SendCount = 0;
   m_Rejected = false;
   m_AdmissionOpen = false;
   C.Out.push_back(CloseAdmission{});
@@ -108,69 +107,69 @@
 void OrderMachine::send(Context &C) {
   m_State = State::Sending;
   m_Engine = Engine::Sending;
-  ++m_Sends;
+  ++m_SendCount;
   C.Out.push_back(SendToEngine{*m_Current, m_Fence});
 }
 
-/// Reads the order's end out of the engine's state. While a copy without an
-/// answer may still arrive nothing is decided: if it took effect after the
-/// next order, the engine would be left in the older state, with all rows
-/// saying the newer one.
-void OrderMachine::settle(const EngineState &Engine, Context &C) {
-  if (Engine.OrderState == EngineOrderState::Running || !settled())
+/// Derives the order's outcome from the engine's state. While an unacknowledged
+/// copy may still arrive, the order stays open: if the copy took effect after
+/// the next order, the engine would be left in the older state while all rows
+/// name the newer one.
+void OrderMachine::settle(const EngineState &Reported, Context &C) {
+  if (Reported.OrderState == EngineOrderState::Running || !settled())
     return;
-  bool Satisfied = satisfies(Engine, m_Current->What);
+  bool Satisfied = satisfies(Reported, m_Current->RequestedChange);
   if (Satisfied)
     return complete(IntentState::Done, C);
-  bool Ended = Engine.OrderId == m_Current->Id;
-  if (Ended || m_Rejected || m_Sends >= m_Options.MaximumSends)
+  bool Ended = Reported.OrderId == m_Current->Id;
+  if (Ended || m_Rejected || m_SendCount >= m_Options.MaximumSends)
     return complete(IntentState::Abandoned, C);
-  // The engine never took it, or has lost it in a crash.
+  // The engine never accepted the order, or lost it in a crash.
   send(C);
 }
 
-/// The engine is quiet once nothing runs and nothing can be on its way. From
-/// then on its state changes only by this machine, so requests may come in
-/// even when the rows can't be read yet.
-void OrderMachine::recover(const EngineState &Engine, Context &C) {
-  if (Engine.OrderState == EngineOrderState::Running || !settled())
+/// Once no order is running or can be in flight, only this machine changes the
+/// engine's state. Requests are admitted from then on, even if the rows can't
+/// be read yet.
+void OrderMachine::recover(const EngineState &Reported, Context &C) {
+  if (Reported.OrderState == EngineOrderState::Running || !settled())
     return;
   openAdmission(C);
   if (!m_RowsKnown)
     return;
   if (!m_RowTakenOver)
-    return takeRowOver(C);
+    return takeOverRow(C);
   if (!m_Row || m_Row->State != IntentState::Intended) {
     m_State = State::Idle;
     return report(C);
   }
-  m_Current = m_Row->What;
+  m_Current = m_Row->Intent;
   m_Fence = m_RowVersion;
-  bool Failed = Engine.OrderId == m_Current->Id &&
-                Engine.OrderState == EngineOrderState::Failed;
-  if (satisfies(Engine, m_Current->What))
+  bool Failed = Reported.OrderId == m_Current->Id &&
+                Reported.OrderState == EngineOrderState::Failed;
+  if (satisfies(Reported, m_Current->RequestedChange))
     return complete(IntentState::Done, C);
   if (Failed)
     return complete(IntentState::Abandoned, C);
   drain(C);
 }
 
-/// Writes the row again as it is, or an order without an id into an empty one.
-/// A commit that the predecessor had sent may still be on its way: an intent
-/// that takes effect now would be carried out by nobody, and a completion
-/// would contradict what is done here. The new version makes both fail.
-void OrderMachine::takeRowOver(Context &C) {
+/// Writes the row back unchanged, or an order without an id if the row is
+/// absent. A commit of the predecessor may still be in flight: an intent that
+/// took effect now would never be executed, and a completion would contradict
+/// what this process does. The new row version makes both of them fail.
+void OrderMachine::takeOverRow(Context &C) {
   if (m_Store != Store::Free)
     return;
   m_Store = Store::Committing;
-  IntentRow None{Order{}, IntentState::Done};
-  C.Out.push_back(CommitCompletionRow{m_RowVersion, m_Row.value_or(None)});
+  IntentRow EmptyRow{Order{}, IntentState::Done};
+  C.Out.push_back(CommitCompletionRow{m_RowVersion, m_Row.value_or(EmptyRow)});
 }
 
-/// The engine's part is over. Requests go on at once; the row follows as soon
-/// as the store takes it.
-void OrderMachine::complete(IntentState End, Context &C) {
-  m_End = End;
+/// The engine has finished. Requests are admitted again at once; the row is
+/// written as soon as the store accepts the commit.
+void OrderMachine::complete(IntentState FinalState, Context &C) {
+  m_FinalState = FinalState;
   m_State = State::WritingCompletion;
   openAdmission(C);
   report(C);
@@ -178,14 +177,17 @@
 }
 
 void OrderMachine::report(Context &C) {
-  if (!m_LastEngine)
+  if (!m_LastEngineState)
     return;
   bool Open = m_State == State::WritingCompletion;
-  const Order *Last = Open ? &*m_Current : m_Row ? &m_Row->What : nullptr;
-  IntentState End = Open ? m_End : m_Row ? m_Row->State : IntentState::Done;
-  bool Matches = !Last || (End == IntentState::Done &&
-                           satisfies(*m_LastEngine, Last->What));
-  C.Out.push_back(ReportEngineState{*m_LastEngine, Matches});
+  const Order *Last = Open ? &*m_Current : m_Row ? &m_Row->Intent : nullptr;
+  IntentState FinalState = Open    ? m_FinalState
+                           : m_Row ? m_Row->State
+                                   : IntentState::Done;
+  bool Matches =
+      !Last || (FinalState == IntentState::Done &&
+                satisfies(*m_LastEngineState, Last->RequestedChange));
+  C.Out.push_back(ReportEngineState{*m_LastEngineState, Matches});
 }
 
 } // namespace figlift::order
--- a/Libraries/LibOrder/OrderTypes.cpp
+++ b/Libraries/LibOrder/OrderTypes.cpp
@@ -12,26 +12,30 @@
 
 namespace {
 
-bool holds(const EngineState &State, const LoadedModel &Model) {
+bool hasLoaded(const EngineState &State, const LoadedModel &Model) {
   return std::ranges::find(State.Models, Model) != State.Models.end();
 }
 
-struct SatisfiedBy {
+struct ChangeMatcher {
   const EngineState &State;
 
-  bool operator()(const SetRole &What) const { return State.Role == What.Role; }
-  bool operator()(const LoadModel &What) const {
-    return holds(State, {What.Model, What.Version, What.Adapter});
+  bool operator()(const SetRole &Requested) const {
+    return State.Role == Requested.Role;
   }
-  bool operator()(const UnloadModel &What) const {
-    return !holds(State, {What.Model, What.Version, What.Adapter});
+  bool operator()(const LoadModel &Requested) const {
+    return hasLoaded(State,
+                     {Requested.Model, Requested.Version, Requested.Adapter});
+  }
+  bool operator()(const UnloadModel &Requested) const {
+    return !hasLoaded(State,
+                      {Requested.Model, Requested.Version, Requested.Adapter});
   }
 };
 
 } // namespace
 
-bool satisfies(const EngineState &State, const Change &What) {
-  return std::visit(SatisfiedBy{State}, What);
+bool satisfies(const EngineState &State, const Change &Requested) {
+  return std::visit(ChangeMatcher{State}, Requested);
 }
 
 } // namespace figlift::order
--- a/Libraries/LibOrder/OrderTypes.h
+++ b/Libraries/LibOrder/OrderTypes.h
@@ -1,7 +1,7 @@
 //===- OrderTypes.h - Orders, events and actions ----------------*- C++ -*-===//
 //
-// Vocabulary of the order machine: what a planner may order, what the agent's
-// shell tells the machine and what it is told to do.
+// Types of the order machine: the changes that a planner may order, the events
+// that the agent feeds into the machine, and the actions that it returns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -41,7 +41,7 @@
   std::string Id;
   /// Lease epoch of the planner that gave the order.
   uint64_t Epoch = 0;
-  Change What;
+  Change RequestedChange;
   bool operator==(const Order &) const = default;
 };
 
@@ -49,7 +49,7 @@
 
 /// Value of the row order/<target>.
 struct IntentRow {
-  Order What;
+  Order Intent;
   IntentState State = IntentState::Intended;
   bool operator==(const IntentRow &) const = default;
 };
@@ -63,31 +63,31 @@
   auto operator<=>(const LoadedModel &) const = default;
 };
 
-/// What the engine says of itself.
+/// State that the engine reports.
 struct EngineState {
-  /// Differs after each start of the engine.
+  /// Unique for each start of the engine.
   std::string Boot;
   std::string Role;
   std::vector<LoadedModel> Models;
-  /// Order that the engine took last since its start; empty when none.
+  /// Order that the engine accepted last since its start; empty if none.
   std::string OrderId;
   EngineOrderState OrderState = EngineOrderState::None;
   bool operator==(const EngineState &) const = default;
 };
 
-/// Whether the engine is in the state that \p What asks for.
-bool satisfies(const EngineState &State, const Change &What);
+/// Whether the engine is in the state that \p Requested asks for.
+bool satisfies(const EngineState &State, const Change &Requested);
 
-/// \name Events. Each action that asks something of the store or the engine is
-/// answered by exactly one event, within the timeout of the call.
+/// \name Events. Each action that calls the store or the engine is followed by
+/// exactly one event with its result, within the timeout of the call.
 /// @{
 struct Tick {};
 struct OrderReceived {
-  /// Names the caller's stream; comes back in Reply.
+  /// Identifies the caller's stream; Reply carries the same value.
   uint64_t Token = 0;
-  Order What;
+  Order NewOrder;
 };
-/// Answers ReadIntentRow with both rows.
+/// Result of ReadIntentRow: both rows.
 struct IntentRowRead {
   /// 0 when the row is absent.
   uint64_t Version = 0;
@@ -100,29 +100,29 @@
 };
 struct IntentRowReadFailed {};
 struct CommitSucceeded {};
-/// A version differed; nothing was written.
+/// A version condition failed; nothing was written.
 struct CommitConflicted {};
-/// The answer was lost; the write may have happened, or may still happen.
+/// The response was lost; the write may have taken effect, or may still do so.
 struct CommitOutcomeUnknown {};
-/// The store was down; nothing was written.
+/// The store was unavailable; nothing was written.
 struct CommitFailed {};
 /// The last request admitted before CloseAdmission has ended.
 struct Drained {};
-/// The requests did not end within the drain's bound.
+/// Requests were still running when the drain timeout expired.
 struct DrainTimedOut {};
-/// Answers ReadEngineState. In Idle the shell may also pass on what it read for
-/// other reasons, so that a restart of the engine is noticed.
+/// Result of ReadEngineState. In Idle the agent also passes on states that it
+/// reads for other purposes, so that a restart of the engine is detected.
 struct EngineStateRead {
   EngineState State;
 };
 struct EngineUnreachable {};
-/// Answers to SendToEngine.
+/// Results of SendToEngine.
 struct EngineAccepted {};
-/// The engine refused the order for good (stale fence, unknown model).
+/// The engine rejected the order permanently (stale fence, unknown model).
 struct EngineRejected {};
-/// The engine is at work on another order; it did not take this one.
+/// The engine is executing another order and did not accept this one.
 struct EngineBusy {};
-/// No byte of the order left the agent (connection refused).
+/// The connection failed before any byte of the order was sent.
 struct EngineNotReached {};
 struct EngineOutcomeUnknown {};
 /// @}
@@ -134,7 +134,7 @@
                  EngineUnreachable, EngineAccepted, EngineRejected, EngineBusy,
                  EngineNotReached, EngineOutcomeUnknown>;
 
-/// Enumerators in the order of the variant's alternatives.
+/// Enumerators in the same sequence as the variant's alternatives.
 enum class EventKind {
   Tick,
   OrderReceived,
@@ -155,14 +155,14 @@
   EngineOutcomeUnknown,
 };
 
-inline EventKind kindOf(const Event &What) {
-  return static_cast<EventKind>(What.index());
+inline EventKind kindOf(const Event &Event) {
+  return static_cast<EventKind>(Event.index());
 }
 
 /// \name Actions.
 /// @{
 
-/// Reads order/<target> and the shard's lease row; both in IntentRowRead.
+/// Reads order/<target> and the shard's lease row; IntentRowRead carries both.
 struct ReadIntentRow {
   bool operator==(const ReadIntentRow &) const = default;
 };
@@ -174,15 +174,15 @@
   IntentRow Row;
   bool operator==(const CommitIntentRow &) const = default;
 };
-/// Writes the end of an order; at the start, the row anew as it was read (an
-/// order with an empty id when there is none). Conditioned on the order row
-/// alone.
+/// Writes the final state of an order. During recovery, writes the row back
+/// unchanged, or an order with an empty id if there is none. Conditioned on the
+/// version of the order row only.
 struct CommitCompletionRow {
   uint64_t ExpectedVersion = 0;
   IntentRow Row;
   bool operator==(const CommitCompletionRow &) const = default;
 };
-/// Refuse new requests ("not run"); answered by Drained or DrainTimedOut.
+/// Rejects new requests as "not run"; Drained or DrainTimedOut follows.
 struct CloseAdmission {
   bool operator==(const CloseAdmission &) const = default;
 };
@@ -193,14 +193,14 @@
   bool operator==(const ReadEngineState &) const = default;
 };
 struct SendToEngine {
-  Order What;
-  /// Fencing number for the engine: the version of the intent row. It grows
-  /// with every order, also under one epoch, so that an engine which checks
-  /// it refuses a late copy of an earlier order of the same planner too.
+  Order Payload;
+  /// Fencing token for the engine: the version of the intent row. It grows with
+  /// every order, also within one epoch, so that an engine that checks it
+  /// rejects a late copy of an earlier order from the same planner too.
   uint64_t Fence = 0;
   bool operator==(const SendToEngine &) const = default;
 };
-/// How far an order has come, for the planner.
+/// Progress of an order, as reported to the planner.
 enum class OrderProgress { Refused, Running, Done, Failed };
 struct Reply {
   uint64_t Token = 0;
@@ -209,12 +209,12 @@
   uint64_t HighestEpoch = 0;
   bool operator==(const Reply &) const = default;
 };
-/// The engine's state is known again after a change; goes to the planner with
-/// the agent's next report.
+/// The engine's state after a change; the agent's next report to the planner
+/// contains it.
 struct ReportEngineState {
   EngineState State;
-  /// False when the engine is not in the state of the last intent: it crashed
-  /// or the order failed, and the planner has to plan anew.
+  /// False if the engine is not in the state of the last intent because it
+  /// crashed or the order failed; the planner must then plan again.
   bool MatchesIntent = true;
   bool operator==(const ReportEngineState &) const = default;
 };
--- a/Services/figlift-agent/OrderRows.cpp
+++ b/Services/figlift-agent/OrderRows.cpp
@@ -86,9 +86,9 @@
 }
 
 std::string writeIntentRow(const IntentRow &Row) {
-  return Json{{"orderId", Row.What.Id},
-              {"epoch", Row.What.Epoch},
-              {"order", std::visit(ChangeWriter{}, Row.What.What)},
+  return Json{{"orderId", Row.Intent.Id},
+              {"epoch", Row.Intent.Epoch},
+              {"order", std::visit(ChangeWriter{}, Row.Intent.RequestedChange)},
               {"state", nameOf(Row.State)}}
       .dump();
 }
--- a/Services/figlift-agent/Orders.cpp
+++ b/Services/figlift-agent/Orders.cpp
@@ -142,7 +142,7 @@
   m_Shared.Events.record(Done ? timeline::kinds::OrderDone
                               : timeline::kinds::OrderAbandoned,
                          {SubjectType::Target, m_Shared.Settings.Process.Id},
-                         {{"order", What.Row.What.Id}});
+                         {{"order", What.Row.Intent.Id}});
   commit({{{Key, What.ExpectedVersion}}, {{Key, writeIntentRow(What.Row)}}});
 }
 
@@ -236,11 +236,13 @@
 }
 
 void Orders::act(const order::SendToEngine &What) {
-  m_Shared.Events.record(timeline::kinds::OrderStarted,
-                         {SubjectType::Target, m_Shared.Settings.Process.Id},
-                         {{"order", What.What.Id}, {"epoch", What.What.Epoch}});
-  target::OrderCall Call{What.What.Id, What.Fence,
-                         std::visit(KindReader{}, What.What.What)};
+  m_Shared.Events.record(
+      timeline::kinds::OrderStarted,
+      {SubjectType::Target, m_Shared.Settings.Process.Id},
+      {{"order", What.Payload.Id}, {"epoch", What.Payload.Epoch}});
+  target::OrderCall Call{
+      What.Payload.Id, What.Fence,
+      std::visit(KindReader{}, What.Payload.RequestedChange)};
   m_Parts.Engine.order(std::move(Call), [this](const auto &Answer) {
     m_Shared.Decisions.post(
         [this, Event = readOrderAnswer(Answer)] { step(Event); });
--- a/Tests/FaultMatrix/Table/Cells.cpp
+++ b/Tests/FaultMatrix/Table/Cells.cpp
@@ -38,7 +38,7 @@
 constexpr std::string_view EngineX =
     "OrderExploration.AnEngineThatIgnoresTheFenceNeverHoldsConflictingOrders";
 constexpr std::string_view StoreX =
-    "OrderExploration.FaultsOfTheStoreChangeNothingByHalves";
+    "OrderExploration.StoreFaultsNeverApplyARejectedOrder";
 constexpr std::string_view TakeoverX =
     "HomeExploration.ATakeoverRunsNothingTwice";
 constexpr std::string_view RestartX =
@@ -102,7 +102,7 @@
           "Authority.GivesNoOrdersWithoutTheStoreAndGoesOnAfterwards"},
          {TargetCrash, EngineX},
          {DuplicateDelivery,
-          "OrderMachine.CarriesAnOrderThroughAndAnswersItAgainFromTheBook"}}),
+          "OrderMachine.CompletesAnOrderAndRepliesToItsRetryFromTheHistory"}}),
     row("order", "CheckingAuthority",
         {{Kill, EngineX},
          {Pause, EngineX},
--- a/Tests/FaultMatrix/Table/Steps.cpp
+++ b/Tests/FaultMatrix/Table/Steps.cpp
@@ -76,8 +76,8 @@
   Names Found;
   std::set<order::State> Seen;
   for (const order::Transition &Row : Table)
-    if (Seen.insert(Row.From).second)
-      Found.emplace_back(order::name(Row.From));
+    if (Seen.insert(Row.Source).second)
+      Found.emplace_back(order::name(Row.Source));
   return Found;
 }
 
--- a/Tests/LibOrder/TestOrderExploration.cpp
+++ b/Tests/LibOrder/TestOrderExploration.cpp
@@ -1,11 +1,11 @@
 //===- TestOrderExploration.cpp - Every fault at every step of an order ---===//
 //
-// Explores OrderWorld. For each state it is also checked that the order comes
-// to its end once faults cease.
+// Explores OrderSimulation exhaustively and checks for each state that the
+// order completes once faults cease.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LibOrder/OrderWorld.h"
+#include "LibOrder/OrderSimulation.h"
 
 #include <map>
 
@@ -16,66 +16,70 @@
 
 namespace {
 
-constexpr size_t Limit = 1500000;
-constexpr const char *HonoursFence = "order, engine honours the fence";
+constexpr size_t MaximumStates = 1500000;
+constexpr const char *FencingEngine = "order, engine honours the fence";
 constexpr const char *FaultyStore = "order, faults of the store";
 
-struct Outcome {
+struct ExplorationOutcome {
   Exploration Result;
-  /// Why some state does not come to its end once faults cease.
+  /// Why the order does not complete in some state once faults cease; empty if
+  /// it always does.
   std::string Stuck;
-  Pairs Met;
+  StateEventPairs Visited;
 };
 
-/// Explores once for all tests that ask.
-const Outcome &outcome(const char *Name, const OrderBounds &Bounds) {
-  // Never freed: it outlives the record of allocations.
-  static auto *Known = new std::map<std::string, Outcome>;
-  auto [Line, New] = Known->try_emplace(Name);
-  Outcome &Of = Line->second;
+/// Explores once and returns the same outcome to every test.
+const ExplorationOutcome &explored(const char *Name,
+                                   const OrderLimits &Limits) {
+  // Never freed, because it outlives the leak detector's record of a test.
+  static auto *Cache = new std::map<std::string, ExplorationOutcome>;
+  auto [Cached, New] = Cache->try_emplace(Name);
+  ExplorationOutcome &Outcome = Cached->second;
   if (!New)
-    return Of;
-  Of.Result =
-      explore(OrderWorld(Bounds, &Of.Met), Limit, [&](const OrderWorld &World) {
-        if (Of.Stuck.empty() && World.violation().empty())
-          Of.Stuck = World.settlesWithoutFaults();
-      });
-  Of.Result.print(Name);
-  return Of;
+    return Outcome;
+  Outcome.Result =
+      explore(OrderSimulation(Limits, &Outcome.Visited), MaximumStates,
+              [&](const OrderSimulation &Simulation) {
+                if (Outcome.Stuck.empty() && Simulation.violation().empty())
+                  Outcome.Stuck = Simulation.checkSettlesWithoutFaults();
+              });
+  Outcome.Result.print(Name);
+  return Outcome;
 }
 
-const Pairs &expectNone(const char *Name, const OrderBounds &Bounds) {
-  const Outcome &Of = outcome(Name, Bounds);
-  STRCMP_EQUAL("", Of.Result.Violation.c_str());
-  STRCMP_EQUAL("", Of.Stuck.c_str());
-  CHECK_TRUE(Of.Result.Complete);
-  return Of.Met;
+const StateEventPairs &expectNoViolation(const char *Name,
+                                         const OrderLimits &Limits) {
+  const ExplorationOutcome &Outcome = explored(Name, Limits);
+  STRCMP_EQUAL("", Outcome.Result.Violation.c_str());
+  STRCMP_EQUAL("", Outcome.Stuck.c_str());
+  CHECK_TRUE(Outcome.Result.Complete);
+  return Outcome.Visited;
 }
 
-void expectFound(const char *Name, const OrderBounds &Bounds) {
-  Exploration Result = explore(OrderWorld(Bounds), Limit);
+void expectViolation(const char *Name, const OrderLimits &Limits) {
+  Exploration Result = explore(OrderSimulation(Limits), MaximumStates);
   Result.print(Name);
   CHECK_FALSE(Result.Violation.empty());
 }
 
-OrderBounds faultsOfTheEngine(bool HonoursFence) {
-  OrderBounds Bounds;
-  Bounds.EngineHonoursFence = HonoursFence;
-  Bounds.LostAnswers = 0;
-  Bounds.EngineFailures = 1;
-  Bounds.LastTime = 3;
-  return Bounds;
+OrderLimits engineFaults(bool FencingEngine) {
+  OrderLimits Limits;
+  Limits.EngineHonoursFence = FencingEngine;
+  Limits.LostResponses = 0;
+  Limits.EngineFailures = 1;
+  Limits.LastTime = 3;
+  return Limits;
 }
 
-OrderBounds faultsOfTheStore() {
-  OrderBounds Bounds;
-  Bounds.Crashes = 0;
-  Bounds.LostSends = 0;
-  Bounds.StoreFailures = 1;
-  Bounds.DrainTimeouts = 1;
-  Bounds.DeliveriesEach = 2;
-  Bounds.LastTime = 2;
-  return Bounds;
+OrderLimits storeFaults() {
+  OrderLimits Limits;
+  Limits.Crashes = 0;
+  Limits.LostSends = 0;
+  Limits.StoreFailures = 1;
+  Limits.DrainTimeouts = 1;
+  Limits.DeliveriesPerOrder = 2;
+  Limits.LastTime = 2;
+  return Limits;
 }
 
 } // namespace
@@ -83,52 +87,52 @@
 TEST_GROUP_BASE(OrderExploration, ExplorationGroup){};
 
 TEST(OrderExploration, AnEngineThatIgnoresTheFenceNeverHoldsConflictingOrders) {
-  // Symptom: the engine is in the role of an older order while the rows name
-  // the newer one. Sequence: agent killed or engine crashed at any step, an
-  // order without an answer arrives late. Cause: the next order is given while
-  // a copy of the last may still be on its way.
-  expectNone("order, engine ignores the fence", faultsOfTheEngine(false));
+  // Guards against an engine in the role of an older order while the rows name
+  // the newer one: the agent is killed or the engine crashes at any step, and
+  // the next order is sent while a copy of the last is still in flight.
+  expectNoViolation("order, engine ignores the fence", engineFaults(false));
 }
 
 TEST(OrderExploration, AnEngineThatHonoursTheFenceIsNotLeftStuck) {
-  // Symptom: an order is never carried out. Sequence: as above. Cause: the
-  // engine refuses it for its fence and the agent goes on sending.
-  expectNone(HonoursFence, faultsOfTheEngine(true));
+  // Guards against an order that is never executed because the engine rejects
+  // its fencing token and the agent retries forever.
+  expectNoViolation(FencingEngine, engineFaults(true));
 }
 
-TEST(OrderExploration, FaultsOfTheStoreChangeNothingByHalves) {
-  // Symptom: an order that was refused takes effect. Sequence: the commit of
-  // the intent is delayed past its answer, the lease's passing or the agent's
-  // death. Cause: a lost answer taken for a commit that did not happen.
-  expectNone(FaultyStore, faultsOfTheStore());
+TEST(OrderExploration, StoreFaultsNeverApplyARejectedOrder) {
+  // Guards against a rejected order that takes effect later: the commit of the
+  // intent is delayed past its timeout, a change of the lease or the exit of
+  // the agent, and a lost response is treated as a failed commit.
+  expectNoViolation(FaultyStore, storeFaults());
 }
 
-TEST(OrderExploration, AgentsKilledOneAfterTheOtherLeaveNoHalfDoneOrder) {
-  // Symptom: an order is neither done nor abandoned. Sequence: killed, the
-  // successor is killed while it takes over, an answer of the table is lost.
-  // Cause: a recovery that only works from where a first process stops.
-  OrderBounds Bounds;
-  Bounds.Kills = 2;
-  Bounds.Crashes = 0;
-  Bounds.Takeovers = 0;
-  Bounds.LastTime = 3;
-  expectNone("order, two kills and a lost answer", Bounds);
+TEST(OrderExploration, RepeatedKillsLeaveNoUnfinishedOrder) {
+  // Guards against an order that is neither done nor abandoned: the successor
+  // of a killed agent is killed during recovery and a response of the table is
+  // lost. Recovery must not depend on where the previous process stopped.
+  OrderLimits Limits;
+  Limits.Kills = 2;
+  Limits.Crashes = 0;
+  Limits.Takeovers = 0;
+  Limits.LastTime = 3;
+  expectNoViolation("order, two kills and a lost answer", Limits);
 }
 
 TEST(OrderExploration, WithoutWaitingForLateCopiesOrdersConflict) {
-  // Symptom: as in the first test. Cause: no settle time.
-  OrderBounds Bounds = faultsOfTheEngine(false);
-  Bounds.SettleTime = std::chrono::milliseconds(0);
-  expectFound("order, no settle time", Bounds);
+  // Without a settle time the exploration must find the conflict that the first
+  // test guards against.
+  OrderLimits Limits = engineFaults(false);
+  Limits.SettleTime = std::chrono::milliseconds(0);
+  expectViolation("order, no settle time", Limits);
 }
 
-TEST(OrderExploration, WithoutTheLeaseConditionAnOldPlannerIsObeyed) {
-  // Symptom: an order takes effect after its planner lost the lease. Sequence:
-  // rows read, the lease passes on, the intent is committed. Cause: the commit
-  // does not depend on the lease row.
-  OrderBounds Bounds = faultsOfTheStore();
-  Bounds.LeaseCondition = false;
-  expectFound("order, no condition on the lease row", Bounds);
+TEST(OrderExploration, WithoutTheLeaseConditionAStaleOrderTakesEffect) {
+  // If the commit of the intent is not conditioned on the lease row, an order
+  // takes effect after its planner lost the lease: the rows are read, the lease
+  // changes hands, the intent is committed.
+  OrderLimits Limits = storeFaults();
+  Limits.LeaseCondition = false;
+  expectViolation("order, no condition on the lease row", Limits);
 }
 
 TEST_GROUP(OrderTransitions){};
@@ -136,26 +140,28 @@
 TEST(OrderTransitions, EveryPairOfStateAndEventHasExactlyOneRow) {
   std::set<std::pair<State, EventKind>> Seen;
   for (const Transition &Row : transitionTable()) {
-    CHECK_TRUE(Seen.insert({Row.From, Row.What}).second);
+    CHECK_TRUE(Seen.insert({Row.Source, Row.Trigger}).second);
     CHECK_FALSE(Row.Description.empty());
-    CHECK_FALSE(name(Row.From).empty());
-    CHECK_FALSE(name(Row.What).empty());
+    CHECK_FALSE(name(Row.Source).empty());
+    CHECK_FALSE(name(Row.Trigger).empty());
   }
   UNSIGNED_LONGS_EQUAL(StateCount * std::variant_size_v<Event>, Seen.size());
 }
 
 TEST_GROUP_BASE(OrderFaultMatrix, ExplorationGroup){};
 
-TEST(OrderFaultMatrix, TheTableSaysWhichPairsArise) {
-  Pairs Met = expectNone(HonoursFence, faultsOfTheEngine(true));
-  Met.merge(Pairs(expectNone(FaultyStore, faultsOfTheStore())));
+TEST(OrderFaultMatrix, TheTableListsThePairsThatOccur) {
+  StateEventPairs Visited =
+      expectNoViolation(FencingEngine, engineFaults(true));
+  Visited.merge(StateEventPairs(expectNoViolation(FaultyStore, storeFaults())));
   for (const Transition &Row : transitionTable()) {
-    bool Arose = Met.contains({Row.From, Row.What});
+    bool Occurred = Visited.contains({Row.Source, Row.Trigger});
     std::string Pair =
-        std::string(name(Row.From)) + " / " + std::string(name(Row.What));
-    if (Row.How == Handling::Unexpected && Arose)
-      FAIL(("arises though the table denies it: " + Pair).c_str());
-    if (Row.How != Handling::Unexpected && !Arose)
-      FAIL(("was not met by the exploration: " + Pair).c_str());
+        std::string(name(Row.Source)) + " / " + std::string(name(Row.Trigger));
+    if (Row.Expected == Handling::Unexpected && Occurred)
+      FAIL(("occurs although the table lists it as unexpected: " + Pair)
+               .c_str());
+    if (Row.Expected != Handling::Unexpected && !Occurred)
+      FAIL(("was not reached by the exploration: " + Pair).c_str());
   }
 }
--- a/Tests/LibOrder/TestOrderMachine.cpp
+++ b/Tests/LibOrder/TestOrderMachine.cpp
@@ -1,6 +1,6 @@
-//===- TestOrderMachine.cpp - Single rules of the order machine -----------===//
+//===- TestOrderMachine.cpp - Rules of the order machine ------------------===//
 //
-// What a planner is answered, and the whole path of one order.
+// Replies to planners, and the complete path of one order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,13 +18,13 @@
   EngineState Engine{"boot", "mixed", {}, "", EngineOrderState::None};
   Order Prefill{"a", 7, SetRole{"prefill"}};
 
-  std::vector<Action> step(const Event &What) {
-    return Machine.step(What, Now);
+  std::vector<Action> step(const Event &Event) {
+    return Machine.step(Event, Now);
   }
   IntentRowRead rows(uint64_t Epoch, std::optional<IntentRow> Row = {}) {
     return {4, std::move(Row), 9, Epoch, true};
   }
-  /// Recovers with the lease at \p Epoch.
+  /// Completes recovery with the lease at \p Epoch.
   void recover(uint64_t Epoch) {
     Machine.start(Now);
     step(rows(Epoch));
@@ -38,13 +38,13 @@
   }
   void expectReply(const std::vector<Action> &Actions, ResultCode Code,
                    OrderProgress Progress) {
-    const auto *Said = std::get_if<Reply>(&Actions.at(0));
-    CHECK_TRUE(Said != nullptr);
-    CHECK_TRUE(Said->Code == Code && Said->Progress == Progress);
+    const auto *Sent = std::get_if<Reply>(&Actions.at(0));
+    CHECK_TRUE(Sent != nullptr);
+    CHECK_TRUE(Sent->Code == Code && Sent->Progress == Progress);
   }
 };
 
-TEST(OrderMachine, CarriesAnOrderThroughAndAnswersItAgainFromTheBook) {
+TEST(OrderMachine, CompletesAnOrderAndRepliesToItsRetryFromTheHistory) {
   recover(7);
   CHECK_TRUE(step(OrderReceived{1, Prefill}).at(0) == Action(ReadIntentRow{}));
   CHECK_TRUE(step(rows(7)).at(0) ==
@@ -66,9 +66,9 @@
 }
 
 TEST(OrderMachine, RefusesAnEpochBelowTheRows) {
-  // Symptom: a paused planner's order takes effect. Sequence: lease taken by
-  // another, agent not told yet, old order arrives. Cause: the agent knows
-  // only the epochs that reached it.
+  // Guards against an order of a planner that was paused and lost its lease:
+  // the agent must compare the epoch with the lease row and not only with the
+  // epochs that it has received.
   recover(7);
   step(OrderReceived{1, Prefill});
   expectReply(step(rows(8)), ResultCode::StaleEpoch, OrderProgress::Refused);
@@ -76,7 +76,7 @@
   UNSIGNED_LONGS_EQUAL(8, Machine.highestEpoch());
 }
 
-TEST(OrderMachine, RefusesAnotherOrderWhileOneIsUnderWay) {
+TEST(OrderMachine, RefusesAnotherOrderWhileOneIsInProgress) {
   recover(7);
   step(OrderReceived{1, Prefill});
   expectReply(step(OrderReceived{2, {"b", 7, SetRole{"decode"}}}),
@@ -92,8 +92,8 @@
 }
 
 TEST(OrderMachine, ServesRequestsDuringAnOutageBeforeTheRowsAreKnown) {
-  // Symptom: an agent that restarts during an outage serves nobody. Cause:
-  // requests wait for rows that only orders need.
+  // Guards against an agent that rejects all requests after a restart during a
+  // store outage: only orders need the rows.
   Machine.start(Now);
   step(IntentRowReadFailed{});
   step(EngineStateRead{Engine});
@@ -106,9 +106,9 @@
               OrderProgress::Refused);
 }
 
-TEST(OrderMachine, ReportsAnEngineThatCameBackInAnotherState) {
-  // Symptom: the planner counts on a role that the engine has lost. Sequence:
-  // order done, engine crashes, comes back as mixed. Cause: nobody compares.
+TEST(OrderMachine, ReportsAnEngineThatRestartedInAnotherState) {
+  // Guards against a planner that relies on a role that the engine has lost:
+  // the order is done, the engine crashes and restarts as mixed.
   Machine.start(Now);
   Engine.Role = "prefill";
   step(rows(7, IntentRow{Prefill, IntentState::Done}));
@@ -124,9 +124,9 @@
              Action(ReportEngineState{Engine, false}));
 }
 
-TEST(OrderMachine, ADrainThatDoesNotEndGivesTheOrderUp) {
-  // Symptom: a request is cut by a role change. Sequence: drain longer than
-  // its bound. Cause: the change is forced.
+TEST(OrderMachine, ADrainTimeoutAbandonsTheOrder) {
+  // Guards against requests that are aborted by a role change when the drain
+  // exceeds its timeout.
   recover(7);
   step(OrderReceived{1, Prefill});
   step(rows(7));
@@ -135,7 +135,8 @@
   CHECK_TRUE(Actions.at(0) == Action(OpenAdmission{}));
   CHECK_TRUE(Actions.back() ==
              Action(CommitCompletionRow{5, {Prefill, IntentState::Abandoned}}));
-  // The engine has not seen the order: nobody may hold it against a model.
+  // The engine never received the order, so the reply must not be a failure of
+  // the engine, which the planner would attribute to the model.
   step(CommitSucceeded{});
   expectReply(step(OrderReceived{2, Prefill}), ResultCode::DeadlineExceeded,
               OrderProgress::Failed);
