--- a/Libraries/LibPlanner/PlannerService.h
+++ b/Libraries/LibPlanner/PlannerService.h
@@ -1,8 +1,8 @@
-//===- PlannerService.h - The planner inside an entry -----------*- C++ -*-===//
+//===- PlannerService.h - Planners of an entry ------------------*- C++ -*-===//
 //
-// Keeps a ShardPlanner for every shard that this entry is a candidate for.
-// Only a few entries of a region stand for each shard, chosen by rendezvous
-// hashing, so that the reads of lease rows do not grow with the entries.
+// Runs a ShardPlanner for every shard that this entry is a candidate for. Only
+// a few entries of a region are candidates for a shard, chosen by rendezvous
+// hashing, so that reads of lease rows do not grow with the number of entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,35 +16,37 @@
 
 namespace figlift::planner {
 
-/// Entries that stand for one shard.
+/// Number of entries that compete for the lease of one shard.
 inline constexpr size_t CandidatesPerShard = 3;
 
-/// Whether \p Self is among the candidates of \p Shard. Pure.
-bool isCandidate(const ShardId &Shard, const std::string &Self,
+/// Whether \p EntryId is among the candidates of \p Shard.
+bool isCandidate(const ShardId &Shard, const std::string &EntryId,
                  const std::vector<std::string> &Entries);
 
-/// All members on the planner's thread.
+/// Must be used on the planner's thread only.
 class PlannerService {
 public:
-  /// \p Self: this entry's id; Parts.Lease.Self is unique for this start.
-  PlannerService(std::string Self, ShardParts Parts);
+  /// \p EntryId: this entry's id. Dependencies.Lease.Self must be unique for
+  /// each start of the process.
+  PlannerService(std::string EntryId, ShardPlannerDependencies Dependencies);
 
-  /// A few times a second.
+  /// Must be called several times a second.
   void tick();
-  /// Gives every lease back; ended() once that is written or given up.
+  /// Releases every lease; stopped() returns true once each release has been
+  /// written or abandoned.
   void stop();
-  bool ended() const;
+  bool stopped() const;
   /// Shards whose lease this process holds now.
-  std::vector<ShardId> held() const;
+  std::vector<ShardId> heldShards() const;
 
 private:
-  void chooseShards();
+  void updateShards();
 
-  const std::string m_Self;
-  ShardParts m_Parts;
-  std::map<ShardId, std::shared_ptr<ShardPlanner>> m_Shards;
-  /// Told to stop, and not yet stopped.
-  std::vector<std::shared_ptr<ShardPlanner>> m_Leaving;
+  const std::string m_EntryId;
+  ShardPlannerDependencies m_Dependencies;
+  std::map<ShardId, std::shared_ptr<ShardPlanner>> m_Planners;
+  /// Planners that are stopping and have not stopped yet.
+  std::vector<std::shared_ptr<ShardPlanner>> m_StoppingPlanners;
   bool m_Stopping = false;
 };
 
--- a/Libraries/LibPlanner/ShardPlanner.h
+++ b/Libraries/LibPlanner/ShardPlanner.h
@@ -1,7 +1,7 @@
-//===- ShardPlanner.h - Plans for one shard ---------------------*- C++ -*-===//
+//===- ShardPlanner.h - Planner of one shard --------------------*- C++ -*-===//
 //
-// Holds the lease of a shard when it can get it, and while it does: plans
-// roles and models, gives the orders and grants slices.
+// Competes for the lease of a shard. While it holds the lease, it plans roles
+// and models, sends the orders and grants slices.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,60 +19,62 @@
 
 namespace figlift::planner {
 
-struct ShardParts {
+struct ShardPlannerDependencies {
   platform::Table &Store;
   const ShardView &View;
   OrderSender &Orders;
   UuidGenerator &Ids;
   Post Run;
-  PlannerObserver Told;
+  PlannerObserver Observer;
   lease::LeaseOptions Lease;
   plan::PlannerSettings Planning;
 };
 
-/// Lives on the planner's thread.
+/// Must be used on the planner's thread only.
 class ShardPlanner : public std::enable_shared_from_this<ShardPlanner> {
 public:
-  static std::shared_ptr<ShardPlanner> create(ShardId Shard, ShardParts Parts);
+  static std::shared_ptr<ShardPlanner>
+  create(ShardId Shard, ShardPlannerDependencies Dependencies);
 
-  /// A few times a second.
+  /// Must be called several times a second.
   void tick();
   void stop() { m_Lease->stop(); }
   bool stopped() const { return m_Lease->stopped(); }
-  bool holds() const { return m_Lease->epoch().has_value(); }
+  bool holdsLease() const { return m_Lease->epoch().has_value(); }
 
 private:
-  struct Pending {
+  struct PendingOrder {
     wire::OrderRequest Order;
-    /// An answer is awaited; otherwise the order is sent again when due.
-    bool Asked = false;
-    BootTime NextTry{};
+    /// A reply is pending; otherwise the order is retried at NextSend.
+    bool AwaitsReply = false;
+    BootTime NextSend{};
   };
 
-  ShardPlanner(ShardId Shard, ShardParts Parts);
+  ShardPlanner(ShardId Shard, ShardPlannerDependencies Dependencies);
 
-  void gained(uint64_t Epoch);
-  void lost(uint64_t Epoch);
+  void leaseGained(uint64_t Epoch);
+  void leaseLost(uint64_t Epoch);
   void planOnce(BootTime Now);
-  void observeRefused(BootTime Now);
-  void give(const plan::GiveOrder &Order);
+  void observeRejections(BootTime Now);
+  void issue(const plan::GiveOrder &Order);
   void sendPending(BootTime Now);
-  void answered(const std::string &Target, const std::string &OrderId,
-                const Result<wire::OrderReply> &Reply);
-  void ended(const std::string &Target, const plan::OrderEnded &How);
+  void replyReceived(const std::string &Target, const std::string &OrderId,
+                     const Result<wire::OrderReply> &Reply);
+  void orderEnded(const std::string &Target, const plan::OrderEnded &Outcome);
 
   const ShardId m_Shard;
-  ShardParts m_Parts;
+  ShardPlannerDependencies m_Dependencies;
   std::shared_ptr<lease::LeaseKeeper> m_Lease;
-  std::shared_ptr<SliceAssigner> m_Slices;
-  /// Fresh with each tenure; absent without the lease.
+  std::shared_ptr<SliceAssigner> m_SliceAssigner;
+  /// Created anew each time the lease is gained; absent without the lease.
   std::optional<plan::Planner> m_Planner;
   plan::DemandEstimator m_Demand;
-  /// Of this entry, as seen last, and the estimate for all entries.
-  RefusedTotals m_RefusedHere;
-  RefusedTotals m_RefusedByAll;
-  /// Orders without an end, by target.
-  std::map<std::string, Pending> m_Pending;
+  /// Totals of this entry at the last observation.
+  RejectedTotals m_LastRejectedHere;
+  /// Estimated totals of all entries of the region.
+  RejectedTotals m_EstimatedRejected;
+  /// Orders whose outcome is not known yet, by target.
+  std::map<std::string, PendingOrder> m_Pending;
   BootTime m_NextPlan{};
   BootTime m_NextSlices{};
 };
--- a/Libraries/LibPlanner/ShardView.h
+++ b/Libraries/LibPlanner/ShardView.h
@@ -1,7 +1,6 @@
-//===- ShardView.h - What a planner sees and may do -------------*- C++ -*-===//
+//===- ShardView.h - The planner's interfaces to its entry ------*- C++ -*-===//
 //
-// Interfaces between the planner and the entry that it lives in. Tests put
-// mocks behind them.
+// The entry implements these interfaces; tests implement them with fakes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +17,7 @@
 
 namespace figlift::planner {
 
-/// What one lease covers.
+/// Unit of planning that one lease covers: a back end in a region.
 struct ShardId {
   std::string BackEnd;
   std::string Region;
@@ -27,28 +26,29 @@
   std::string toString() const { return BackEnd + "/" + Region; }
 };
 
-/// Where a target stands as far as its slices matter.
+/// State of a target as a home of slices.
 enum class HomeState {
-  /// Reachable and taking work.
+  /// Reachable and accepting work.
   Serving,
-  /// Draining, or on its way out.
-  Leaving,
-  /// Listed as live and not reachable: it may still run calls.
-  CutOff,
-  /// Off the platform's list, or retired and idle: it has stopped.
-  Gone,
+  /// Draining or shutting down.
+  Draining,
+  /// Listed as live but not reachable; it may still be executing calls.
+  Unreachable,
+  /// Removed from the platform's list, or retired and idle; it has stopped.
+  Stopped,
 };
 
 struct ShardTarget {
   plan::TargetState Engine;
-  HomeState Home = HomeState::CutOff;
-  /// Totals since the agent's start, for the estimate of demand.
+  HomeState Home = HomeState::Unreachable;
+  /// Totals since the agent's start, used to estimate demand.
   uint64_t OfferedPrefillTokens = 0;
   uint64_t OfferedDecodeTokens = 0;
 };
 
-/// Totals since this entry's start of what it refused before any agent saw it.
-struct RefusedTotals {
+/// Tokens of the requests that this entry has rejected since its start, without
+/// sending them to an agent.
+struct RejectedTotals {
   uint64_t PrefillTokens = 0;
   uint64_t DecodeTokens = 0;
 };
@@ -56,14 +56,14 @@
 class ShardView {
 public:
   virtual ~ShardView() = default;
-  /// Shards of all back ends in force and the regions that have targets.
+  /// All shards: each configured back end in each region that has targets.
   virtual std::vector<ShardId> shards() const = 0;
   virtual record::BackEnd specification(const ShardId &Shard) const = 0;
   virtual std::vector<ShardTarget> targets(const ShardId &Shard) const = 0;
-  virtual RefusedTotals refusedHere(const ShardId &Shard) const = 0;
-  /// Ids of the region's entries on the platform's list, this one included.
+  virtual RejectedTotals rejectedTotals(const ShardId &Shard) const = 0;
+  /// Ids of the region's entries on the platform's list, including this entry.
   virtual std::vector<std::string> entries() const = 0;
-  /// The list of machines has been read at least once.
+  /// Whether the platform's VM list has been read at least once.
   virtual bool listKnown() const = 0;
 };
 
@@ -71,12 +71,13 @@
 public:
   virtual ~OrderSender() = default;
   using Done = std::function<void(Result<wire::OrderReply>)>;
-  /// Error PeerUnreachable: no answer came; the order may be carried out.
+  /// Error PeerUnreachable: no reply was received; the order may have been
+  /// executed.
   virtual void send(const std::string &Target, wire::OrderRequest Order,
-                    Done Answered) = 0;
+                    Done OnReply) = 0;
 };
 
-/// Told of everything that an operator may want to see explained.
+/// Callbacks for the events that are recorded for operators.
 struct PlannerObserver {
   std::function<void(const ShardId &, uint64_t Epoch)> LeaseGained;
   std::function<void(const ShardId &, uint64_t Epoch)> LeaseLost;
@@ -88,7 +89,7 @@
   std::function<void(const ShardId &, size_t Slices)> SlicesGranted;
 };
 
-/// Runs a task on the planner's thread; may be called from any thread.
+/// Runs a task on the planner's thread; can be called from any thread.
 using lease::Post;
 
 } // namespace figlift::planner
--- a/Services/figlift-entry/EntryShardView.cpp
+++ b/Services/figlift-entry/EntryShardView.cpp
@@ -54,26 +54,26 @@
 HomeState homeState(const membership::TargetState &State,
                     const std::set<std::string> &ListedIds) {
   if (!ListedIds.contains(State.Listed.Id))
-    return HomeState::Gone;
+    return HomeState::Stopped;
   const bool Reported = State.Connected && State.Report;
   if (!Reported)
     // Retiring an unreachable target is an operator's confirmation that it has
     // stopped.
-    return State.Wish == TargetIntent::Retire ? HomeState::Gone
-                                              : HomeState::CutOff;
+    return State.Wish == TargetIntent::Retire ? HomeState::Stopped
+                                              : HomeState::Unreachable;
   if (State.Wish != TargetIntent::Serve ||
       State.Listed.State != platform::VmState::Live)
-    return HomeState::Leaving;
+    return HomeState::Draining;
   switch (State.Report->State) {
   case AgentState::Serving:
     return HomeState::Serving;
   case AgentState::Recovering:
-    return HomeState::CutOff;
+    return HomeState::Unreachable;
   case AgentState::Draining:
   case AgentState::Drained:
-    return HomeState::Leaving;
+    return HomeState::Draining;
   }
-  return HomeState::CutOff;
+  return HomeState::Unreachable;
 }
 
 } // namespace
@@ -132,13 +132,14 @@
     if (!Described.contains(Id)) {
       ShardTarget Unconnected;
       Unconnected.Engine.Id = Id;
-      Unconnected.Home = HomeState::CutOff;
+      Unconnected.Home = HomeState::Unreachable;
       Targets.push_back(std::move(Unconnected));
     }
   return Targets;
 }
 
-planner::RefusedTotals EntryShardView::refusedHere(const ShardId &Shard) const {
+planner::RejectedTotals
+EntryShardView::rejectedTotals(const ShardId &Shard) const {
   const RefusedWork Totals(m_Metrics, Shard.BackEnd);
   return {static_cast<uint64_t>(Totals.PrefillTokens.value()),
           static_cast<uint64_t>(Totals.DecodeTokens.value())};
--- a/Services/figlift-entry/EntryShardView.h
+++ b/Services/figlift-entry/EntryShardView.h
@@ -25,8 +25,8 @@
   record::BackEnd specification(const planner::ShardId &Shard) const override;
   std::vector<planner::ShardTarget>
   targets(const planner::ShardId &Shard) const override;
-  planner::RefusedTotals
-  refusedHere(const planner::ShardId &Shard) const override;
+  planner::RejectedTotals
+  rejectedTotals(const planner::ShardId &Shard) const override;
   std::vector<std::string> entries() const override;
   bool listKnown() const override;
   void send(const std::string &Target, wire::OrderRequest Order,
--- a/Services/figlift-entry/PlannerHost.cpp
+++ b/Services/figlift-entry/PlannerHost.cpp
@@ -49,7 +49,7 @@
       m_RoleChanges(Services.Metrics.counter("planner_role_changes_total",
                                              "Role changes ordered.")) {}
 
-planner::ShardParts PlannerHost::shardParts() {
+planner::ShardPlannerDependencies PlannerHost::shardParts() {
   lease::LeaseOptions Lease;
   // Unique for each start: a process that restarts with the same id must not
   // mistake the lease of its predecessor for its own.
@@ -127,11 +127,12 @@
         metrics::controlCpuSeconds(m_Dependencies.Metrics));
     m_Service.tick();
     std::set<std::string> Planned;
-    for (const ShardId &Shard : m_Service.held())
+    for (const ShardId &Shard : m_Service.heldShards())
       Planned.insert(Shard.BackEnd);
     m_Dependencies.Targets.setPlanned(std::move(Planned));
   }
-  const bool IsFinished = m_Service.ended() || BootClock::now() >= m_StopUntil;
+  const bool IsFinished =
+      m_Service.stopped() || BootClock::now() >= m_StopUntil;
   if (m_OnStopped && IsFinished)
     return std::exchange(m_OnStopped, nullptr)();
   m_Dependencies.Control.after(TickInterval, [this] { tick(); });
--- a/Services/figlift-entry/PlannerHost.h
+++ b/Services/figlift-entry/PlannerHost.h
@@ -38,7 +38,7 @@
   void stop(std::function<void()> Done);
 
 private:
-  planner::ShardParts shardParts();
+  planner::ShardPlannerDependencies shardParts();
   planner::PlannerObserver observer();
   void tick();
 
--- a/Tests/LibPlanner/TestShardPlanner.cpp
+++ b/Tests/LibPlanner/TestShardPlanner.cpp
@@ -1,7 +1,7 @@
 //===- TestShardPlanner.cpp - Leases, slices and orders of a shard --------===//
 //
-// The planner's shell before a table in memory and mocked agents; the pure
-// machines inside have suites of their own.
+// Runs the planner against a table in memory and fake agents. The state
+// machines inside have test suites of their own.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,22 +19,24 @@
 
 namespace {
 
-const ShardId Booking{"booking-core", "blue-ridge"};
-const ShardId Desk{"lm-desk", "blue-ridge"};
+const ShardId BookingShard{"booking-core", "blue-ridge"};
+const ShardId DeskShard{"lm-desk", "blue-ridge"};
 
 struct FakeView : ShardView {
-  std::vector<ShardId> Known{Booking};
+  std::vector<ShardId> Shards{BookingShard};
   std::vector<ShardTarget> Targets;
   std::vector<std::string> Entries{"entry-1"};
   record::BackEnd Spec;
-  RefusedTotals Refused;
+  RejectedTotals Rejected;
 
-  std::vector<ShardId> shards() const override { return Known; }
+  std::vector<ShardId> shards() const override { return Shards; }
   record::BackEnd specification(const ShardId &) const override { return Spec; }
   std::vector<ShardTarget> targets(const ShardId &) const override {
     return Targets;
   }
-  RefusedTotals refusedHere(const ShardId &) const override { return Refused; }
+  RejectedTotals rejectedTotals(const ShardId &) const override {
+    return Rejected;
+  }
   std::vector<std::string> entries() const override { return Entries; }
   bool listKnown() const override { return true; }
 
@@ -48,16 +50,16 @@
 
 struct FakeSender : OrderSender {
   std::vector<wire::OrderRequest> Sent;
-  std::deque<Result<wire::OrderReply>> Answers;
+  std::deque<Result<wire::OrderReply>> Replies;
 
   void send(const std::string &, wire::OrderRequest Order,
-            Done Answered) override {
+            Done OnReply) override {
     Sent.push_back(Order);
-    if (Answers.empty())
-      return Answered(failure(ResultCode::PeerUnreachable, "answer lost"));
-    Result<wire::OrderReply> Next = Answers.front();
-    Answers.pop_front();
-    Answered(Next);
+    if (Replies.empty())
+      return OnReply(failure(ResultCode::PeerUnreachable, "answer lost"));
+    Result<wire::OrderReply> Reply = Replies.front();
+    Replies.pop_front();
+    OnReply(Reply);
   }
 };
 
@@ -75,22 +77,22 @@
   FakeSender m_Sender;
   UuidGenerator m_Ids{1};
   std::vector<std::function<void()>> m_Posted;
-  std::vector<std::string> m_Told;
+  std::vector<std::string> m_Events;
 
-  ShardParts parts(const std::string &Self) {
-    PlannerObserver Told;
-    Told.LeaseGained = [this](const ShardId &, uint64_t Epoch) {
-      m_Told.push_back("gained " + std::to_string(Epoch));
+  ShardPlannerDependencies dependencies(const std::string &Self) {
+    PlannerObserver Observer;
+    Observer.LeaseGained = [this](const ShardId &, uint64_t Epoch) {
+      m_Events.push_back("gained " + std::to_string(Epoch));
     };
-    Told.LeaseLost = [this](const ShardId &, uint64_t Epoch) {
-      m_Told.push_back("lost " + std::to_string(Epoch));
+    Observer.LeaseLost = [this](const ShardId &, uint64_t Epoch) {
+      m_Events.push_back("lost " + std::to_string(Epoch));
     };
-    Told.OrderGiven = [](const auto &...) {};
-    Told.OrderEnded = [this](const ShardId &, const std::string &,
-                             ResultCode Code) {
-      m_Told.push_back("ended " + std::to_string(static_cast<int>(Code)));
+    Observer.OrderGiven = [](const auto &...) {};
+    Observer.OrderEnded = [this](const ShardId &, const std::string &,
+                                 ResultCode Code) {
+      m_Events.push_back("ended " + std::to_string(static_cast<int>(Code)));
     };
-    Told.SlicesGranted = [](const auto &...) {};
+    Observer.SlicesGranted = [](const auto &...) {};
     lease::LeaseOptions Lease{Self, 300ms, 100ms};
     return {m_Table,
             m_View,
@@ -99,12 +101,12 @@
             [this](std::function<void()> Task) {
               m_Posted.push_back(std::move(Task));
             },
-            Told,
+            Observer,
             Lease,
             {}};
   }
 
-  void turn(PlannerService & Service) {
+  void runOnce(PlannerService & Service) {
     Service.tick();
     std::vector<std::function<void()>> Tasks;
     Tasks.swap(m_Posted);
@@ -113,10 +115,10 @@
   }
 
   template <typename Condition>
-  bool runUntil(PlannerService & Service, Condition Holds) {
+  bool runUntil(PlannerService & Service, Condition IsMet) {
     return waitUntil(5s, [&] {
-      turn(Service);
-      return Holds();
+      runOnce(Service);
+      return IsMet();
     });
   }
 
@@ -126,10 +128,10 @@
         .value();
   }
 
-  size_t slicesOf(const std::string &Home) {
+  size_t sliceCountOf(const std::string &Home) {
     size_t Count = 0;
-    for (const idempotency::Grant &Line : grants())
-      Count += Line.Home == Home;
+    for (const idempotency::Grant &Grant : grants())
+      Count += Grant.Home == Home;
     return Count;
   }
 };
@@ -138,52 +140,55 @@
   m_View.Spec.Type = record::BackEndType::Service;
   m_View.add("core-1", HomeState::Serving);
   m_View.add("core-2", HomeState::Serving);
-  PlannerService Service("entry-1", parts("entry-1#1"));
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
   CHECK_TRUE(runUntil(Service, [&] {
-    return slicesOf("core-1") + slicesOf("core-2") == idempotency::SliceCount;
+    return sliceCountOf("core-1") + sliceCountOf("core-2") ==
+           idempotency::SliceCount;
   }));
-  CHECK_TRUE(slicesOf("core-1") > 0);
-  CHECK_TRUE(slicesOf("core-2") > 0);
+  CHECK_TRUE(sliceCountOf("core-1") > 0);
+  CHECK_TRUE(sliceCountOf("core-2") > 0);
 }
 
-// Symptom: a slot hold runs at two homes. Sequence: a home is cut off from the
-// entries but lives and has calls under way; a planner gives its slices to
-// another home. Cause: unreachable was taken for stopped.
-TEST(ShardPlanner, LeavesTheSlicesOfAHomeThatIsOnlyCutOff) {
+// Guards against executing a call at two homes: a home that is unreachable from
+// the entries may still be executing calls, so its slices must not be granted
+// to another home until it has stopped.
+TEST(ShardPlanner, KeepsTheSlicesOfAnUnreachableHome) {
   m_View.Spec.Type = record::BackEndType::Service;
   m_View.add("core-1", HomeState::Serving);
-  PlannerService Service("entry-1", parts("entry-1#1"));
-  CHECK_TRUE(runUntil(
-      Service, [&] { return slicesOf("core-1") == idempotency::SliceCount; }));
-  m_View.Targets[0].Home = HomeState::CutOff;
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
+  CHECK_TRUE(runUntil(Service, [&] {
+    return sliceCountOf("core-1") == idempotency::SliceCount;
+  }));
+  m_View.Targets[0].Home = HomeState::Unreachable;
   m_View.add("core-2", HomeState::Serving);
-  auto Later = std::chrono::steady_clock::now() + 1500ms;
-  CHECK_TRUE(runUntil(
-      Service, [&] { return std::chrono::steady_clock::now() > Later; }));
-  CHECK_EQUAL(idempotency::SliceCount, slicesOf("core-1"));
+  auto End = std::chrono::steady_clock::now() + 1500ms;
+  CHECK_TRUE(runUntil(Service,
+                      [&] { return std::chrono::steady_clock::now() > End; }));
+  CHECK_EQUAL(idempotency::SliceCount, sliceCountOf("core-1"));
 
-  m_View.Targets[0].Home = HomeState::Gone;
-  CHECK_TRUE(runUntil(
-      Service, [&] { return slicesOf("core-2") == idempotency::SliceCount; }));
+  m_View.Targets[0].Home = HomeState::Stopped;
+  CHECK_TRUE(runUntil(Service, [&] {
+    return sliceCountOf("core-2") == idempotency::SliceCount;
+  }));
   CHECK_EQUAL(2, grants()[0].Epoch);
 }
 
-TEST(ShardPlanner, GivesTheLeaseBackWhenItStops) {
-  PlannerService First("entry-1", parts("entry-1#1"));
-  CHECK_TRUE(runUntil(First, [&] { return First.held().size() == 1; }));
+TEST(ShardPlanner, ReleasesTheLeaseWhenItStops) {
+  PlannerService First("entry-1", dependencies("entry-1#1"));
+  CHECK_TRUE(runUntil(First, [&] { return First.heldShards().size() == 1; }));
   First.stop();
-  CHECK_TRUE(runUntil(First, [&] { return First.ended(); }));
+  CHECK_TRUE(runUntil(First, [&] { return First.stopped(); }));
   m_View.Entries = {"entry-2"};
-  PlannerService Second("entry-2", parts("entry-2#1"));
-  CHECK_TRUE(runUntil(Second, [&] { return Second.held().size() == 1; }));
-  STRCMP_EQUAL("gained 2", m_Told.back().c_str());
+  PlannerService Second("entry-2", dependencies("entry-2#1"));
+  CHECK_TRUE(runUntil(Second, [&] { return Second.heldShards().size() == 1; }));
+  STRCMP_EQUAL("gained 2", m_Events.back().c_str());
 }
 
-// Symptom: an engine gets the same change twice, or never. Sequence: an order
-// is carried out and its answer is lost. Cause: a lost answer was taken for a
-// refusal, and the change was planned anew under another id.
-TEST(ShardPlanner, RepeatsAnOrderWithoutAnAnswerUnderTheSameId) {
-  m_View.Known = {Desk};
+// Guards against an engine that executes a change twice or never: an order is
+// executed and its reply is lost. A lost reply must not be treated as a
+// rejection, after which the change would be planned again under a new id.
+TEST(ShardPlanner, RetriesAnOrderWithoutAReplyUnderTheSameId) {
+  m_View.Shards = {DeskShard};
   m_View.Spec.Models = {{"desk", "2", {}}};
   m_View.Spec.Roles.Mixed = 1;
   for (const char *Id : {"desk-1", "desk-2", "desk-3"}) {
@@ -193,23 +198,24 @@
     Engine.Models = {{"desk", "1", ""}};
     Engine.ReportedAt = BootClock::now() + 1h;
   }
-  m_Sender.Answers = {failure(ResultCode::PeerUnreachable, "answer lost"),
+  m_Sender.Replies = {failure(ResultCode::PeerUnreachable, "answer lost"),
                       reply("running"), reply("done")};
-  PlannerService Service("entry-1", parts("entry-1#1"));
-  CHECK_TRUE(runUntil(
-      Service, [&] { return !m_Told.empty() && m_Told.back() == "ended 0"; }));
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
+  CHECK_TRUE(runUntil(Service, [&] {
+    return !m_Events.empty() && m_Events.back() == "ended 0";
+  }));
   CHECK_EQUAL(3, m_Sender.Sent.size());
-  for (const wire::OrderRequest &Each : m_Sender.Sent) {
-    STRCMP_EQUAL(m_Sender.Sent[0].order_id().c_str(), Each.order_id().c_str());
-    CHECK_EQUAL(1, Each.epoch());
+  for (const wire::OrderRequest &Item : m_Sender.Sent) {
+    STRCMP_EQUAL(m_Sender.Sent[0].order_id().c_str(), Item.order_id().c_str());
+    CHECK_EQUAL(1, Item.epoch());
   }
 }
 
-// Symptom: a version that no engine can load is ordered for ever, engine after
-// engine. Sequence: the engine fails the load, the agent answers "failed" with
-// the code of a good answer. Cause: the code was read and the state was not.
-TEST(ShardPlanner, TellsAFailedOrderFromADoneOne) {
-  m_View.Known = {Desk};
+// Guards against ordering a model version that no engine can load at engine
+// after engine: the load fails and the agent replies with state "failed" and
+// code Success, so the planner must check the state as well as the code.
+TEST(ShardPlanner, DistinguishesAFailedOrderFromADoneOne) {
+  m_View.Shards = {DeskShard};
   m_View.Spec.Models = {{"desk", "2", {}}};
   for (const char *Id : {"desk-1", "desk-2"}) {
     m_View.add(Id, HomeState::Serving);
@@ -218,18 +224,18 @@
     Engine.Models = {{"desk", "1", ""}};
     Engine.ReportedAt = BootClock::now() + 1h;
   }
-  m_Sender.Answers = {reply("running"), reply("failed")};
-  PlannerService Service("entry-1", parts("entry-1#1"));
-  auto Ended = [&] { return m_Told.size() > 1; };
+  m_Sender.Replies = {reply("running"), reply("failed")};
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
+  auto Ended = [&] { return m_Events.size() > 1; };
   CHECK_TRUE(runUntil(Service, Ended));
-  STRCMP_EQUAL("ended 504", m_Told.back().c_str());
+  STRCMP_EQUAL("ended 504", m_Events.back().c_str());
 }
 
-// Symptom: orders of a process that lost its lease. Sequence: the store goes
-// down, the lease runs out, an unanswered order is due again. Cause: authority
-// was checked when the order was planned and not when it was sent.
-TEST(ShardPlanner, SendsNothingOnceTheLeaseHasRunOut) {
-  m_View.Known = {Desk};
+// Guards against orders from a process that has lost its lease: during a store
+// outage the lease expires while an order is due for a retry. The lease must be
+// checked when the order is sent, not only when it is planned.
+TEST(ShardPlanner, SendsNothingAfterTheLeaseHasExpired) {
+  m_View.Shards = {DeskShard};
   m_View.Spec.Models = {{"desk", "2", {}}};
   for (const char *Id : {"desk-1", "desk-2"}) {
     m_View.add(Id, HomeState::Serving);
@@ -238,21 +244,21 @@
     Engine.Models = {{"desk", "1", ""}};
     Engine.ReportedAt = BootClock::now() + 1h;
   }
-  PlannerService Service("entry-1", parts("entry-1#1"));
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
   CHECK_TRUE(runUntil(Service, [&] { return !m_Sender.Sent.empty(); }));
   m_Table.setDown(true);
-  CHECK_TRUE(runUntil(Service, [&] { return m_Told.back() == "lost 1"; }));
-  size_t Before = m_Sender.Sent.size();
-  auto Later = std::chrono::steady_clock::now() + 1200ms;
-  runUntil(Service, [&] { return std::chrono::steady_clock::now() > Later; });
-  CHECK_EQUAL(Before, m_Sender.Sent.size());
+  CHECK_TRUE(runUntil(Service, [&] { return m_Events.back() == "lost 1"; }));
+  size_t SentBefore = m_Sender.Sent.size();
+  auto End = std::chrono::steady_clock::now() + 1200ms;
+  runUntil(Service, [&] { return std::chrono::steady_clock::now() > End; });
+  CHECK_EQUAL(SentBefore, m_Sender.Sent.size());
 }
 
-// Symptom: an overloaded fleet keeps the wrong split. Sequence: the entries
-// refuse all long replies early, so that agents are offered nothing. Cause:
-// demand was read from the agents' counts alone.
-TEST(ShardPlanner, CountsWhatEntriesRefuseAsDemand) {
-  m_View.Known = {Desk};
+// Guards against an overloaded fleet that keeps the wrong split of roles: the
+// entries reject all requests with long outputs, so that agents' counters do
+// not show the demand.
+TEST(ShardPlanner, CountsRejectionsOfEntriesAsDemand) {
+  m_View.Shards = {DeskShard};
   m_View.Entries = {"entry-1", "entry-2"};
   for (const char *Id : {"desk-1", "desk-2", "desk-3"}) {
     m_View.add(Id, HomeState::Serving);
@@ -262,21 +268,21 @@
     Engine.ReportedAt = BootClock::now() + 1h;
   }
   m_View.Targets.back().Engine.CurrentRole = plan::Role::Decode;
-  PlannerService Service("entry-1", parts("entry-1#1"));
+  PlannerService Service("entry-1", dependencies("entry-1#1"));
   CHECK_TRUE(runUntil(Service, [&] {
-    m_View.Refused.PrefillTokens += 100;
-    m_View.Refused.DecodeTokens += 1000;
+    m_View.Rejected.PrefillTokens += 100;
+    m_View.Rejected.DecodeTokens += 1000;
     return !m_Sender.Sent.empty();
   }));
   CHECK_TRUE(m_Sender.Sent[0].has_set_role());
 }
 
-TEST(ShardPlanner, OnlyAFewEntriesStandForAShard) {
+TEST(ShardPlanner, OnlyAFewEntriesAreCandidatesForAShard) {
   std::vector<std::string> Entries;
   for (int Index = 0; Index < 50; ++Index)
     Entries.push_back("entry-" + std::to_string(Index));
   size_t Candidates = 0;
-  for (const std::string &Each : Entries)
-    Candidates += isCandidate(Booking, Each, Entries);
+  for (const std::string &Item : Entries)
+    Candidates += isCandidate(BookingShard, Item, Entries);
   CHECK_EQUAL(CandidatesPerShard, Candidates);
 }
