--- a/Libraries/LibConfig/Snapshot.cpp
+++ b/Libraries/LibConfig/Snapshot.cpp
@@ -85,7 +85,8 @@
 
 record::TargetIntent Snapshot::targetIntent(std::string_view VmId) const {
   const auto *Spec = specification("target", VmId);
-  const auto *Wish = Spec ? std::get_if<record::TargetWish>(Spec) : nullptr;
+  const auto *Wish =
+      Spec ? std::get_if<record::TargetDesiredState>(Spec) : nullptr;
   return Wish ? Wish->Intent : record::TargetIntent::Serve;
 }
 
--- a/Libraries/LibRecord/FieldReader.cpp
+++ b/Libraries/LibRecord/FieldReader.cpp
@@ -1,6 +1,6 @@
-//===- FieldReader.cpp - Checked access to the members of JSON ------------===//
+//===- FieldReader.cpp - Validating reader of JSON objects ----------------===//
 //
-// The checks themselves and the wording of their errors.
+// Validation and its error messages.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,18 +13,18 @@
 
 using Json = nlohmann::json;
 
-/// Longest piece of a record that an error repeats.
-static constexpr size_t MaximumQuoted = 60;
+/// Longest part of a record that an error message quotes.
+static constexpr size_t MaximumQuotedBytes = 60;
 
 static std::string quoted(const Json &Value) {
   std::string Text = Value.dump(-1, ' ', true, Json::error_handler_t::replace);
-  if (Text.size() > MaximumQuoted)
-    Text = Text.substr(0, MaximumQuoted) + "...";
+  if (Text.size() > MaximumQuotedBytes)
+    Text = Text.substr(0, MaximumQuotedBytes) + "...";
   return Text;
 }
 
-/// A plain decimal: "0.5" rather than "0.500000".
-static std::string plain(double Value) { return Json(Value).dump(); }
+/// Shortest decimal form: "0.5" rather than "0.500000".
+static std::string decimalText(double Value) { return Json(Value).dump(); }
 
 std::optional<std::chrono::milliseconds> parseDuration(std::string_view Text) {
   uint64_t Count = 0;
@@ -49,7 +49,7 @@
     : m_Object(Object), m_Path(std::move(Path)),
       m_SchemaVersion(SchemaVersion) {
   if (!Object.is_object())
-    fail(m_Path, "found " + quoted(Object) + "; allowed: an object");
+    fail(m_Path, "found " + quoted(Object) + "; expected an object");
 }
 
 bool FieldReader::has(const std::string &Name) const {
@@ -66,79 +66,81 @@
                     std::nullopt};
 }
 
-void FieldReader::refuse(const std::string &Name, const std::string &Allowed) {
+void FieldReader::reject(const std::string &Name, const std::string &Expected) {
   std::string Found = has(Name) ? quoted(m_Object.at(Name)) : "nothing";
-  fail(pathOf(Name), "found " + Found + "; allowed: " + Allowed);
+  fail(pathOf(Name), "found " + Found + "; expected " + Expected);
 }
 
-void FieldReader::needsVersion2(const std::string &Name) {
-  m_Known.insert(Name);
+void FieldReader::requireVersion2(const std::string &Name) {
+  m_KnownNames.insert(Name);
   if (has(Name) && m_SchemaVersion < 2)
     fail(pathOf(Name), "found a field of schema version 2 in a record of "
-                       "version 1; allowed: leave it out, or set "
+                       "version 1; remove the field, or set "
                        "\"schemaVersion\": 2");
 }
 
-void FieldReader::require(const std::string &Name, const std::string &Allowed) {
+void FieldReader::require(const std::string &Name,
+                          const std::string &Expected) {
   if (!has(Name))
-    refuse(Name, Allowed);
+    reject(Name, Expected);
 }
 
 const Json *FieldReader::member(const std::string &Name) {
-  m_Known.insert(Name);
+  m_KnownNames.insert(Name);
   if (m_Error || !has(Name))
     return nullptr;
   return &m_Object.at(Name);
 }
 
-void FieldReader::read(const std::string &Name, bool &Into) {
+void FieldReader::read(const std::string &Name, bool &Output) {
   const Json *Value = member(Name);
   if (!Value)
     return;
   if (!Value->is_boolean())
-    return refuse(Name, "true or false");
-  Into = Value->get<bool>();
+    return reject(Name, "true or false");
+  Output = Value->get<bool>();
 }
 
-bool FieldReader::textOf(const std::string &Name, std::string &Into) {
+bool FieldReader::readText(const std::string &Name, std::string &Output) {
   const Json *Value = member(Name);
   if (!Value)
     return false;
   if (!Value->is_string()) {
-    refuse(Name, "a text");
+    reject(Name, "a text");
     return false;
   }
-  Into = Value->get<std::string>();
+  Output = Value->get<std::string>();
   return true;
 }
 
-void FieldReader::read(const std::string &Name, std::string &Into,
+void FieldReader::read(const std::string &Name, std::string &Output,
                        size_t MaximumLength) {
   std::string Text;
-  if (!textOf(Name, Text))
+  if (!readText(Name, Text))
     return;
   if (Text.empty() || Text.size() > MaximumLength)
-    return refuse(Name,
+    return reject(Name,
                   "a text of 1 to " + std::to_string(MaximumLength) + " bytes");
-  Into = std::move(Text);
+  Output = std::move(Text);
 }
 
-void FieldReader::read(const std::string &Name, double &Into, double Minimum,
+void FieldReader::read(const std::string &Name, double &Output, double Minimum,
                        double Maximum) {
   const Json *Value = member(Name);
   if (!Value)
     return;
-  bool Good = Value->is_number();
-  double Number = Good ? Value->get<double>() : 0;
-  if (!Good || !std::isfinite(Number) || Number < Minimum || Number > Maximum)
-    return refuse(Name,
-                  "a number from " + plain(Minimum) + " to " + plain(Maximum));
-  Into = Number;
-}
-
-std::optional<uint64_t> FieldReader::integer(const std::string &Name,
-                                             uint64_t Minimum,
-                                             uint64_t Maximum) {
+  bool IsNumber = Value->is_number();
+  double Number = IsNumber ? Value->get<double>() : 0;
+  if (!IsNumber || !std::isfinite(Number) || Number < Minimum ||
+      Number > Maximum)
+    return reject(Name, "a number from " + decimalText(Minimum) + " to " +
+                            decimalText(Maximum));
+  Output = Number;
+}
+
+std::optional<uint64_t> FieldReader::readUnsigned(const std::string &Name,
+                                                  uint64_t Minimum,
+                                                  uint64_t Maximum) {
   const Json *Value = member(Name);
   if (!Value)
     return std::nullopt;
@@ -146,70 +148,74 @@
     if (auto Number = Value->get<uint64_t>();
         Number >= Minimum && Number <= Maximum)
       return Number;
-  refuse(Name, "a whole number from " + std::to_string(Minimum) + " to " +
+  reject(Name, "a whole number from " + std::to_string(Minimum) + " to " +
                    std::to_string(Maximum));
   return std::nullopt;
 }
 
-void FieldReader::read(const std::string &Name, std::chrono::milliseconds &Into,
+void FieldReader::read(const std::string &Name,
+                       std::chrono::milliseconds &Output,
                        std::chrono::milliseconds Minimum,
                        std::chrono::milliseconds Maximum) {
   std::string Text;
-  if (!textOf(Name, Text))
+  if (!readText(Name, Text))
     return;
   auto Value = parseDuration(Text);
   if (!Value || *Value < Minimum || *Value > Maximum)
-    return refuse(Name, "a time with unit (\"250ms\", \"4s\", \"2m\", \"1h\") "
+    return reject(Name, "a duration (\"250ms\", \"4s\", \"2m\", \"1h\") "
                         "from " +
                             std::to_string(Minimum.count()) + "ms to " +
                             std::to_string(Maximum.count()) + "ms");
-  Into = *Value;
+  Output = *Value;
 }
 
-void FieldReader::read(const std::string &Name, std::vector<std::string> &Into,
-                       const std::function<bool(const std::string &)> &Accept,
-                       const std::string &Allowed) {
+void FieldReader::read(const std::string &Name,
+                       std::vector<std::string> &Output,
+                       const std::function<bool(const std::string &)> &IsValid,
+                       const std::string &Expected) {
   const Json *Value = member(Name);
   if (!Value)
     return;
   if (!Value->is_array())
-    return refuse(Name, "an array of: " + Allowed);
+    return reject(Name, "an array of: " + Expected);
   for (size_t Index = 0; Index < Value->size(); ++Index) {
     const Json &Element = (*Value)[Index];
-    if (!Element.is_string() || !Accept(Element.get<std::string>()))
+    if (!Element.is_string() || !IsValid(Element.get<std::string>()))
       return fail(pathOf(Name) + "[" + std::to_string(Index) + "]",
-                  "found " + quoted(Element) + "; allowed: " + Allowed);
-    Into.push_back(Element.get<std::string>());
+                  "found " + quoted(Element) + "; expected " + Expected);
+    Output.push_back(Element.get<std::string>());
   }
 }
 
-void FieldReader::readObjects(const std::string &Name,
-                              const std::function<void(FieldReader &)> &Each) {
+void FieldReader::readObjects(
+    const std::string &Name,
+    const std::function<void(FieldReader &)> &ReadElement) {
   const Json *Value = member(Name);
   if (!Value)
     return;
   if (!Value->is_array())
-    return refuse(Name, "an array of objects");
+    return reject(Name, "an array of objects");
   for (size_t Index = 0; Index < Value->size(); ++Index) {
     FieldReader Child((*Value)[Index],
                       pathOf(Name) + "[" + std::to_string(Index) + "]",
                       m_SchemaVersion);
-    Each(Child);
-    adopt(Child);
+    ReadElement(Child);
+    takeErrorOf(Child);
   }
 }
 
-void FieldReader::readObject(const std::string &Name,
-                             const std::function<void(FieldReader &)> &Inside) {
+void FieldReader::readObject(
+    const std::string &Name,
+    const std::function<void(FieldReader &)> &ReadMembers) {
   const Json *Value = member(Name);
   if (!Value)
     return;
   FieldReader Child(*Value, pathOf(Name), m_SchemaVersion);
-  Inside(Child);
-  adopt(Child);
+  ReadMembers(Child);
+  takeErrorOf(Child);
 }
 
-void FieldReader::adopt(const FieldReader &Child) {
+void FieldReader::takeErrorOf(const FieldReader &Child) {
   if (!m_Error)
     m_Error = Child.m_Error;
 }
@@ -218,12 +224,13 @@
   if (m_Error)
     return;
   for (const auto &[Name, Value] : m_Object.items()) {
-    if (m_Known.contains(Name))
+    if (m_KnownNames.contains(Name))
       continue;
-    std::string Allowed;
-    for (const std::string &Each : m_Known)
-      Allowed += (Allowed.empty() ? "\"" : ", \"") + Each + '"';
-    return fail(pathOf(Name), "found an unknown field; allowed: " + Allowed);
+    std::string Expected;
+    for (const std::string &Known : m_KnownNames)
+      Expected += (Expected.empty() ? "\"" : ", \"") + Known + '"';
+    return fail(pathOf(Name),
+                "found an unknown field; known fields are " + Expected);
   }
 }
 
--- a/Libraries/LibRecord/FieldReader.h
+++ b/Libraries/LibRecord/FieldReader.h
@@ -1,9 +1,9 @@
-//===- FieldReader.h - Checked access to the members of JSON ----*- C++ -*-===//
+//===- FieldReader.h - Validating reader of JSON objects --------*- C++ -*-===//
 //
-// Reads the members of one JSON object into typed variables. The first thing
-// that is wrong is kept as the error, with the path of its field, what was
-// found and what is allowed; later reads do nothing, so that a reader of a
-// record can be written as a plain list of its fields.
+// Reads the members of one JSON object into typed variables. The first invalid
+// member is stored as the error, with the path of the field, the value found
+// and the values expected. Later reads do nothing, so that a record can be
+// parsed by a plain list of reads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,102 +26,105 @@
 
 namespace figlift::record {
 
-/// One value of an enumeration and its name in records.
-template <typename Value> struct Named {
-  std::string_view Word;
-  Value Meaning;
+/// A value, such as an enumerator, and its name in records.
+template <typename T> struct NamedValue {
+  std::string_view Name;
+  T Value;
 };
 
-template <typename Value, size_t Count>
-using Names = std::array<Named<Value>, Count>;
+template <typename T, size_t Count>
+using NamedValues = std::array<NamedValue<T>, Count>;
 
 class FieldReader {
 public:
   using Json = nlohmann::json;
 
-  /// \p Object must outlive the reader and its children.
+  /// \p Object must outlive the reader and its child readers.
   FieldReader(const Json &Object, std::string Path, unsigned SchemaVersion);
 
   bool has(const std::string &Name) const;
   std::string pathOf(const std::string &Name) const;
   unsigned schemaVersion() const { return m_SchemaVersion; }
 
-  /// Notes that \p Name is a field of schema version 2; its use in a record of
-  /// version 1 is an error with a hint.
-  void needsVersion2(const std::string &Name);
-  /// The field has to be there.
-  void require(const std::string &Name, const std::string &Allowed);
+  /// Declares \p Name as a field of schema version 2. If a record of version 1
+  /// has this field, the error says how to correct the record.
+  void requireVersion2(const std::string &Name);
+  /// Fails unless the field is present.
+  void require(const std::string &Name, const std::string &Expected);
 
-  void read(const std::string &Name, bool &Into);
-  void read(const std::string &Name, std::string &Into, size_t MaximumLength);
-  void read(const std::string &Name, double &Into, double Minimum,
+  void read(const std::string &Name, bool &Output);
+  void read(const std::string &Name, std::string &Output, size_t MaximumLength);
+  void read(const std::string &Name, double &Output, double Minimum,
             double Maximum);
   template <typename Integer>
-  void readInteger(const std::string &Name, Integer &Into, uint64_t Minimum,
+  void readInteger(const std::string &Name, Integer &Output, uint64_t Minimum,
                    uint64_t Maximum) {
-    if (auto Value = integer(Name, Minimum, Maximum))
-      Into = static_cast<Integer>(*Value);
+    if (auto Value = readUnsigned(Name, Minimum, Maximum))
+      Output = static_cast<Integer>(*Value);
   }
-  /// A text such as "250ms", "4s", "2m" or "1h".
-  void read(const std::string &Name, std::chrono::milliseconds &Into,
+  /// Reads a duration such as "250ms", "4s", "2m" or "1h".
+  void read(const std::string &Name, std::chrono::milliseconds &Output,
             std::chrono::milliseconds Minimum,
             std::chrono::milliseconds Maximum);
-  template <typename Value, size_t Count>
-  void read(const std::string &Name, Value &Into,
-            const Names<Value, Count> &Known) {
+  template <typename T, size_t Count>
+  void read(const std::string &Name, T &Output,
+            const NamedValues<T, Count> &Choices) {
     std::string Text;
-    if (!textOf(Name, Text))
+    if (!readText(Name, Text))
       return;
-    for (const auto &[Word, Meaning] : Known)
-      if (Word == Text) {
-        Into = Meaning;
+    for (const auto &[ValueName, Value] : Choices)
+      if (ValueName == Text) {
+        Output = Value;
         return;
       }
-    refuse(Name, allowedWords(Known));
+    reject(Name, quotedNames(Choices));
   }
-  /// Each element of an array of texts.
-  void read(const std::string &Name, std::vector<std::string> &Into,
-            const std::function<bool(const std::string &)> &Accept,
-            const std::string &Allowed);
-  /// Calls \p Each with a reader of every element of an array of objects.
+  /// Reads an array of strings, each of which \p IsValid must accept.
+  void read(const std::string &Name, std::vector<std::string> &Output,
+            const std::function<bool(const std::string &)> &IsValid,
+            const std::string &Expected);
+  /// Calls \p ReadElement with a reader for every element of an array of
+  /// objects.
   void readObjects(const std::string &Name,
-                   const std::function<void(FieldReader &)> &Each);
-  /// Calls \p Inside with a reader of the object.
+                   const std::function<void(FieldReader &)> &ReadElement);
+  /// Calls \p ReadMembers with a reader for the object.
   void readObject(const std::string &Name,
-                  const std::function<void(FieldReader &)> &Inside);
+                  const std::function<void(FieldReader &)> &ReadMembers);
 
-  /// Every member that no read asked for is an error.
+  /// Fails if the object has a member that was not read or declared.
   void finish();
 
-  void refuse(const std::string &Name, const std::string &Allowed);
-  /// Keeps \p Message as the error unless there is one already.
+  /// Fails with the value found and the value expected.
+  void reject(const std::string &Name, const std::string &Expected);
+  /// Stores \p Message as the error unless there already is one.
   void fail(const std::string &Path, std::string Message);
 
   const std::optional<Error> &error() const { return m_Error; }
 
 private:
   const Json *member(const std::string &Name);
-  bool textOf(const std::string &Name, std::string &Into);
-  std::optional<uint64_t> integer(const std::string &Name, uint64_t Minimum,
-                                  uint64_t Maximum);
-  void adopt(const FieldReader &Child);
+  bool readText(const std::string &Name, std::string &Output);
+  std::optional<uint64_t> readUnsigned(const std::string &Name,
+                                       uint64_t Minimum, uint64_t Maximum);
+  void takeErrorOf(const FieldReader &Child);
 
-  template <typename Value, size_t Count>
-  static std::string allowedWords(const Names<Value, Count> &Known) {
+  template <typename T, size_t Count>
+  static std::string quotedNames(const NamedValues<T, Count> &Choices) {
     std::string Text;
-    for (const auto &[Word, Meaning] : Known)
-      Text += (Text.empty() ? "\"" : ", \"") + std::string(Word) + '"';
+    for (const auto &[ValueName, Value] : Choices)
+      Text += (Text.empty() ? "\"" : ", \"") + std::string(ValueName) + '"';
     return Text;
   }
 
   const Json &m_Object;
   const std::string m_Path;
   const unsigned m_SchemaVersion;
-  std::set<std::string> m_Known;
+  /// Members that were read or declared.
+  std::set<std::string> m_KnownNames;
   std::optional<Error> m_Error;
 };
 
-/// Reads "250ms", "4s", "2m" or "1h"; nothing when it is no such text.
+/// Parses a duration such as "250ms", "4s", "2m" or "1h".
 std::optional<std::chrono::milliseconds> parseDuration(std::string_view Text);
 
 } // namespace figlift::record
--- a/Libraries/LibRecord/Record.cpp
+++ b/Libraries/LibRecord/Record.cpp
@@ -1,7 +1,7 @@
-//===- Record.cpp - Reading operators' records ----------------------------===//
+//===- Record.cpp - Parses operators' records -----------------------------===//
 //
-// One function for each part of a record. A record is taken whole or refused
-// whole: the first fault ends the reading.
+// One function for each part of a record. A record is accepted or rejected as a
+// whole; parsing stops at the first error.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,24 +22,24 @@
 static constexpr unsigned MaximumTargets = 1024;
 static constexpr double MaximumWeight = 1e6;
 
-static constexpr Names<ServiceClass, 3> ClassNames = {
+static constexpr NamedValues<ServiceClass, 3> ClassNames = {
     {{"immediate", ServiceClass::Immediate},
      {"interactive", ServiceClass::Interactive},
      {"background", ServiceClass::Background}}};
 
-static constexpr Names<BackEndType, 2> TypeNames = {
+static constexpr NamedValues<BackEndType, 2> TypeNames = {
     {{"model", BackEndType::Model}, {"service", BackEndType::Service}}};
 
-static constexpr Names<TargetIntent, 3> IntentNames = {
+static constexpr NamedValues<TargetIntent, 3> IntentNames = {
     {{"serve", TargetIntent::Serve},
      {"drain", TargetIntent::Drain},
      {"retire", TargetIntent::Retire}}};
 
-static constexpr char AllowedName[] =
+static constexpr char ExpectedName[] =
     "1 to 63 letters, digits, '-', '_' or '.', beginning with a letter or "
     "digit";
 
-/// Names become parts of table keys and URL paths.
+/// Names are used in table keys and URL paths.
 static bool isName(const std::string &Text) {
   auto Allowed = [](unsigned char Byte) {
     return std::isalnum(Byte) || Byte == '-' || Byte == '_' || Byte == '.';
@@ -50,123 +50,126 @@
 }
 
 static void readName(FieldReader &Reader, const std::string &Field,
-                     std::string &Into) {
-  Reader.require(Field, AllowedName);
-  Reader.read(Field, Into, MaximumNameLength);
-  if (!Reader.error() && !isName(Into))
-    Reader.refuse(Field, AllowedName);
+                     std::string &Output) {
+  Reader.require(Field, ExpectedName);
+  Reader.read(Field, Output, MaximumNameLength);
+  if (!Reader.error() && !isName(Output))
+    Reader.reject(Field, ExpectedName);
 }
 
-static void readModel(FieldReader &Reader, std::vector<ModelReference> &Into) {
+static void readModel(FieldReader &Reader,
+                      std::vector<ModelReference> &Output) {
   ModelReference Model;
   readName(Reader, "name", Model.Name);
   readName(Reader, "version", Model.Version);
-  Reader.needsVersion2("adapters");
-  Reader.read("adapters", Model.Adapters, isName, AllowedName);
+  Reader.requireVersion2("adapters");
+  Reader.read("adapters", Model.Adapters, isName, ExpectedName);
   Reader.finish();
   auto Same = [&Model](const ModelReference &Other) {
     return Other.Name == Model.Name && Other.Version == Model.Version;
   };
-  if (std::any_of(Into.begin(), Into.end(), Same))
-    Reader.refuse("name", "each model and version once");
-  Into.push_back(std::move(Model));
+  if (std::any_of(Output.begin(), Output.end(), Same))
+    Reader.reject("name", "each model and version once");
+  Output.push_back(std::move(Model));
 }
 
-/// Every request needs a prefill and then a decode. A split without a role
-/// that can do one of them would be accepted and then answer nothing at all.
+/// Every request needs a prefill and a decode. A split without a target for one
+/// of them could not serve any request.
 static void checkRoles(FieldReader &Reader, const RoleSplit &Roles) {
   if (Roles.Prefill + Roles.Mixed == 0)
     Reader.fail(Reader.pathOf("prefill"),
-                "found no target that can do prefill; allowed: at least one "
+                "found no target that can do prefill; expected at least one "
                 "target in \"prefill\" or \"mixed\"");
   if (Roles.Decode + Roles.Mixed == 0)
     Reader.fail(Reader.pathOf("decode"),
-                "found no target that can do decode; allowed: at least one "
+                "found no target that can do decode; expected at least one "
                 "target in \"decode\" or \"mixed\"");
   if (Roles.Prefill + Roles.Decode + Roles.Mixed > MaximumTargets)
-    Reader.fail(Reader.pathOf("mixed"),
-                "found more targets in all roles than " +
-                    std::to_string(MaximumTargets) + "; allowed: that many");
+    Reader.fail(Reader.pathOf("mixed"), "found more than " +
+                                            std::to_string(MaximumTargets) +
+                                            " targets in all roles");
 }
 
-static void readRoles(FieldReader &Reader, RoleSplit &Into) {
-  Reader.readInteger("prefill", Into.Prefill, 0, MaximumTargets);
-  Reader.readInteger("decode", Into.Decode, 0, MaximumTargets);
-  Reader.readInteger("mixed", Into.Mixed, 0, MaximumTargets);
+static void readRoles(FieldReader &Reader, RoleSplit &Output) {
+  Reader.readInteger("prefill", Output.Prefill, 0, MaximumTargets);
+  Reader.readInteger("decode", Output.Decode, 0, MaximumTargets);
+  Reader.readInteger("mixed", Output.Mixed, 0, MaximumTargets);
   Reader.finish();
-  checkRoles(Reader, Into);
+  checkRoles(Reader, Output);
 }
 
-static void readWeights(FieldReader &Reader, PlannerWeights &Into) {
-  Reader.read("goodput", Into.Goodput, 0, MaximumWeight);
-  Reader.read("roleChangeCost", Into.RoleChangeCost, 0, MaximumWeight);
-  Reader.read("horizon", Into.Horizon, 1s, 1h);
-  Reader.readInteger("maximumConcurrentChanges", Into.MaximumConcurrentChanges,
-                     1, MaximumTargets);
+static void readWeights(FieldReader &Reader, PlannerWeights &Output) {
+  Reader.read("goodput", Output.Goodput, 0, MaximumWeight);
+  Reader.read("roleChangeCost", Output.RoleChangeCost, 0, MaximumWeight);
+  Reader.read("horizon", Output.Horizon, 1s, 1h);
+  Reader.readInteger("maximumConcurrentChanges",
+                     Output.MaximumConcurrentChanges, 1, MaximumTargets);
   Reader.finish();
 }
 
-static void readClassLimits(FieldReader &Reader, ClassLimits &Into) {
-  Reader.readInteger("maximumQueuedTokens", Into.MaximumQueuedTokens, 1,
+static void readClassLimits(FieldReader &Reader, ClassLimits &Output) {
+  Reader.readInteger("maximumQueuedTokens", Output.MaximumQueuedTokens, 1,
                      uint64_t(1) << 32);
-  Reader.read("defaultDeadline", Into.DefaultDeadline, 10ms, 24h);
+  Reader.read("defaultDeadline", Output.DefaultDeadline, 10ms, 24h);
   Reader.finish();
 }
 
 static void readClasses(FieldReader &Reader,
-                        std::map<ServiceClass, ClassLimits> &Into) {
+                        std::map<ServiceClass, ClassLimits> &Output) {
   for (const auto &[Name, Class] : ClassNames)
-    Reader.readObject(std::string(Name), [&, Class = Class](FieldReader &Each) {
-      readClassLimits(Each, Into[Class]);
-    });
+    Reader.readObject(std::string(Name),
+                      [&, Class = Class](FieldReader &Limits) {
+                        readClassLimits(Limits, Output[Class]);
+                      });
   Reader.finish();
 }
 
 static void readPaths(FieldReader &Reader, const std::string &Field,
-                      std::vector<std::string> &Into) {
-  auto Accept = [](const std::string &Path) {
+                      std::vector<std::string> &Output) {
+  auto IsPath = [](const std::string &Path) {
     return !Path.empty() && Path.front() == '/' && Path.size() <= 1024;
   };
-  Reader.read(Field, Into, Accept, "a path that begins with '/'");
+  Reader.read(Field, Output, IsPath, "a path that begins with '/'");
 }
 
-/// Fields that only the other type of back end has.
-static void refuseFields(FieldReader &Reader, BackEndType Type) {
-  auto Refuse = [&Reader](const char *Field, const char *Other) {
+/// Rejects fields that exist only for the other type of back end.
+static void rejectFields(FieldReader &Reader, BackEndType Type) {
+  auto Reject = [&Reader](const char *Field, const char *OtherType) {
     if (Reader.has(Field))
-      Reader.refuse(Field, std::string("only with \"type\": \"") + Other + '"');
+      Reader.reject(Field, std::string("this field only with \"type\": \"") +
+                               OtherType + '"');
   };
   if (Type == BackEndType::Service)
     for (const char *Field : {"models", "roles", "weights"})
-      Refuse(Field, "model");
+      Reject(Field, "model");
   else
     for (const char *Field : {"nonRepeatablePaths", "immediatePaths"})
-      Refuse(Field, "service");
+      Reject(Field, "service");
 }
 
 static Specification readBackEnd(FieldReader &Reader) {
   BackEnd Spec;
   Reader.require("type", "\"model\", \"service\"");
   Reader.read("type", Spec.Type, TypeNames);
-  Reader.needsVersion2("weights");
-  Reader.needsVersion2("classes");
-  refuseFields(Reader, Spec.Type);
+  Reader.requireVersion2("weights");
+  Reader.requireVersion2("classes");
+  rejectFields(Reader, Spec.Type);
   if (Spec.Type == BackEndType::Model) {
     Reader.require("models", "an array of at least one model");
     Reader.require("roles", "an object with \"prefill\", \"decode\", "
                             "\"mixed\"");
   }
   Reader.readObjects(
-      "models", [&Spec](FieldReader &Each) { readModel(Each, Spec.Models); });
+      "models", [&Spec](FieldReader &Model) { readModel(Model, Spec.Models); });
   if (Spec.Type == BackEndType::Model && Spec.Models.empty())
-    Reader.refuse("models", "an array of at least one model");
+    Reader.reject("models", "an array of at least one model");
   Reader.readObject(
-      "roles", [&Spec](FieldReader &Inside) { readRoles(Inside, Spec.Roles); });
-  Reader.readObject("weights", [&Spec](FieldReader &Inside) {
-    readWeights(Inside, Spec.Weights);
+      "roles", [&Spec](FieldReader &Roles) { readRoles(Roles, Spec.Roles); });
+  Reader.readObject("weights", [&Spec](FieldReader &Weights) {
+    readWeights(Weights, Spec.Weights);
   });
-  Reader.readObject("classes", [&Spec](FieldReader &Inside) {
-    readClasses(Inside, Spec.Classes);
+  Reader.readObject("classes", [&Spec](FieldReader &Classes) {
+    readClasses(Classes, Spec.Classes);
   });
   Reader.read("honoursFencing", Spec.HonoursFencing);
   readPaths(Reader, "nonRepeatablePaths", Spec.NonRepeatablePaths);
@@ -182,7 +185,7 @@
   if (Reader.has("maximumConcurrentRequests"))
     Spec.MaximumConcurrentRequests = Requests;
   ServiceClass Class = ServiceClass::Interactive;
-  Reader.needsVersion2("defaultClass");
+  Reader.requireVersion2("defaultClass");
   Reader.read("defaultClass", Class, ClassNames);
   if (Reader.has("defaultClass"))
     Spec.DefaultClass = Class;
@@ -190,7 +193,7 @@
 }
 
 static Specification readTarget(FieldReader &Reader) {
-  TargetWish Spec;
+  TargetDesiredState Spec;
   Reader.require("intent", "\"serve\", \"drain\", \"retire\"");
   Reader.read("intent", Spec.Intent, IntentNames);
   return Spec;
@@ -198,7 +201,7 @@
 
 using SpecificationReader = Specification (*)(FieldReader &);
 
-static constexpr Names<SpecificationReader, 3> Kinds = {
+static constexpr NamedValues<SpecificationReader, 3> Kinds = {
     {{"backEnd", readBackEnd},
      {"workspace", readWorkspace},
      {"target", readTarget}}};
@@ -211,29 +214,28 @@
   return Version;
 }
 
-/// Reads a record from JSON of good syntax.
-static Result<Record> recordFrom(const Json &Value) {
+static Result<Record> toRecord(const Json &Value) {
   FieldReader Reader(Value, "", NewestSchemaVersion);
-  Record Read;
-  Read.SchemaVersion = schemaVersionOf(Reader);
-  readName(Reader, "name", Read.Name);
+  Record Parsed;
+  Parsed.SchemaVersion = schemaVersionOf(Reader);
+  readName(Reader, "name", Parsed.Name);
   SpecificationReader ReadSpecification = nullptr;
   Reader.require("kind", "\"backEnd\", \"workspace\", \"target\"");
   Reader.read("kind", ReadSpecification, Kinds);
   Reader.require("spec", "an object");
   if (!Reader.error())
-    Read.Kind = Value.at("kind").get<std::string>();
+    Parsed.Kind = Value.at("kind").get<std::string>();
   Reader.readObject("spec", [&](FieldReader &) {});
   Reader.finish();
   if (Reader.error())
     return outcome::failure(*Reader.error());
 
-  FieldReader Inside(Value.at("spec"), "spec", Read.SchemaVersion);
-  Read.Spec = ReadSpecification(Inside);
-  Inside.finish();
-  if (Inside.error())
-    return outcome::failure(*Inside.error());
-  return Read;
+  FieldReader SpecReader(Value.at("spec"), "spec", Parsed.SchemaVersion);
+  Parsed.Spec = ReadSpecification(SpecReader);
+  SpecReader.finish();
+  if (SpecReader.error())
+    return outcome::failure(*SpecReader.error());
+  return Parsed;
 }
 
 static Result<Record> parseOne(const RecordText &Source) {
@@ -241,31 +243,32 @@
   if (Value.is_discarded())
     return failure(ResultCode::RecordInvalid,
                    "line " + std::to_string(Source.FirstLine) +
-                       ": found a syntax error; allowed: JSON with comments");
-  return recordFrom(Value);
+                       ": found a syntax error; expected JSON with comments");
+  return toRecord(Value);
 }
 
-Result<Record> parseRecord(std::string_view Json) {
-  FIGLIFT_TRY(Texts, splitRecords(Json));
+Result<Record> parseRecord(std::string_view Text) {
+  FIGLIFT_TRY(Texts, splitRecords(Text));
   if (Texts.size() != 1)
     return failure(ResultCode::RecordInvalid, "found " +
                                                   std::to_string(Texts.size()) +
-                                                  " records; allowed: one");
+                                                  " records; expected one");
   return parseOne(Texts.front());
 }
 
-Result<std::vector<Record>> parseRecords(std::string_view Json) {
-  FIGLIFT_TRY(Texts, splitRecords(Json));
+Result<std::vector<Record>> parseRecords(std::string_view File) {
+  FIGLIFT_TRY(Texts, splitRecords(File));
   std::vector<Record> Records;
   for (const RecordText &Source : Texts) {
-    auto Read = parseOne(Source);
-    if (!Read) {
-      Error Why = std::move(Read).error();
-      Why.Message = "record that begins on line " +
-                    std::to_string(Source.FirstLine) + ": " + Why.Message;
-      return outcome::failure(std::move(Why));
+    auto Parsed = parseOne(Source);
+    if (!Parsed) {
+      Error Invalid = std::move(Parsed).error();
+      Invalid.Message = "record that begins on line " +
+                        std::to_string(Source.FirstLine) + ": " +
+                        Invalid.Message;
+      return outcome::failure(std::move(Invalid));
     }
-    Records.push_back(std::move(Read).value());
+    Records.push_back(std::move(Parsed).value());
   }
   return Records;
 }
--- a/Libraries/LibRecord/Record.h
+++ b/Libraries/LibRecord/Record.h
@@ -1,8 +1,8 @@
-//===- Record.h - What operators submit -------------------------*- C++ -*-===//
+//===- Record.h - Configuration records of operators ------------*- C++ -*-===//
 //
-// The typed form of operators' records. Records of schema versions 1 and 2 are
-// valid side by side: both are read into these structures, and the original
-// JSON is kept unchanged beside them.
+// The parsed form of operators' records. Records of schema versions 1 and 2 are
+// valid at the same time: both are parsed into these structures, and the
+// original JSON is stored unchanged in addition.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace figlift::record {
 
-/// Urgency of a call, as the records assign it.
+/// Urgency of a call, as assigned by the records.
 enum class ServiceClass { Immediate = 0, Interactive = 1, Background = 2 };
 
 struct ModelReference {
@@ -33,7 +33,7 @@
   bool operator==(const ModelReference &) const = default;
 };
 
-/// How many targets at least must be able to do each kind of work.
+/// Minimum number of targets in each role.
 struct RoleSplit {
   unsigned Prefill = 0;
   unsigned Decode = 0;
@@ -42,21 +42,21 @@
   bool operator==(const RoleSplit &) const = default;
 };
 
-/// Weights of the planner. Schema version 2 only; version 1 has the defaults.
+/// Weights of the planner. Schema version 2 only; version 1 uses the defaults.
 struct PlannerWeights {
-  /// Value of one useful token each second of gained goodput.
+  /// Value of one additional useful token per second.
   double Goodput = 1.0;
-  /// Cost of one role change, in tokens each second.
+  /// Cost of one role change, in tokens per second.
   double RoleChangeCost = 1.0;
   std::chrono::milliseconds Horizon{60000};
-  /// Targets of one shard that may change at once.
+  /// Maximum number of targets of a shard that change at the same time.
   unsigned MaximumConcurrentChanges = 1;
 
   bool operator==(const PlannerWeights &) const = default;
 };
 
 struct ClassLimits {
-  /// Bound of the queue of one target, in prompt tokens.
+  /// Capacity of the queue of one target, in prompt tokens.
   uint64_t MaximumQueuedTokens = 65536;
   std::chrono::milliseconds DefaultDeadline{30000};
 
@@ -65,25 +65,25 @@
 
 enum class BackEndType { Model, Service };
 
-/// A group of targets of one kind that serves the same models or service.
+/// A group of targets that serve the same models or the same service.
 struct BackEnd {
   BackEndType Type = BackEndType::Model;
   std::vector<ModelReference> Models;
   RoleSplit Roles;
   PlannerWeights Weights;
-  /// Keyed by ServiceClass; schema version 2 only, else the defaults.
+  /// Schema version 2 only; version 1 uses the defaults.
   std::map<ServiceClass, ClassLimits> Classes;
-  /// Whether the targets refuse an order that carries an old epoch.
+  /// Whether the targets reject an order that has a stale epoch.
   bool HonoursFencing = false;
-  /// Service back ends: path prefixes whose calls may not be repeated.
+  /// Service back ends: path prefixes whose calls must not be retried.
   std::vector<std::string> NonRepeatablePaths;
-  /// Service back ends: path prefixes that must answer at once.
+  /// Service back ends: path prefixes whose calls have class Immediate.
   std::vector<std::string> ImmediatePaths;
 
   bool operator==(const BackEnd &) const = default;
 };
 
-/// A customer's share and limits.
+/// Share and limits of a workspace.
 struct Workspace {
   double Share = 1.0;
   std::optional<unsigned> MaximumConcurrentRequests;
@@ -95,18 +95,18 @@
 
 enum class TargetIntent { Serve, Drain, Retire };
 
-/// An operator's wish for one VM (figlift-ctl drain, retire).
-struct TargetWish {
+/// State of one VM that the operator requests (figlift-ctl drain, retire).
+struct TargetDesiredState {
   TargetIntent Intent = TargetIntent::Serve;
 
-  bool operator==(const TargetWish &) const = default;
+  bool operator==(const TargetDesiredState &) const = default;
 };
 
-using Specification = std::variant<BackEnd, Workspace, TargetWish>;
+using Specification = std::variant<BackEnd, Workspace, TargetDesiredState>;
 
 struct Record {
   unsigned SchemaVersion = 1;
-  /// "backEnd", "workspace" or "target"; agrees with the variant.
+  /// "backEnd", "workspace" or "target"; matches the alternative in Spec.
   std::string Kind;
   std::string Name;
   Specification Spec;
@@ -115,12 +115,12 @@
 inline constexpr unsigned OldestSchemaVersion = 1;
 inline constexpr unsigned NewestSchemaVersion = 2;
 
-/// Reads one record from JSON (comments allowed) and checks it whole. The
-/// error has code RecordInvalid and names the line or the field, what was
-/// found and what is allowed.
-Result<Record> parseRecord(std::string_view Json);
+/// Parses and validates one record of JSON with optional comments. The error
+/// has code RecordInvalid and names the line or the field, the value found and
+/// the values expected.
+Result<Record> parseRecord(std::string_view Text);
 
-/// Reads a file of one record or of an array of records.
-Result<std::vector<Record>> parseRecords(std::string_view Json);
+/// Parses a file that contains one record or an array of records.
+Result<std::vector<Record>> parseRecords(std::string_view File);
 
 } // namespace figlift::record
--- a/Tests/LibRecord/TestRecord.cpp
+++ b/Tests/LibRecord/TestRecord.cpp
@@ -1,6 +1,6 @@
-//===- TestRecord.cpp - Reading records: what is taken, what refused ------===//
+//===- TestRecord.cpp - Accepted and rejected records ---------------------===//
 //
-// A table of records with one fault each, the sample files, and random damage.
+// Records with one error each, the sample files, and randomly damaged records.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-const std::string GoodModel = R"({
+const std::string ValidModel = R"({
   // front desk
   "schemaVersion": 2, "kind": "backEnd", "name": "lm-desk",
   "spec": {
@@ -34,13 +34,13 @@
   }
 })";
 
-std::string replaced(std::string Text, const std::string &What,
-                     const std::string &By) {
-  Text.replace(Text.find(What), What.size(), By);
+std::string replaceFirst(std::string Text, const std::string &Old,
+                         const std::string &New) {
+  Text.replace(Text.find(Old), Old.size(), New);
   return Text;
 }
 
-std::string contentOf(const std::filesystem::path &Path) {
+std::string readFile(const std::filesystem::path &Path) {
   std::ostringstream Content;
   Content << std::ifstream(Path).rdbuf();
   return Content.str();
@@ -51,11 +51,11 @@
 TEST_GROUP(Record){};
 
 TEST(Record, ReadsEveryFieldOfVersion2) {
-  auto Read = parseRecord(GoodModel);
-  CHECK_TRUE(Read.has_value());
-  const auto &Spec = std::get<BackEnd>(Read.value().Spec);
-  CHECK_EQUAL(2u, Read.value().SchemaVersion);
-  STRCMP_EQUAL("lm-desk", Read.value().Name.c_str());
+  auto Parsed = parseRecord(ValidModel);
+  CHECK_TRUE(Parsed.has_value());
+  const auto &Spec = std::get<BackEnd>(Parsed.value().Spec);
+  CHECK_EQUAL(2u, Parsed.value().SchemaVersion);
+  STRCMP_EQUAL("lm-desk", Parsed.value().Name.c_str());
   STRCMP_EQUAL("roster", Spec.Models.at(0).Adapters.at(0).c_str());
   CHECK_EQUAL(6u, Spec.Roles.Mixed);
   CHECK_TRUE(Spec.Weights.Horizon == std::chrono::seconds(90));
@@ -65,11 +65,11 @@
   CHECK_TRUE(Spec.HonoursFencing);
 }
 
-TEST(Record, NamesTheFieldOfEveryFault) {
-  struct Fault {
-    const char *What, *By, *Field;
+TEST(Record, NamesTheFieldOfEveryError) {
+  struct Case {
+    const char *Old, *New, *Field;
   };
-  const Fault Faults[] = {
+  const Case Cases[] = {
       {"\"schemaVersion\": 2", "\"schemaVersion\": 3", "schemaVersion"},
       {"\"schemaVersion\": 2, ", "", "schemaVersion"},
       {"\"schemaVersion\": 2", "\"schemaVersion\": 1", "spec.weights"},
@@ -91,31 +91,31 @@
       {"2, \"decode\": 1, \"mixed\": 6", "0, \"decode\": 3",
        "spec.roles.prefill"},
   };
-  for (const auto &[What, By, Field] : Faults) {
-    auto Read = parseRecord(replaced(GoodModel, What, By));
-    CHECK_FALSE_TEXT(Read.has_value(), By);
-    STRCMP_EQUAL_TEXT(Field, Read.error().Field.c_str(), By);
-    CHECK_TRUE(Read.error().Code == ResultCode::RecordInvalid);
-    CHECK_TEXT(!Read.error().Message.empty(), By);
+  for (const auto &[Old, New, Field] : Cases) {
+    auto Parsed = parseRecord(replaceFirst(ValidModel, Old, New));
+    CHECK_FALSE_TEXT(Parsed.has_value(), New);
+    STRCMP_EQUAL_TEXT(Field, Parsed.error().Field.c_str(), New);
+    CHECK_TRUE(Parsed.error().Code == ResultCode::RecordInvalid);
+    CHECK_TEXT(!Parsed.error().Message.empty(), New);
   }
 }
 
 TEST(Record, GivesAHintWhenVersion1UsesAFieldOfVersion2) {
-  auto Read = parseRecord(R"({"schemaVersion": 1, "kind": "workspace",
+  auto Parsed = parseRecord(R"({"schemaVersion": 1, "kind": "workspace",
     "name": "piste", "spec": {"share": 2, "defaultClass": "immediate"}})");
-  STRCMP_EQUAL("spec.defaultClass", Read.error().Field.c_str());
-  STRCMP_CONTAINS("\"schemaVersion\": 2", Read.error().Message.c_str());
+  STRCMP_EQUAL("spec.defaultClass", Parsed.error().Field.c_str());
+  STRCMP_CONTAINS("\"schemaVersion\": 2", Parsed.error().Message.c_str());
 }
 
 TEST(Record, NamesTheLineOfASyntaxError) {
-  auto Read = parseRecord("{\n  \"schemaVersion\": 1,\n  \"kind\" \"target\"}");
-  STRCMP_CONTAINS("line 3", Read.error().Message.c_str());
+  auto Parsed =
+      parseRecord("{\n  \"schemaVersion\": 1,\n  \"kind\" \"target\"}");
+  STRCMP_CONTAINS("line 3", Parsed.error().Message.c_str());
 }
 
-TEST(Record, RefusesNestingWithoutBound) {
-  // Symptom: a process dies of stack exhaustion on one submitted text.
-  // Sequence: a text of nothing but opening brackets is parsed.
-  // Cause: nesting that nobody bounds.
+TEST(Record, RejectsExcessiveNesting) {
+  // Guards against a stack overflow caused by a submitted text of opening
+  // brackets only: the parser must limit the nesting depth.
   CHECK_FALSE(parseRecord(std::string(500000, '[')).has_value());
   auto Deep = std::string(1000, '[') + std::string(1000, ']');
   CHECK_FALSE(parseRecord(Deep).has_value());
@@ -133,38 +133,40 @@
   CHECK_EQUAL(4u, Texts.value()[1].FirstLine);
 }
 
-TEST(Record, TakesTheSamples) {
+TEST(Record, AcceptsTheSamples) {
   unsigned Versions[3] = {0, 0, 0};
   for (const auto &Entry :
        std::filesystem::recursive_directory_iterator(FIGLIFT_SAMPLES)) {
     if (Entry.path().extension() != ".json")
       continue;
-    auto Read = parseRecords(contentOf(Entry.path()));
-    CHECK_TRUE_TEXT(Read.has_value(), Read ? "" : Read.error().Message.c_str());
-    for (const Record &Each : Read.value())
-      ++Versions[Each.SchemaVersion];
+    auto Parsed = parseRecords(readFile(Entry.path()));
+    CHECK_TRUE_TEXT(Parsed.has_value(),
+                    Parsed ? "" : Parsed.error().Message.c_str());
+    for (const Record &Sample : Parsed.value())
+      ++Versions[Sample.SchemaVersion];
   }
   CHECK_TRUE(Versions[1] > 0 && Versions[2] > 0);
 }
 
-TEST(Record, NeverCrashesOnDamageAndSaysWhatIsWrong) {
+TEST(Record, NeverCrashesOnDamageAndNamesTheError) {
   std::mt19937_64 Random(20260);
   const std::string Bytes = "{}[]\",:/*-0123456789.eE\\ntf\n\x80\xff";
   for (int Round = 0; Round < 20000; ++Round) {
-    std::string Text = GoodModel;
+    std::string Text = ValidModel;
     for (unsigned Times = 1 + Random() % 3; Times > 0; --Times) {
-      size_t Where = Random() % Text.size();
+      size_t Position = Random() % Text.size();
       if (Random() % 2)
-        Text[Where] = Bytes[Random() % Bytes.size()];
+        Text[Position] = Bytes[Random() % Bytes.size()];
       else
-        Text.erase(Where, 1 + Random() % 8);
+        Text.erase(Position, 1 + Random() % 8);
     }
-    auto Read = parseRecords(Text);
-    if (Read)
+    auto Parsed = parseRecords(Text);
+    if (Parsed)
       continue;
-    CHECK_TRUE(Read.error().Code == ResultCode::RecordInvalid);
-    bool Names = !Read.error().Field.empty() ||
-                 Read.error().Message.find("line ") != std::string::npos;
-    CHECK_TEXT(Names, Read.error().Message.c_str());
+    CHECK_TRUE(Parsed.error().Code == ResultCode::RecordInvalid);
+    bool NamesLocation =
+        !Parsed.error().Field.empty() ||
+        Parsed.error().Message.find("line ") != std::string::npos;
+    CHECK_TEXT(NamesLocation, Parsed.error().Message.c_str());
   }
 }
