--- a/Libraries/LibOrder/OrderMachine.cpp
+++ b/Libraries/LibOrder/OrderMachine.cpp
@@ -87,9 +87,9 @@
 /// progress and does not execute the order a second time.
 bool OrderMachine::replyFromHistory(const OrderReceived &Received, Context &C) {
   const Order &Requested = Received.NewOrder;
-  auto Answer = [&](const Order &Known, OrderProgress Progress) {
-    bool Same = Known == Requested;
-    ResultCode Code = Known.Id == m_UndrainedOrderId
+  auto ReplyWith = [&](const Order &Recorded, OrderProgress Progress) {
+    bool Same = Recorded == Requested;
+    ResultCode Code = Recorded.Id == m_UndrainedOrderId
                           ? ResultCode::DeadlineExceeded
                           : ResultCode::Success;
     C.Out.push_back(
@@ -101,16 +101,16 @@
     bool Undecided =
         m_State == State::CheckingAuthority || m_State == State::WritingIntent;
     if (!Undecided || *m_Current != Requested)
-      return Answer(*m_Current, OrderProgress::Running);
+      return ReplyWith(*m_Current, OrderProgress::Running);
     m_WaitingTokens.push_back(Received.Token);
     return true;
   }
-  auto Known = std::ranges::find(m_History, Requested.Id,
-                                 [](const auto &Row) { return Row.Intent.Id; });
-  if (Known != m_History.end())
-    return Answer(Known->Intent, progressOf(Known->State));
+  auto Completed = std::ranges::find(
+      m_History, Requested.Id, [](const auto &Row) { return Row.Intent.Id; });
+  if (Completed != m_History.end())
+    return ReplyWith(Completed->Intent, progressOf(Completed->State));
   if (m_Row && m_Row->Intent.Id == Requested.Id)
-    return Answer(m_Row->Intent, progressOf(m_Row->State));
+    return ReplyWith(m_Row->Intent, progressOf(m_Row->State));
   return false;
 }
 
