--- a/Libraries/LibConfig/ChangeRunner.cpp
+++ b/Libraries/LibConfig/ChangeRunner.cpp
@@ -1,6 +1,6 @@
-//===- ChangeRunner.cpp - Carries a change out ----------------------------===//
+//===- ChangeRunner.cpp - Executes a configuration change -----------------===//
 //
-// Waits for each answer of the table, which every call gives within its
+// Waits for each result of the table, which every call delivers within its
 // timeout.
 //
 //===----------------------------------------------------------------------===//
@@ -17,47 +17,48 @@
 
 namespace {
 
-/// Calls \p Ask with a callback and waits until it was called.
+/// Starts an asynchronous call and waits for its result.
 template <typename T>
-Result<T> awaited(const std::function<void(Callback<T>)> &Ask) {
+Result<T> waitFor(const std::function<void(Callback<T>)> &Start) {
   auto Promise = std::make_shared<std::promise<Result<T>>>();
-  auto Answer = Promise->get_future();
-  Ask([Promise](Result<T> Value) { Promise->set_value(std::move(Value)); });
-  return Answer.get();
+  auto Future = Promise->get_future();
+  Start([Promise](Result<T> Value) { Promise->set_value(std::move(Value)); });
+  return Future.get();
 }
 
 /// Performs the actions of a writer; the result of each is its next event.
-class Performer {
+class ActionPerformer {
 public:
-  Performer(Table &Table,
-            const std::function<void(std::chrono::milliseconds)> &Pause)
+  ActionPerformer(Table &Table,
+                  const std::function<void(std::chrono::milliseconds)> &Pause)
       : m_Table(Table), m_Pause(Pause) {}
 
-  writer::Event operator()(const writer::ReadRows &What) {
-    if (What.Delay > std::chrono::milliseconds::zero())
-      m_Pause(What.Delay);
-    writer::RowsRead Found;
-    for (const std::string &Key : What.Keys) {
-      auto Read = awaited<Row>(
+  writer::Event operator()(const writer::ReadRows &Action) {
+    if (Action.Delay > std::chrono::milliseconds::zero())
+      m_Pause(Action.Delay);
+    writer::RowsRead Event;
+    for (const std::string &Key : Action.Keys) {
+      auto Read = waitFor<Row>(
           [&](Callback<Row> Done) { m_Table.read(Key, std::move(Done)); });
       if (!Read)
         return writer::ReadFailed{};
-      Found.Rows.push_back(std::move(Read).value());
+      Event.Rows.push_back(std::move(Read).value());
     }
-    return Found;
+    return Event;
   }
 
-  writer::Event operator()(const writer::Commit &What) {
-    auto Done = awaited<std::monostate>([&](Callback<std::monostate> Finished) {
-      m_Table.commit(What.What, std::move(Finished));
-    });
-    if (Done)
+  writer::Event operator()(const writer::Commit &Action) {
+    auto Committed =
+        waitFor<std::monostate>([&](Callback<std::monostate> Done) {
+          m_Table.commit(Action.Transaction, std::move(Done));
+        });
+    if (Committed)
       return writer::Committed{};
-    return writer::Committed{Done.error().Code, Done.error().Message};
+    return writer::Committed{Committed.error().Code, Committed.error().Message};
   }
 
-  writer::Event operator()(const writer::Finish &What) {
-    Outcome = What.Outcome;
+  writer::Event operator()(const writer::Finish &Action) {
+    Outcome = Action.Outcome;
     return writer::Begin{};
   }
 
@@ -74,12 +75,13 @@
 applyChange(Table &Table, ChangeRequest Request, WriterOptions Options,
             const std::function<void(std::chrono::milliseconds)> &Pause) {
   ConfigWriter Writer(std::move(Request), Options);
-  Performer Perform(Table, Pause);
+  ActionPerformer Perform(Table, Pause);
   writer::Event Next = writer::Begin{};
   while (!Perform.Outcome) {
     auto Actions = Writer.step(Next, BootClock::now());
     if (Actions.size() != 1)
-      return failure(ResultCode::Internal, "the change came to a standstill");
+      return failure(ResultCode::Internal,
+                     "the configuration writer returned no action");
     Next = std::visit(Perform, Actions.front());
   }
   return *Perform.Outcome;
--- a/Libraries/LibConfig/ChangeRunner.h
+++ b/Libraries/LibConfig/ChangeRunner.h
@@ -1,7 +1,7 @@
-//===- ChangeRunner.h - Carries a change out --------------------*- C++ -*-===//
+//===- ChangeRunner.h - Executes a configuration change ---------*- C++ -*-===//
 //
-// The shell around ConfigWriter: reads and commits at the table, one step
-// after the other, on the calling thread.
+// Drives a ConfigWriter: performs its reads and commits at the table, one after
+// the other, on the calling thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,11 +14,12 @@
 
 namespace figlift::config {
 
-/// Blocks until the change has an outcome; not on a thread that the table's
-/// callbacks need. Errors: RecordVersionConflict, RecordNotFound,
+/// Blocks until the change has an outcome. Must not be called on a thread that
+/// runs the table's callbacks. Errors: RecordVersionConflict, RecordNotFound,
 /// KeyReusedForOtherRequest, StoreUnavailable and StoreConflict (nothing was
-/// written), StoreOutcomeUnknown (send the same operation again).
-/// \p Pause waits for the time; tests pass one that does not.
+/// written), StoreOutcomeUnknown (retry with the same operation id).
+/// \p Pause sleeps for the given time; tests pass a function that returns at
+/// once.
 Result<ChangeOutcome>
 applyChange(platform::Table &Table, ChangeRequest Request,
             WriterOptions Options,
--- a/Libraries/LibConfig/ConfigFollower.cpp
+++ b/Libraries/LibConfig/ConfigFollower.cpp
@@ -1,7 +1,7 @@
-//===- ConfigFollower.cpp - Keeping up with the configuration -------------===//
+//===- ConfigFollower.cpp - Follows the configuration ---------------------===//
 //
-// Each event changes what is known; afterwards it is decided, in one place,
-// what to fetch and whether to serve.
+// Each event updates the state. Afterwards, one place decides which changes to
+// fetch and whether to serve.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,38 +31,40 @@
   if (!m_LastContact)
     m_LastContact = Now;
   Actions Out;
-  std::visit([&](const auto &What) { on(What, Now, Out); }, Event);
-  fetchWhatIsMissing(Now, Out);
-  judgeServing(Now, Out);
+  std::visit([&](const auto &Alternative) { on(Alternative, Now, Out); },
+             Event);
+  fetchMissingChanges(Now, Out);
+  updateServing(Now, Out);
   return Out;
 }
 
 void ConfigFollower::on(const Tick &, BootTime Now, Actions &Out) {
-  if (!m_Options.PollsStore || m_PollOpen || Now < m_NextPoll)
+  if (!m_Options.PollsStore || m_PollPending || Now < m_NextPoll)
     return;
-  m_PollOpen = true;
+  m_PollPending = true;
   m_PollStarted = Now;
   m_NextPoll = Now + m_Options.PollInterval;
   Out.push_back(PollHead{});
 }
 
-/// The table is the authority on the head. A higher revision that was heard of
-/// before the poll began can't exist, so a peer's garbage does not stop this
-/// process for ever; one heard of during the poll may be newer than the answer.
-void ConfigFollower::on(const PolledHead &Event, BootTime Now, Actions &) {
-  m_PollOpen = false;
+/// The table is authoritative for the head. A higher revision that was reported
+/// before the poll began does not exist, and is discarded so that an invalid
+/// message of a peer cannot stop this process permanently. A revision reported
+/// during the poll may be newer than the result.
+void ConfigFollower::on(const HeadPolled &Event, BootTime Now, Actions &) {
+  m_PollPending = false;
   m_StoreDown = false;
   m_LastContact = Now;
-  if (m_Known > Event.Revision && m_KnownSince < m_PollStarted)
-    m_Known = Event.Revision;
-  learn(Event.Revision, Now);
+  if (m_HighestKnown > Event.Revision && m_HighestKnownSince < m_PollStarted)
+    m_HighestKnown = Event.Revision;
+  recordRevision(Event.Revision, Now);
 }
 
-/// In an outage the peers are asked at the pace of the polls, so that a change
-/// committed just before it spreads all the same.
+/// During an outage, each failed poll triggers a fetch from peers, so that a
+/// change committed just before the outage still spreads.
 void ConfigFollower::on(const StoreFailed &, BootTime Now, Actions &Out) {
-  m_PollOpen = false;
-  m_StoreFetchOpen = false;
+  m_PollPending = false;
+  m_StoreFetchPending = false;
   m_StoreDown = true;
   if (m_Snapshot)
     fetchFromPeers(Now, Out);
@@ -70,104 +72,106 @@
 
 void ConfigFollower::on(const ChangesFetched &Event, BootTime Now,
                         Actions &Out) {
-  m_StoreFetchOpen = false;
+  m_StoreFetchPending = false;
   m_StoreDown = false;
   m_LastContact = Now;
   m_NextFetch = Now + m_Options.RetryInterval;
-  // A table without a record is a configuration too: the empty one.
-  bool Whole = Event.Changes.Full || Event.Changes.Base == 0;
-  if (!m_Snapshot && Whole && Event.Changes.Head == 0) {
+  // A table without records is a valid, empty configuration.
+  bool IsComplete = Event.Changes.Full || Event.Changes.Base == 0;
+  if (!m_Snapshot && IsComplete && Event.Changes.Head == 0) {
     m_Snapshot = Snapshot::empty();
     Out.push_back(Publish{m_Snapshot});
   }
   apply(Event.Changes, Out);
-  learn(Event.Changes.Head, Now);
+  recordRevision(Event.Changes.Head, Now);
 }
 
 void ConfigFollower::on(const PeersFetched &Event, BootTime Now, Actions &Out) {
-  m_PeerFetchOpen = false;
+  m_PeerFetchPending = false;
   m_LastContact = Now;
   m_NextFetch = Now + m_Options.RetryInterval;
   apply(Event.Changes, Out);
-  learn(Event.Changes.Head, Now);
+  recordRevision(Event.Changes.Head, Now);
 }
 
 void ConfigFollower::on(const PeersFailed &, BootTime Now, Actions &) {
-  m_PeerFetchOpen = false;
+  m_PeerFetchPending = false;
   m_NextFetch = Now + m_Options.RetryInterval;
 }
 
-void ConfigFollower::on(const PushedByPeer &Event, BootTime Now, Actions &Out) {
+void ConfigFollower::on(const ChangesPushed &Event, BootTime Now,
+                        Actions &Out) {
   m_LastContact = Now;
   apply(Event.Changes, Out);
-  learn(Event.Changes.Head, Now);
+  recordRevision(Event.Changes.Head, Now);
 }
 
-void ConfigFollower::on(const SeenRevision &Event, BootTime Now, Actions &) {
+void ConfigFollower::on(const RevisionSeen &Event, BootTime Now, Actions &) {
   m_LastContact = Now;
-  learn(Event.Revision, Now);
+  recordRevision(Event.Revision, Now);
 }
 
-void ConfigFollower::on(const PeerHeard &, BootTime Now, Actions &) {
+void ConfigFollower::on(const PeerAlive &, BootTime Now, Actions &) {
   m_LastContact = Now;
 }
 
-/// Without this check a late answer would take the process back to an older
-/// configuration, and a delta with a gap would hide a change for good.
+/// Snapshot::apply() rejects stale deltas and deltas with a gap. A late
+/// response would otherwise revert the process to an older configuration, and a
+/// gap would hide a change permanently.
 void ConfigFollower::apply(const Delta &Changes, Actions &Out) {
   SnapshotPointer Base = m_Snapshot ? m_Snapshot : Snapshot::empty();
-  SnapshotPointer Next = Base->with(Changes);
+  SnapshotPointer Next = Base->apply(Changes);
   if (!Next)
     return;
   m_Snapshot = std::move(Next);
   Out.push_back(Publish{m_Snapshot});
 }
 
-void ConfigFollower::learn(uint64_t Revision, BootTime Now) {
-  if (Revision <= m_Known)
+void ConfigFollower::recordRevision(uint64_t Revision, BootTime Now) {
+  if (Revision <= m_HighestKnown)
     return;
-  m_Known = Revision;
-  m_KnownSince = Now;
+  m_HighestKnown = Revision;
+  m_HighestKnownSince = Now;
 }
 
-void ConfigFollower::fetchWhatIsMissing(BootTime Now, Actions &Out) {
-  if (!missing() || Now < m_NextFetch)
+void ConfigFollower::fetchMissingChanges(BootTime Now, Actions &Out) {
+  if (!isMissingChanges() || Now < m_NextFetch)
     return;
   if (!m_Options.PollsStore || m_StoreDown)
     return fetchFromPeers(Now, Out);
-  if (m_StoreFetchOpen)
+  if (m_StoreFetchPending)
     return;
-  m_StoreFetchOpen = true;
+  m_StoreFetchPending = true;
   Out.push_back(FetchChanges{revision()});
 }
 
 void ConfigFollower::fetchFromPeers(BootTime, Actions &Out) {
-  if (m_PeerFetchOpen)
+  if (m_PeerFetchPending)
     return;
-  m_PeerFetchOpen = true;
+  m_PeerFetchPending = true;
   Out.push_back(FetchFromPeers{revision(), !m_Snapshot});
 }
 
-void ConfigFollower::judgeServing(BootTime Now, Actions &Out) {
-  bool Behind = m_Snapshot && m_Known > revision();
+void ConfigFollower::updateServing(BootTime Now, Actions &Out) {
+  bool Behind = m_Snapshot && m_HighestKnown > revision();
   if (!Behind)
     m_BehindSince.reset();
   else if (!m_BehindSince)
     m_BehindSince = Now;
 
-  std::optional<StopReason> Wanted;
+  std::optional<StopReason> Required;
   if (!m_Snapshot)
-    Wanted = StopReason::NoConfiguration;
+    Required = StopReason::NoConfiguration;
   else if (Now - *m_LastContact > m_Options.IsolationBound)
-    Wanted = StopReason::Isolated;
+    Required = StopReason::Isolated;
   else if (Behind && Now - *m_BehindSince > m_Options.BehindBound)
-    Wanted = StopReason::Behind;
+    Required = StopReason::Behind;
 
-  if (Wanted == m_Stopped)
+  if (Required == m_StopReason)
     return;
-  m_Stopped = Wanted;
-  if (Wanted)
-    Out.push_back(StopServing{*Wanted});
+  m_StopReason = Required;
+  if (Required)
+    Out.push_back(StopServing{*Required});
   else
     Out.push_back(ResumeServing{});
 }
--- a/Libraries/LibConfig/ConfigFollower.h
+++ b/Libraries/LibConfig/ConfigFollower.h
@@ -1,12 +1,12 @@
-//===- ConfigFollower.h - Keeping up with the configuration -----*- C++ -*-===//
+//===- ConfigFollower.h - Follows the configuration -------------*- C++ -*-===//
 //
-// The state machine by which a process follows the configuration: it polls the
-// head revision or is pushed changes, fetches what it lacks from the table or
-// from a peer, publishes snapshots, and says when this process must take no
-// new work because its configuration may be out of date.
+// State machine by which a process follows the configuration. It polls the head
+// revision or receives pushed changes, fetches missing changes from the table
+// or from a peer, publishes snapshots, and decides when this process must stop
+// accepting work because its configuration may be stale.
 //
-// Invariants: published revisions only grow; a delta that begins after the
-// current revision is never applied.
+// Invariants: published revisions strictly increase; a delta whose base is
+// above the current revision is never applied.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,58 +24,63 @@
 namespace figlift::config {
 
 struct FollowerOptions {
-  /// Entries poll the table; agents live on pushes and fetches from peers.
+  /// Entries poll the table. Agents do not; they receive pushed changes and
+  /// fetch from peers.
   bool PollsStore = true;
   std::chrono::milliseconds PollInterval{500};
-  /// Between two fetches that did not bring what is missing.
+  /// Minimum time between fetches while changes are still missing.
   std::chrono::milliseconds RetryInterval{100};
-  /// New work stops when a known newer revision is still missing after this.
+  /// New work is rejected if a known newer revision is still missing after this
+  /// time.
   std::chrono::milliseconds BehindBound{250};
-  /// New work stops when for this long neither the table nor any peer was
-  /// heard. A mere outage of the table leaves the peers, so work goes on.
+  /// New work is rejected if neither the table nor any peer has responded for
+  /// this time. During an outage of the table alone, peers still respond and
+  /// work continues.
   std::chrono::milliseconds IsolationBound{5000};
 };
 
 namespace follower {
 
 struct Tick {};
-struct PolledHead {
+/// The head row has this revision.
+struct HeadPolled {
   uint64_t Revision = 0;
 };
-/// A poll or a fetch from the table failed.
+/// A poll of the table or a fetch from it failed.
 struct StoreFailed {};
-/// From the table, the answer to FetchChanges.
+/// Result of FetchChanges, from the table.
 struct ChangesFetched {
   Delta Changes;
 };
-/// From the peer with the newest revision, the answer to FetchFromPeers.
+/// Result of FetchFromPeers, from the peer with the newest revision.
 struct PeersFetched {
   Delta Changes;
 };
-/// No peer answered FetchFromPeers.
+/// FetchFromPeers got no response from any peer.
 struct PeersFailed {};
-/// A peer sent changes unasked.
-struct PushedByPeer {
+/// A peer pushed changes.
+struct ChangesPushed {
   Delta Changes;
 };
-/// A message of a peer carried this revision.
-struct SeenRevision {
+/// A message from a peer carried this revision.
+struct RevisionSeen {
   uint64_t Revision = 0;
 };
-/// Any sign of life of a peer.
-struct PeerHeard {};
+/// Any message from a peer arrived.
+struct PeerAlive {};
 using Event =
-    std::variant<Tick, PolledHead, StoreFailed, ChangesFetched, PeersFetched,
-                 PeersFailed, PushedByPeer, SeenRevision, PeerHeard>;
+    std::variant<Tick, HeadPolled, StoreFailed, ChangesFetched, PeersFetched,
+                 PeersFailed, ChangesPushed, RevisionSeen, PeerAlive>;
 
-/// Answered by PolledHead or StoreFailed.
+/// Followed by HeadPolled or StoreFailed.
 struct PollHead {};
-/// Answered by ChangesFetched or StoreFailed. After 0: everything.
+/// Followed by ChangesFetched or StoreFailed. After 0: the whole configuration.
 struct FetchChanges {
   uint64_t After = 0;
 };
-/// Answered by PeersFetched or PeersFailed. AskAll: this process has nothing
-/// yet and wants the newest that any peer has, not that of the first.
+/// Followed by PeersFetched or PeersFailed. AskAll: this process has no
+/// configuration yet and needs the newest revision of all peers, not that of
+/// the first peer that responds.
 struct FetchFromPeers {
   uint64_t After = 0;
   bool AskAll = false;
@@ -99,52 +104,54 @@
 public:
   explicit ConfigFollower(FollowerOptions Options = {});
 
-  /// A new process serves only after the first ResumeServing.
+  /// A new process does not serve until the first ResumeServing.
   std::vector<follower::Action> step(const follower::Event &Event,
                                      BootTime Now);
 
-  /// Null before the first.
+  /// Null before the first snapshot.
   const SnapshotPointer &snapshot() const { return m_Snapshot; }
   uint64_t revision() const { return m_Snapshot ? m_Snapshot->revision() : 0; }
-  bool serving() const { return !m_Stopped; }
+  bool serving() const { return !m_StopReason; }
 
 private:
   using Actions = std::vector<follower::Action>;
 
   void on(const follower::Tick &, BootTime Now, Actions &Out);
-  void on(const follower::PolledHead &Event, BootTime Now, Actions &Out);
+  void on(const follower::HeadPolled &Event, BootTime Now, Actions &Out);
   void on(const follower::StoreFailed &, BootTime Now, Actions &Out);
   void on(const follower::ChangesFetched &Event, BootTime Now, Actions &Out);
   void on(const follower::PeersFetched &Event, BootTime Now, Actions &Out);
   void on(const follower::PeersFailed &, BootTime Now, Actions &Out);
-  void on(const follower::PushedByPeer &Event, BootTime Now, Actions &Out);
-  void on(const follower::SeenRevision &Event, BootTime Now, Actions &Out);
-  void on(const follower::PeerHeard &, BootTime Now, Actions &Out);
+  void on(const follower::ChangesPushed &Event, BootTime Now, Actions &Out);
+  void on(const follower::RevisionSeen &Event, BootTime Now, Actions &Out);
+  void on(const follower::PeerAlive &, BootTime Now, Actions &Out);
 
   void apply(const Delta &Changes, Actions &Out);
-  void learn(uint64_t Revision, BootTime Now);
-  void fetchWhatIsMissing(BootTime Now, Actions &Out);
+  void recordRevision(uint64_t Revision, BootTime Now);
+  void fetchMissingChanges(BootTime Now, Actions &Out);
   void fetchFromPeers(BootTime Now, Actions &Out);
-  void judgeServing(BootTime Now, Actions &Out);
-  bool missing() const { return !m_Snapshot || m_Known > revision(); }
+  void updateServing(BootTime Now, Actions &Out);
+  bool isMissingChanges() const {
+    return !m_Snapshot || m_HighestKnown > revision();
+  }
 
   const FollowerOptions m_Options;
   SnapshotPointer m_Snapshot;
-  /// Highest revision heard of, and since when.
-  uint64_t m_Known = 0;
-  BootTime m_KnownSince{};
-  /// When this process noticed that it is behind; reset when it is not.
+  /// Highest revision known to exist, and since when it is known.
+  uint64_t m_HighestKnown = 0;
+  BootTime m_HighestKnownSince{};
+  /// When this process detected that it is behind; empty if it is not.
   std::optional<BootTime> m_BehindSince;
-  /// At most one question of each kind is open.
-  bool m_PollOpen = false;
-  bool m_StoreFetchOpen = false;
-  bool m_PeerFetchOpen = false;
+  /// At most one call of each kind is pending.
+  bool m_PollPending = false;
+  bool m_StoreFetchPending = false;
+  bool m_PeerFetchPending = false;
   BootTime m_PollStarted{};
   BootTime m_NextPoll{};
   BootTime m_NextFetch{};
   bool m_StoreDown = false;
   std::optional<BootTime> m_LastContact;
-  std::optional<follower::StopReason> m_Stopped =
+  std::optional<follower::StopReason> m_StopReason =
       follower::StopReason::NoConfiguration;
 };
 
--- a/Libraries/LibConfig/ConfigRows.cpp
+++ b/Libraries/LibConfig/ConfigRows.cpp
@@ -30,41 +30,41 @@
   return "config/operation/" + std::string(OperationId);
 }
 
-static std::string dumped(const Json &Value) {
+static std::string serialize(const Json &Value) {
   return Value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 std::string encodeHead(uint64_t Revision) {
-  return dumped({{"revision", Revision}});
+  return serialize({{"revision", Revision}});
 }
 
-std::string encodeEntry(const Entry &Value) {
-  return dumped({{"kind", Value.Kind},
-                 {"name", Value.Name},
-                 {"version", Value.Version},
-                 {"revision", Value.Revision},
-                 {"withdrawn", Value.Withdrawn},
-                 {"record", Value.Text}});
+std::string encodeRecord(const StoredRecord &Value) {
+  return serialize({{"kind", Value.Kind},
+                    {"name", Value.Name},
+                    {"version", Value.Version},
+                    {"revision", Value.Revision},
+                    {"withdrawn", Value.Withdrawn},
+                    {"record", Value.Text}});
 }
 
 std::string encodeChange(std::string_view Kind, std::string_view Name) {
-  return dumped({{"kind", Kind}, {"name", Name}});
+  return serialize({{"kind", Kind}, {"name", Name}});
 }
 
 std::string encodeOperation(const OperationRow &Value) {
   Json Records = Json::array();
   for (const auto &[Kind, Name, Version] : Value.Records)
     Records.push_back({{"kind", Kind}, {"name", Name}, {"version", Version}});
-  return dumped({{"revision", Value.Revision},
-                 {"digest", Value.Digest},
-                 {"records", std::move(Records)}});
+  return serialize({{"revision", Value.Revision},
+                    {"digest", Value.Digest},
+                    {"records", std::move(Records)}});
 }
 
-template <typename Reader>
-static auto decoded(const platform::Row &Row, Reader Read)
-    -> Result<decltype(Read(Json()))> {
+template <typename Decoder>
+static auto decode(const platform::Row &Row, Decoder Decode)
+    -> Result<decltype(Decode(Json()))> {
   try {
-    return Read(Json::parse(Row.Value));
+    return Decode(Json::parse(Row.Value));
   } catch (const Json::exception &Exception) {
     return failure(ResultCode::Internal,
                    "row " + Row.Key + " is malformed: " + Exception.what());
@@ -74,59 +74,61 @@
 Result<uint64_t> decodeHead(const platform::Row &Row) {
   if (Row.Version == 0)
     return uint64_t(0);
-  return decoded(Row, [](const Json &Value) {
+  return decode(Row, [](const Json &Value) {
     return Value.at("revision").get<uint64_t>();
   });
 }
 
-/// Kind and name of config/record/<kind>/<name>.
-static std::pair<std::string, std::string> namesIn(const std::string &Key) {
-  auto Rest = Key.substr(std::min(RecordPrefix.size(), Key.size()));
-  auto Slash = Rest.find('/');
+/// Kind and name in config/record/<kind>/<name>.
+static std::pair<std::string, std::string>
+splitRecordKey(const std::string &Key) {
+  auto KindAndName = Key.substr(std::min(RecordPrefix.size(), Key.size()));
+  auto Slash = KindAndName.find('/');
   if (Slash == std::string::npos)
-    return {Rest, ""};
-  return {Rest.substr(0, Slash), Rest.substr(Slash + 1)};
+    return {KindAndName, ""};
+  return {KindAndName.substr(0, Slash), KindAndName.substr(Slash + 1)};
 }
 
-/// The record as submitted: its text, or JSON when something else wrote it.
-static std::string textIn(const Json &Value) {
+/// The record as submitted. It is stored as a string; a row written by another
+/// program may contain it as JSON.
+static std::string recordText(const Json &Value) {
   if (!Value.contains("record"))
     return "";
   const Json &Record = Value.at("record");
-  return Record.is_string() ? Record.get<std::string>() : dumped(Record);
+  return Record.is_string() ? Record.get<std::string>() : serialize(Record);
 }
 
-Result<Entry> decodeEntry(const platform::Row &Row) {
-  Entry Read;
-  std::tie(Read.Kind, Read.Name) = namesIn(Row.Key);
+Result<StoredRecord> decodeRecord(const platform::Row &Row) {
+  StoredRecord Decoded;
+  std::tie(Decoded.Kind, Decoded.Name) = splitRecordKey(Row.Key);
   if (Row.Version == 0)
-    return Read;
-  return decoded(Row, [&Read](const Json &Value) {
-    Read.Version = Value.at("version").get<uint64_t>();
-    Read.Revision = Value.at("revision").get<uint64_t>();
-    Read.Withdrawn = Value.value("withdrawn", false);
-    Read.Text = textIn(Value);
-    return Read;
+    return Decoded;
+  return decode(Row, [&Decoded](const Json &Value) {
+    Decoded.Version = Value.at("version").get<uint64_t>();
+    Decoded.Revision = Value.at("revision").get<uint64_t>();
+    Decoded.Withdrawn = Value.value("withdrawn", false);
+    Decoded.Text = recordText(Value);
+    return Decoded;
   });
 }
 
 Result<std::pair<std::string, std::string>>
 decodeChange(const platform::Row &Row) {
-  return decoded(Row, [](const Json &Value) {
+  return decode(Row, [](const Json &Value) {
     return std::pair(Value.at("kind").get<std::string>(),
                      Value.at("name").get<std::string>());
   });
 }
 
 Result<OperationRow> decodeOperation(const platform::Row &Row) {
-  return decoded(Row, [](const Json &Value) {
-    OperationRow Read;
-    Read.Revision = Value.at("revision").get<uint64_t>();
-    Read.Digest = Value.value("digest", "");
-    for (const Json &Each : Value.value("records", Json::array()))
-      Read.Records.push_back({Each.at("kind"), Each.at("name"),
-                              Each.at("version").get<uint64_t>()});
-    return Read;
+  return decode(Row, [](const Json &Value) {
+    OperationRow Decoded;
+    Decoded.Revision = Value.at("revision").get<uint64_t>();
+    Decoded.Digest = Value.value("digest", "");
+    for (const Json &Record : Value.value("records", Json::array()))
+      Decoded.Records.push_back({Record.at("kind"), Record.at("name"),
+                                 Record.at("version").get<uint64_t>()});
+    return Decoded;
   });
 }
 
--- a/Libraries/LibConfig/ConfigService.cpp
+++ b/Libraries/LibConfig/ConfigService.cpp
@@ -1,6 +1,6 @@
-//===- ConfigService.cpp - The configuration of a process -----------------===//
+//===- ConfigService.cpp - Configuration of a process ---------------------===//
 //
-// The thread, its queue of events, and the waiters for a revision.
+// The thread, its event queue, and the callers that wait for a revision.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 
 using namespace follower;
 
-/// How late a timer of the follower may be noticed.
+/// Maximum delay of the follower's timers.
 static constexpr std::chrono::milliseconds TickInterval{50};
 
 void ConfigService::Shared::post(Event Event) {
@@ -36,44 +36,44 @@
   }
   m_Shared->Changed.notify_one();
   m_Thread.join();
-  for (auto &[Revision, Waiting] : m_Shared->Waiters)
-    Waiting.Done(false);
+  for (auto &[Revision, Pending] : m_Shared->Waiters)
+    Pending.Done(false);
   m_Shared->Waiters.clear();
 }
 
 void ConfigService::push(Delta Changes) {
-  m_Shared->post(PushedByPeer{std::move(Changes)});
+  m_Shared->post(ChangesPushed{std::move(Changes)});
 }
 
-void ConfigService::committed(const ChangeOutcome &What) {
-  if (What.Changes.Head > 0)
-    push(What.Changes);
-  sawRevision(What.Revision);
+void ConfigService::onCommitted(const ChangeOutcome &Outcome) {
+  if (Outcome.Changes.Head > 0)
+    push(Outcome.Changes);
+  observeRevision(Outcome.Revision);
 }
 
-void ConfigService::sawRevision(uint64_t Revision) {
+void ConfigService::observeRevision(uint64_t Revision) {
   if (Revision > m_Shared->Revision)
-    return m_Shared->post(SeenRevision{Revision});
-  if (!m_Shared->PeerHeard.load(std::memory_order_relaxed))
-    m_Shared->PeerHeard = true;
+    return m_Shared->post(RevisionSeen{Revision});
+  if (!m_Shared->PeerAlive.load(std::memory_order_relaxed))
+    m_Shared->PeerAlive = true;
 }
 
 void ConfigService::whenReached(uint64_t Revision,
-                                std::chrono::milliseconds Limit,
+                                std::chrono::milliseconds Timeout,
                                 std::function<void(bool)> Done) {
-  sawRevision(Revision);
+  observeRevision(Revision);
   {
     std::lock_guard Lock(m_Shared->Mutex);
     if (m_Shared->Revision < Revision && !m_Shared->Stopped) {
       m_Shared->Waiters.emplace(
-          Revision, Waiter{BootClock::now() + Limit, std::move(Done)});
+          Revision, Waiter{BootClock::now() + Timeout, std::move(Done)});
       return;
     }
   }
   Done(m_Shared->Revision >= Revision);
 }
 
-std::deque<Event> ConfigService::nextEvents() {
+std::deque<Event> ConfigService::takeEvents() {
   std::unique_lock Lock(m_Shared->Mutex);
   m_Shared->Changed.wait_for(Lock, TickInterval, [this] {
     return m_Shared->Stopped || !m_Shared->Events.empty();
@@ -83,38 +83,38 @@
 
 void ConfigService::run() {
   while (true) {
-    auto Events = nextEvents();
+    auto Events = takeEvents();
     {
       std::lock_guard Lock(m_Shared->Mutex);
       if (m_Shared->Stopped)
         return;
     }
-    if (m_Shared->PeerHeard.exchange(false))
-      Events.push_back(PeerHeard{});
+    if (m_Shared->PeerAlive.exchange(false))
+      Events.push_back(PeerAlive{});
     Events.push_back(Tick{});
-    for (const Event &Each : Events)
-      for (const Action &What : m_Follower.step(Each, BootClock::now()))
-        perform(What);
-    releaseWaiters(BootClock::now());
+    for (const Event &Next : Events)
+      for (const Action &Action : m_Follower.step(Next, BootClock::now()))
+        perform(Action);
+    completeWaiters(BootClock::now());
   }
 }
 
-void ConfigService::perform(const Action &What) {
-  std::visit([this](const auto &Each) { on(Each); }, What);
+void ConfigService::perform(const Action &Action) {
+  std::visit([this](const auto &Alternative) { on(Alternative); }, Action);
 }
 
 void ConfigService::on(const PollHead &) {
   m_Source->readHead([Shared = m_Shared](Result<uint64_t> Head) {
     if (Head)
-      Shared->post(PolledHead{Head.value()});
+      Shared->post(HeadPolled{Head.value()});
     else
       Shared->post(StoreFailed{});
   });
 }
 
-void ConfigService::on(const FetchChanges &What) {
+void ConfigService::on(const FetchChanges &Action) {
   m_Source->fetchChanges(
-      What.After, [Shared = m_Shared](Result<Delta> Fetched) {
+      Action.After, [Shared = m_Shared](Result<Delta> Fetched) {
         if (Fetched)
           Shared->post(ChangesFetched{std::move(Fetched).value()});
         else
@@ -122,9 +122,9 @@
       });
 }
 
-void ConfigService::on(const FetchFromPeers &What) {
+void ConfigService::on(const FetchFromPeers &Action) {
   m_Source->fetchFromPeers(
-      What.After, What.AskAll, [Shared = m_Shared](Result<Delta> Fetched) {
+      Action.After, Action.AskAll, [Shared = m_Shared](Result<Delta> Fetched) {
         if (Fetched)
           Shared->post(PeersFetched{std::move(Fetched).value()});
         else
@@ -132,11 +132,11 @@
       });
 }
 
-void ConfigService::on(const Publish &What) {
-  m_Shared->Cell.publish(What.Next);
-  m_Shared->Revision = What.Next->revision();
+void ConfigService::on(const Publish &Action) {
+  m_Shared->Cell.publish(Action.Next);
+  m_Shared->Revision = Action.Next->revision();
   if (m_Callbacks.OnSnapshot)
-    m_Callbacks.OnSnapshot(What.Next);
+    m_Callbacks.OnSnapshot(Action.Next);
 }
 
 void ConfigService::on(const ResumeServing &) {
@@ -145,30 +145,30 @@
     m_Callbacks.OnServing(std::nullopt);
 }
 
-void ConfigService::on(const StopServing &What) {
+void ConfigService::on(const StopServing &Action) {
   m_Shared->Serving = false;
   if (m_Callbacks.OnServing)
-    m_Callbacks.OnServing(What.Reason);
+    m_Callbacks.OnServing(Action.Reason);
 }
 
-void ConfigService::releaseWaiters(BootTime Now) {
-  std::vector<std::pair<std::function<void(bool)>, bool>> Ready;
+void ConfigService::completeWaiters(BootTime Now) {
+  std::vector<std::pair<std::function<void(bool)>, bool>> Completed;
   {
     std::lock_guard Lock(m_Shared->Mutex);
-    uint64_t Reached = m_Shared->Revision;
+    uint64_t Revision = m_Shared->Revision;
     auto &Waiters = m_Shared->Waiters;
     for (auto Next = Waiters.begin(); Next != Waiters.end();) {
-      bool Good = Next->first <= Reached;
-      if (!Good && Now < Next->second.Until) {
+      bool IsReached = Next->first <= Revision;
+      if (!IsReached && Now < Next->second.Deadline) {
         ++Next;
         continue;
       }
-      Ready.emplace_back(std::move(Next->second.Done), Good);
+      Completed.emplace_back(std::move(Next->second.Done), IsReached);
       Next = Waiters.erase(Next);
     }
   }
-  for (auto &[Done, Good] : Ready)
-    Done(Good);
+  for (auto &[Done, IsReached] : Completed)
+    Done(IsReached);
 }
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/ConfigService.h
+++ b/Libraries/LibConfig/ConfigService.h
@@ -1,7 +1,7 @@
-//===- ConfigService.h - The configuration of a process ---------*- C++ -*-===//
+//===- ConfigService.h - Configuration of a process -------------*- C++ -*-===//
 //
-// The shell around ConfigFollower: one thread that feeds it events and time,
-// asks the ConfigSource and publishes snapshots.
+// Runs a ConfigFollower on one thread: feeds it events and time, performs its
+// reads at the ConfigSource and publishes snapshots.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,11 +24,11 @@
 
 namespace figlift::config {
 
-/// Called on the service's thread, in order; must not block for long.
+/// Called in sequence on the service's thread; must not block for long.
 struct ConfigCallbacks {
-  /// After the snapshot is in force. Push its diff to peers from here.
+  /// Called once the snapshot is in force; the diff can be pushed to peers.
   std::function<void(const SnapshotPointer &)> OnSnapshot;
-  /// Absent: new work may be taken. Otherwise why it must be refused.
+  /// Empty if new work may be accepted, otherwise why it must be rejected.
   std::function<void(std::optional<follower::StopReason>)> OnServing;
 };
 
@@ -36,42 +36,43 @@
 public:
   ConfigService(FollowerOptions Options, std::shared_ptr<ConfigSource> Source,
                 ConfigCallbacks Callbacks);
-  /// Ends the thread; answers of the source that are still out are ignored.
+  /// Stops the thread; later responses of the source are ignored.
   ~ConfigService();
 
-  /// The request path reads here.
+  /// For lock-free reads on the request path.
   const SnapshotCell &snapshots() const { return m_Shared->Cell; }
   SnapshotPointer current() const { return m_Shared->Cell.get(); }
   /// 0 before the first snapshot.
   uint64_t revision() const { return m_Shared->Revision; }
   bool serving() const { return m_Shared->Serving; }
 
-  /// Changes that a peer sent unasked (SyncUp).
+  /// Applies changes that a peer pushed (SyncUp).
   void push(Delta Changes);
-  /// This process has committed a change. It knows what it wrote, and takes it
-  /// from there: read back from the store, a change that was acknowledged right
-  /// before an outage was in force nowhere until the store returned.
-  void committed(const ChangeOutcome &What);
-  /// Of every message from another process; cheap when it is nothing new.
-  void sawRevision(uint64_t Revision);
+  /// Applies a change that this process has committed, without reading it back.
+  /// If it were read back, a change acknowledged right before an outage of the
+  /// store would not be in force anywhere until the store is available again.
+  void onCommitted(const ChangeOutcome &Outcome);
+  /// Called for the revision in every message from another process; cheap if it
+  /// is not newer.
+  void observeRevision(uint64_t Revision);
 
-  /// Calls \p Done once: true as soon as \p Revision is in force here, false
-  /// after \p Limit. For a message that carries a newer revision than this
-  /// process has: it waits here, then is served. Sets a fetch going.
-  void whenReached(uint64_t Revision, std::chrono::milliseconds Limit,
+  /// Calls \p Done once: with true as soon as \p Revision is in force here, or
+  /// with false after \p Timeout. Used to delay a message that carries a newer
+  /// revision than this process has. Triggers a fetch.
+  void whenReached(uint64_t Revision, std::chrono::milliseconds Timeout,
                    std::function<void(bool)> Done);
 
 private:
   struct Waiter {
-    BootTime Until;
+    BootTime Deadline;
     std::function<void(bool)> Done;
   };
-  /// Outlives the service while answers of the source are out.
+  /// Outlives the service while responses of the source are pending.
   struct Shared {
     SnapshotCell Cell;
     std::atomic<uint64_t> Revision = 0;
     std::atomic<bool> Serving = false;
-    std::atomic<bool> PeerHeard = false;
+    std::atomic<bool> PeerAlive = false;
 
     std::mutex Mutex;
     std::condition_variable Changed;
@@ -83,15 +84,15 @@
   };
 
   void run();
-  std::deque<follower::Event> nextEvents();
-  void perform(const follower::Action &What);
+  std::deque<follower::Event> takeEvents();
+  void perform(const follower::Action &Action);
   void on(const follower::PollHead &);
-  void on(const follower::FetchChanges &What);
-  void on(const follower::FetchFromPeers &What);
-  void on(const follower::Publish &What);
+  void on(const follower::FetchChanges &Action);
+  void on(const follower::FetchFromPeers &Action);
+  void on(const follower::Publish &Action);
   void on(const follower::ResumeServing &);
-  void on(const follower::StopServing &What);
-  void releaseWaiters(BootTime Now);
+  void on(const follower::StopServing &Action);
+  void completeWaiters(BootTime Now);
 
   const std::shared_ptr<Shared> m_Shared;
   const std::shared_ptr<ConfigSource> m_Source;
--- a/Libraries/LibConfig/ConfigSource.cpp
+++ b/Libraries/LibConfig/ConfigSource.cpp
@@ -1,8 +1,8 @@
-//===- ConfigSource.cpp - Where the configuration comes from --------------===//
+//===- ConfigSource.cpp - Sources of the configuration --------------------===//
 //
-// Reading the changes of a range of revisions consistently: the head is read
-// first, and when a record turns out to be newer than it, all is read again.
-// Otherwise every record that was read is the state at that head.
+// The changes of a range of revisions are read consistently: the head is read
+// first, and if any record is newer than the head, everything is read again.
+// Otherwise every record is in its state at that head.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,14 +20,14 @@
 
 namespace {
 
-/// Rows of one page of a range.
+/// Number of rows read per page of a range.
 constexpr size_t PageRows = 256;
-/// Beyond this many changes all records are read instead.
-constexpr uint64_t MaximumSteps = 32;
-/// Reads that met a change in their midst before the fetch gives up.
+/// If more changes than this are missing, all records are read instead.
+constexpr uint64_t MaximumIncrementalChanges = 32;
+/// Number of inconsistent reads after which the fetch fails.
 constexpr unsigned MaximumAttempts = 5;
 
-/// One fetch; keeps itself alive until its answer.
+/// One fetch; keeps itself alive until it completes.
 class TableFetch : public std::enable_shared_from_this<TableFetch> {
 public:
   TableFetch(Table &Table, uint64_t After, Callback<Delta> Done)
@@ -36,7 +36,7 @@
   void start() {
     ++m_Attempts;
     m_Result = {};
-    m_Wanted.clear();
+    m_PendingKeys.clear();
     m_Table.read(std::string(HeadKey),
                  [Self = shared_from_this()](Result<Row> Head) {
                    Self->onHead(std::move(Head));
@@ -54,7 +54,7 @@
     m_Result.Head = Revision.value();
     if (m_Result.Head <= m_After)
       return m_Done(std::move(m_Result));
-    if (m_After == 0 || m_Result.Head - m_After > MaximumSteps)
+    if (m_After == 0 || m_Result.Head - m_After > MaximumIncrementalChanges)
       return readEverything(std::string());
     readChanges();
   }
@@ -71,8 +71,8 @@
   void onPage(Result<std::vector<Row>> Page) {
     if (!Page)
       return m_Done(outcome::failure(Page.error()));
-    for (const Row &Each : Page.value())
-      if (!take(Each))
+    for (const Row &Record : Page.value())
+      if (!addRecord(Record))
         return;
     if (Page.value().size() < PageRows)
       return finish();
@@ -87,52 +87,53 @@
         });
   }
 
-  /// Change rows are removed when they are old: fewer than expected means
-  /// that the range has a gap, and only a full read closes it.
+  /// Old change rows are removed. If fewer rows than expected are found, the
+  /// range has a gap and all records must be read.
   void onChanges(Result<std::vector<Row>> Changes) {
     if (!Changes)
       return m_Done(outcome::failure(Changes.error()));
     if (Changes.value().size() < m_Result.Head - m_After)
       return readEverything(std::string());
-    for (const Row &Each : Changes.value()) {
-      auto Names = decodeChange(Each);
+    for (const Row &Change : Changes.value()) {
+      auto Names = decodeChange(Change);
       if (!Names)
         return m_Done(outcome::failure(Names.error()));
-      m_Wanted.insert(recordKey(Names.value().first, Names.value().second));
+      m_PendingKeys.insert(
+          recordKey(Names.value().first, Names.value().second));
     }
     readNextRecord();
   }
 
   void readNextRecord() {
-    if (m_Wanted.empty())
+    if (m_PendingKeys.empty())
       return finish();
-    std::string Key = *m_Wanted.begin();
-    m_Wanted.erase(m_Wanted.begin());
+    std::string Key = *m_PendingKeys.begin();
+    m_PendingKeys.erase(m_PendingKeys.begin());
     m_Table.read(std::move(Key),
                  [Self = shared_from_this()](Result<Row> Record) {
                    if (!Record)
                      return Self->m_Done(outcome::failure(Record.error()));
-                   if (Self->take(Record.value()))
+                   if (Self->addRecord(Record.value()))
                      Self->readNextRecord();
                  });
   }
 
-  /// False when the fetch has ended with an error.
-  bool take(const Row &Record) {
-    auto Read = decodeEntry(Record);
+  /// Returns false if the fetch has failed.
+  bool addRecord(const Row &Record) {
+    auto Read = decodeRecord(Record);
     if (!Read) {
       m_Done(outcome::failure(Read.error()));
       return false;
     }
-    m_Result.Entries.push_back(std::move(Read).value());
+    m_Result.Records.push_back(std::move(Read).value());
     return true;
   }
 
   void finish() {
-    bool Moved = false;
-    for (const Entry &Each : m_Result.Entries)
-      Moved |= Each.Revision > m_Result.Head;
-    if (!Moved)
+    bool IsInconsistent = false;
+    for (const StoredRecord &Record : m_Result.Records)
+      IsInconsistent |= Record.Revision > m_Result.Head;
+    if (!IsInconsistent)
       return m_Done(std::move(m_Result));
     if (m_Attempts >= MaximumAttempts)
       return m_Done(failure(ResultCode::StoreConflict,
@@ -145,7 +146,7 @@
   const Callback<Delta> m_Done;
   unsigned m_Attempts = 0;
   Delta m_Result;
-  std::set<std::string> m_Wanted;
+  std::set<std::string> m_PendingKeys;
 };
 
 class TableSource : public ConfigSource {
@@ -179,10 +180,10 @@
   explicit PeerSource(PeerFetcher Peers) : m_Peers(std::move(Peers)) {}
 
   void readHead(Callback<uint64_t> Done) override {
-    Done(failure(ResultCode::StoreUnavailable, "agents do not ask the table"));
+    Done(failure(ResultCode::StoreUnavailable, "agents do not read the table"));
   }
   void fetchChanges(uint64_t, Callback<Delta> Done) override {
-    Done(failure(ResultCode::StoreUnavailable, "agents do not ask the table"));
+    Done(failure(ResultCode::StoreUnavailable, "agents do not read the table"));
   }
   void fetchFromPeers(uint64_t After, bool AskAll,
                       Callback<Delta> Done) override {
--- a/Libraries/LibConfig/ConfigSource.h
+++ b/Libraries/LibConfig/ConfigSource.h
@@ -1,7 +1,7 @@
-//===- ConfigSource.h - Where the configuration comes from ------*- C++ -*-===//
+//===- ConfigSource.h - Sources of the configuration ------------*- C++ -*-===//
 //
-// The questions that a ConfigFollower asks, as an interface: entries ask the
-// table and their peers, agents their peers alone, tests a fake.
+// Interface through which a ConfigFollower reads. Entries read from the table
+// and from peers, agents from peers only.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,28 +15,31 @@
 
 namespace figlift::config {
 
-/// Every callback is called exactly once, on any thread, in bounded time.
+/// Every callback is called exactly once, on any thread, within a timeout.
 class ConfigSource {
 public:
   virtual ~ConfigSource() = default;
   virtual void readHead(platform::Callback<uint64_t> Done) = 0;
-  /// All changes after the revision; after 0 the whole configuration.
+  /// All changes after the revision; the whole configuration if it is 0.
   virtual void fetchChanges(uint64_t After, platform::Callback<Delta> Done) = 0;
-  /// Changes after the revision from a peer that has them, or from the peer
-  /// with the newest revision after all reachable ones were asked.
+  /// Changes after the revision, from the first peer that has them. With
+  /// \p AskAll, queries all reachable peers and returns the changes of the peer
+  /// with the newest revision.
   virtual void fetchFromPeers(uint64_t After, bool AskAll,
                               platform::Callback<Delta> Done) = 0;
 };
 
-/// Asks peers over the streams of the process; see ConfigSource.
+/// Fetches from peers over the streams of the process; see
+/// ConfigSource::fetchFromPeers().
 using PeerFetcher = std::function<void(uint64_t After, bool AskAll,
                                        platform::Callback<Delta> Done)>;
 
-/// The table and the peers. \p Table must outlive the source and its calls.
+/// Reads from the table and from peers. \p Table must outlive the source and
+/// its calls.
 std::shared_ptr<ConfigSource> makeTableSource(platform::Table &Table,
                                               PeerFetcher Peers);
 
-/// The peers alone; for agents, which never ask the table.
+/// Reads from peers only; for agents, which never read the table.
 std::shared_ptr<ConfigSource> makePeerSource(PeerFetcher Peers);
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/ConfigWriter.cpp
+++ b/Libraries/LibConfig/ConfigWriter.cpp
@@ -1,8 +1,8 @@
-//===- ConfigWriter.cpp - One change of the configuration -----------------===//
+//===- ConfigWriter.cpp - Applies a configuration change ------------------===//
 //
-// The transitions. Rows are read head first and operation last: when the head
-// has moved on and the operation row, read after it, is absent, then a commit
-// that demanded the old head can't take effect any more.
+// State transitions. The head row is read first and the operation row last: if
+// the head has changed and the operation row, read afterwards, is absent, a
+// commit that expected the old head can no longer take effect.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,15 +19,16 @@
 using namespace writer;
 
 std::string digestOf(const ChangeRequest &Request) {
-  std::string All;
+  std::string Canonical;
   for (const auto &[Kind, Name, Text, Withdraw] : Request.Changes)
-    All += Kind + '\n' + Name + '\n' + (Withdraw ? "-" : "+") + Text + '\0';
+    Canonical +=
+        Kind + '\n' + Name + '\n' + (Withdraw ? "-" : "+") + Text + '\0';
   if (Request.IfVersion)
-    All += std::to_string(*Request.IfVersion);
+    Canonical += std::to_string(*Request.IfVersion);
   char Digits[17];
-  std::snprintf(
-      Digits, sizeof Digits, "%016llx",
-      static_cast<unsigned long long>(XXH64(All.data(), All.size(), 0)));
+  std::snprintf(Digits, sizeof Digits, "%016llx",
+                static_cast<unsigned long long>(
+                    XXH64(Canonical.data(), Canonical.size(), 0)));
   return Digits;
 }
 
@@ -38,7 +39,8 @@
 std::vector<Action> ConfigWriter::step(const Event &Event, BootTime) {
   if (m_State == State::Done)
     return {};
-  return std::visit([this](const auto &What) { return on(What); }, Event);
+  return std::visit([this](const auto &Alternative) { return on(Alternative); },
+                    Event);
 }
 
 std::vector<Action> ConfigWriter::on(const Begin &) {
@@ -49,16 +51,16 @@
 
 std::vector<Action> ConfigWriter::read(std::chrono::milliseconds Delay) {
   m_State = State::Reading;
-  ReadRows What{{std::string(HeadKey)}, Delay};
-  for (const Change &Each : m_Request.Changes)
-    What.Keys.push_back(recordKey(Each.Kind, Each.Name));
-  What.Keys.push_back(operationKey(m_Request.OperationId));
-  return {std::move(What)};
+  ReadRows Read{{std::string(HeadKey)}, Delay};
+  for (const Change &Requested : m_Request.Changes)
+    Read.Keys.push_back(recordKey(Requested.Kind, Requested.Name));
+  Read.Keys.push_back(operationKey(m_Request.OperationId));
+  return {std::move(Read)};
 }
 
-std::vector<Action> ConfigWriter::readAgain(Error WhenSpent) {
+std::vector<Action> ConfigWriter::retryRead(Error ErrorIfExhausted) {
   if (m_Retries >= m_Options.MaximumRetries)
-    return finishBecause(std::move(WhenSpent));
+    return finishWithError(std::move(ErrorIfExhausted));
   auto Delay = m_Options.FirstDelay * (1u << std::min(m_Retries, 10u));
   ++m_Retries;
   return read(
@@ -70,50 +72,51 @@
   return {Finish{std::move(Outcome)}};
 }
 
-/// While a commit without answer may still take effect, no failure may be
-/// reported that claims that nothing was written.
-std::vector<Action> ConfigWriter::finishBecause(Error Why) {
-  if (m_PendingHead)
-    Why = {ResultCode::StoreOutcomeUnknown,
-           "the change may have been made: send it again with the same "
-           "operation id (" +
-               Why.Message + ")",
-           {},
-           std::nullopt};
-  return finish(outcome::failure(std::move(Why)));
+/// While a commit without a response may still take effect, no error may be
+/// reported that states that nothing was written.
+std::vector<Action> ConfigWriter::finishWithError(Error Cause) {
+  if (m_UnresolvedHeadVersion)
+    Cause = {ResultCode::StoreOutcomeUnknown,
+             "the change may have taken effect; retry with the same "
+             "operation id (" +
+                 Cause.Message + ")",
+             {},
+             std::nullopt};
+  return finish(outcome::failure(std::move(Cause)));
 }
 
 std::vector<Action> ConfigWriter::on(const ReadFailed &) {
   if (m_State != State::Reading)
     return {};
-  Error Why{ResultCode::StoreUnavailable, "the table can't be read", {}, {}};
-  if (!m_PendingHead)
-    return finishBecause(std::move(Why));
-  return readAgain(std::move(Why));
+  Error Cause{ResultCode::StoreUnavailable, "the table cannot be read", {}, {}};
+  if (!m_UnresolvedHeadVersion)
+    return finishWithError(std::move(Cause));
+  return retryRead(std::move(Cause));
 }
 
-/// Conflicts with others' changes and withdrawals of what is not there.
-Result<void> ConfigWriter::check(const std::vector<Entry> &Found) {
+/// Detects conflicting changes, and withdrawals of records that do not exist.
+Result<void>
+ConfigWriter::checkVersions(const std::vector<StoredRecord> &Records) {
   std::vector<uint64_t> Versions;
-  Versions.reserve(Found.size());
-  for (const Entry &Each : Found)
-    Versions.push_back(Each.Version);
+  Versions.reserve(Records.size());
+  for (const StoredRecord &Record : Records)
+    Versions.push_back(Record.Version);
   if (!m_FirstVersions)
     m_FirstVersions = Versions;
-  for (size_t Index = 0; Index < Found.size(); ++Index) {
-    const Entry &Now = Found[Index];
+  for (size_t Index = 0; Index < Records.size(); ++Index) {
+    const StoredRecord &Current = Records[Index];
     uint64_t Expected = m_Request.IfVersion.value_or((*m_FirstVersions)[Index]);
-    if (Now.Version != Expected)
+    if (Current.Version != Expected)
       return failure(ResultCode::RecordVersionConflict,
-                     Now.Kind + " " + Now.Name + " has version " +
-                         std::to_string(Now.Version) + ", expected " +
+                     Current.Kind + " " + Current.Name + " has version " +
+                         std::to_string(Current.Version) + ", expected " +
                          std::to_string(Expected),
-                     Now.Kind + "/" + Now.Name);
-    bool Absent = Now.Version == 0 || Now.Withdrawn;
+                     Current.Kind + "/" + Current.Name);
+    bool Absent = Current.Version == 0 || Current.Withdrawn;
     if (m_Request.Changes[Index].Withdraw && Absent)
       return failure(ResultCode::RecordNotFound,
-                     "there is no " + Now.Kind + " " + Now.Name,
-                     Now.Kind + "/" + Now.Name);
+                     "there is no " + Current.Kind + " " + Current.Name,
+                     Current.Kind + "/" + Current.Name);
   }
   return success();
 }
@@ -127,94 +130,95 @@
   if (Operation.Version != 0) {
     auto Applied = decodeOperation(Operation);
     if (!Applied)
-      return finishBecause(Applied.error());
+      return finishWithError(Applied.error());
     if (Applied.value().Digest != m_Digest)
-      return finish(failure(ResultCode::KeyReusedForOtherRequest,
-                            "the operation id was used for another change",
-                            "operationId"));
-    // The commit whose answer was lost is the one that was proposed.
+      return finish(
+          failure(ResultCode::KeyReusedForOtherRequest,
+                  "the operation id was already used for a different change",
+                  "operationId"));
+    // The operation was applied by the commit whose response was lost.
     if (Applied.value().Revision == m_Proposed.Revision)
       return finish(m_Proposed);
     return finish(
         ChangeOutcome{Applied.value().Revision, Applied.value().Records, {}});
   }
-  if (m_PendingHead && Head.Version > *m_PendingHead)
-    m_PendingHead.reset();
+  if (m_UnresolvedHeadVersion && Head.Version > *m_UnresolvedHeadVersion)
+    m_UnresolvedHeadVersion.reset();
 
   auto Revision = decodeHead(Head);
   if (!Revision)
-    return finishBecause(Revision.error());
-  std::vector<Entry> Found;
+    return finishWithError(Revision.error());
+  std::vector<StoredRecord> Records;
   for (size_t Index = 1; Index + 1 < Rows.size(); ++Index) {
-    auto Read = decodeEntry(Rows[Index]);
+    auto Read = decodeRecord(Rows[Index]);
     if (!Read)
-      return finishBecause(Read.error());
-    Found.push_back(std::move(Read).value());
+      return finishWithError(Read.error());
+    Records.push_back(std::move(Read).value());
   }
-  if (auto Allowed = check(Found); !Allowed)
-    return finishBecause(Allowed.error());
+  if (auto Allowed = checkVersions(Records); !Allowed)
+    return finishWithError(Allowed.error());
   m_State = State::Committing;
-  m_DemandedHead = Head.Version;
-  return {Commit{transaction(Head, Revision.value(), Rows, Found)}};
+  m_ExpectedHeadVersion = Head.Version;
+  return {Commit{transaction(Head, Revision.value(), Rows, Records)}};
 }
 
 platform::Transaction
 ConfigWriter::transaction(const platform::Row &Head, uint64_t Revision,
                           const std::vector<platform::Row> &Rows,
-                          const std::vector<Entry> &Found) {
-  platform::Transaction What;
-  OperationRow Done;
-  Done.Digest = m_Digest;
+                          const std::vector<StoredRecord> &Records) {
+  platform::Transaction Transaction;
+  OperationRow Operation;
+  Operation.Digest = m_Digest;
   m_Proposed.Changes = {Revision, 0, false, {}};
-  for (size_t Index = 0; Index < Found.size(); ++Index) {
-    const Change &Wanted = m_Request.Changes[Index];
+  for (size_t Index = 0; Index < Records.size(); ++Index) {
+    const Change &Requested = m_Request.Changes[Index];
     const platform::Row &Row = Rows[Index + 1];
-    Entry Next = Found[Index];
+    StoredRecord Next = Records[Index];
     ++Next.Version;
     Next.Revision = ++Revision;
-    Next.Withdrawn = Wanted.Withdraw;
-    if (!Wanted.Withdraw)
-      Next.Text = Wanted.Text;
-    What.Conditions.push_back({Row.Key, Row.Version});
-    What.Writes.push_back({Row.Key, encodeEntry(Next)});
-    What.Writes.push_back(
+    Next.Withdrawn = Requested.Withdraw;
+    if (!Requested.Withdraw)
+      Next.Text = Requested.Text;
+    Transaction.Conditions.push_back({Row.Key, Row.Version});
+    Transaction.Writes.push_back({Row.Key, encodeRecord(Next)});
+    Transaction.Writes.push_back(
         {changeKey(Revision), encodeChange(Next.Kind, Next.Name)});
     if (Revision > m_Options.ChangesKept)
-      What.Writes.push_back(
+      Transaction.Writes.push_back(
           {changeKey(Revision - m_Options.ChangesKept), std::nullopt});
-    Done.Records.push_back({Next.Kind, Next.Name, Next.Version});
-    m_Proposed.Changes.Entries.push_back(std::move(Next));
+    Operation.Records.push_back({Next.Kind, Next.Name, Next.Version});
+    m_Proposed.Changes.Records.push_back(std::move(Next));
   }
-  Done.Revision = Revision;
+  Operation.Revision = Revision;
   m_Proposed.Changes.Head = Revision;
   m_Proposed.Revision = Revision;
-  m_Proposed.Records = Done.Records;
-  std::string Operation = operationKey(m_Request.OperationId);
-  What.Conditions.push_back({Head.Key, Head.Version});
-  What.Conditions.push_back({Operation, 0});
-  What.Writes.push_back({Head.Key, encodeHead(Revision)});
-  What.Writes.push_back({Operation, encodeOperation(Done)});
-  return What;
+  m_Proposed.Records = Operation.Records;
+  std::string Key = operationKey(m_Request.OperationId);
+  Transaction.Conditions.push_back({Head.Key, Head.Version});
+  Transaction.Conditions.push_back({Key, 0});
+  Transaction.Writes.push_back({Head.Key, encodeHead(Revision)});
+  Transaction.Writes.push_back({Key, encodeOperation(Operation)});
+  return Transaction;
 }
 
 std::vector<Action> ConfigWriter::on(const Committed &Event) {
   if (m_State != State::Committing)
     return {};
-  Error Why{Event.Code, Event.Message, {}, std::nullopt};
+  Error Cause{Event.Code, Event.Message, {}, std::nullopt};
   switch (Event.Code) {
   case ResultCode::Success:
     return finish(m_Proposed);
   case ResultCode::StoreOutcomeUnknown:
-    m_PendingHead = m_DemandedHead;
-    return readAgain(std::move(Why));
+    m_UnresolvedHeadVersion = m_ExpectedHeadVersion;
+    return retryRead(std::move(Cause));
   case ResultCode::StoreConflict:
-    return readAgain({ResultCode::StoreConflict,
-                      "too many other changes at the same time",
+    return retryRead({ResultCode::StoreConflict,
+                      "too many concurrent changes",
                       {},
                       std::chrono::milliseconds(200)});
   default:
-    return m_PendingHead ? readAgain(std::move(Why))
-                         : finishBecause(std::move(Why));
+    return m_UnresolvedHeadVersion ? retryRead(std::move(Cause))
+                                   : finishWithError(std::move(Cause));
   }
 }
 
--- a/Libraries/LibConfig/ConfigWriter.h
+++ b/Libraries/LibConfig/ConfigWriter.h
@@ -1,15 +1,16 @@
-//===- ConfigWriter.h - One change of the configuration ---------*- C++ -*-===//
+//===- ConfigWriter.h - Applies a configuration change ----------*- C++ -*-===//
 //
-// The state machine that applies an operator's change: read, commit one
-// transaction, and after a lost answer read back before anything is said.
+// State machine that applies an operator's change: it reads the rows, commits
+// one transaction, and after a lost response reads the rows again before it
+// reports an outcome.
 //
 //   Idle --Begin--> Reading --RowsRead--> Committing --Committed--> Done
 //                      ^  \--ReadFailed--> Reading or Done  |
 //                      \------- conflict, unknown ----------/
 //
-// Safety rests on the operation row: every transaction creates it and demands
-// that it is absent, so however often and through whichever entry the same
-// operation is sent, it takes effect at most once.
+// Every transaction creates the operation row on the condition that it does not
+// exist. An operation therefore takes effect at most once, regardless of how
+// often and through which entries it is sent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,60 +29,60 @@
 
 namespace figlift::config {
 
-/// One record to be written or withdrawn.
+/// A record to be written or withdrawn.
 struct Change {
   std::string Kind;
   std::string Name;
-  /// The original text; not used when withdrawing.
+  /// The original text; unused for a withdrawal.
   std::string Text;
   bool Withdraw = false;
 };
 
-/// All changes take effect together, or none.
+/// All changes take effect atomically.
 struct ChangeRequest {
   std::string OperationId;
   std::vector<Change> Changes;
-  /// The record must have this version (0: must not exist). Only with a single
-  /// change.
+  /// Expected version of the record (0: must not exist). Allowed only with a
+  /// single change.
   std::optional<uint64_t> IfVersion;
 };
 
-/// Digest of a request without its operation id.
+/// Digest of a request, not including its operation id.
 std::string digestOf(const ChangeRequest &Request);
 
 struct ChangeOutcome {
-  /// The change is in force where this revision is.
+  /// Revision that contains the change.
   uint64_t Revision = 0;
   std::vector<ChangedRecord> Records;
-  /// The change itself, for those who were at the revision before. Empty, with
-  /// a Head of 0, for an operation that was found done: what it changed is
-  /// known by its revision only.
+  /// The change as a delta from the previous revision. Empty, with a Head of 0,
+  /// if the operation had already been applied, because only its revision is
+  /// known then.
   Delta Changes = {};
 };
 
 namespace writer {
 
 struct Begin {};
-/// In the order of ReadRows::Keys.
+/// The rows in the sequence of ReadRows::Keys.
 struct RowsRead {
   std::vector<platform::Row> Rows;
 };
 struct ReadFailed {};
-/// How the commit ended: Success, StoreConflict, StoreUnavailable,
-/// StoreOutcomeUnknown or another failure.
+/// Result of the commit: Success, StoreConflict, StoreUnavailable,
+/// StoreOutcomeUnknown or another error.
 struct Committed {
   ResultCode Code = ResultCode::Success;
   std::string Message;
 };
 using Event = std::variant<Begin, RowsRead, ReadFailed, Committed>;
 
-/// Read these rows one after the other, in this order, after the delay.
+/// After the delay, reads these rows one after the other in this sequence.
 struct ReadRows {
   std::vector<std::string> Keys;
   std::chrono::milliseconds Delay{0};
 };
 struct Commit {
-  platform::Transaction What;
+  platform::Transaction Transaction;
 };
 /// The last action.
 struct Finish {
@@ -92,12 +93,12 @@
 } // namespace writer
 
 struct WriterOptions {
-  /// Reads after the first, for conflicts and lost answers together.
+  /// Reads after the first, for conflicts and lost responses combined.
   unsigned MaximumRetries = 8;
   std::chrono::milliseconds FirstDelay{10};
   std::chrono::milliseconds MaximumDelay{500};
-  /// Change rows kept for those who are behind; older ones are removed by the
-  /// transaction that goes beyond, and who needs them reads everything.
+  /// Number of change rows kept for processes that are behind. Each transaction
+  /// removes older rows; a process that needs those reads all records.
   uint64_t ChangesKept = 1000;
 };
 
@@ -120,30 +121,30 @@
   Actions on(const writer::Committed &Event);
 
   Actions read(std::chrono::milliseconds Delay);
-  Actions readAgain(Error WhenSpent);
+  Actions retryRead(Error ErrorIfExhausted);
   Actions finish(Result<ChangeOutcome> Outcome);
-  Actions finishBecause(Error Why);
-  Result<void> check(const std::vector<Entry> &Found);
+  Actions finishWithError(Error Cause);
+  Result<void> checkVersions(const std::vector<StoredRecord> &Records);
   platform::Transaction transaction(const platform::Row &Head,
                                     uint64_t Revision,
                                     const std::vector<platform::Row> &Rows,
-                                    const std::vector<Entry> &Found);
+                                    const std::vector<StoredRecord> &Records);
 
   const ChangeRequest m_Request;
   const WriterOptions m_Options;
   const std::string m_Digest;
   State m_State = State::Idle;
   unsigned m_Retries = 0;
-  /// Versions of the records as first read. Another version later means that
-  /// another operator changed the record meanwhile.
+  /// Versions of the records at the first read. A different version at a later
+  /// read means that another operator has changed the record.
   std::optional<std::vector<uint64_t>> m_FirstVersions;
-  /// What the last commit will have done when it takes effect.
+  /// Outcome of the last commit if it takes effect.
   ChangeOutcome m_Proposed;
-  /// Version of the head row that the last commit demanded.
-  uint64_t m_DemandedHead = 0;
-  /// A commit without answer may still take effect while the head row has this
-  /// version and the operation row is absent.
-  std::optional<uint64_t> m_PendingHead;
+  /// Version of the head row that the last commit expected.
+  uint64_t m_ExpectedHeadVersion = 0;
+  /// A commit without a response may still take effect while the head row has
+  /// this version and the operation row is absent.
+  std::optional<uint64_t> m_UnresolvedHeadVersion;
 };
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/Delta.h
+++ b/Libraries/LibConfig/Delta.h
@@ -1,7 +1,7 @@
 //===- Delta.h - Changes of the configuration -------------------*- C++ -*-===//
 //
-// What processes tell each other about the configuration: all records, or
-// those that changed after a revision.
+// Unit in which processes exchange the configuration: all records, or those
+// that changed after a revision.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,30 +13,30 @@
 
 namespace figlift::config {
 
-/// The stored state of one record. A withdrawn record stays as an entry, so
-/// that whoever is behind learns of the withdrawal.
-struct Entry {
+/// The stored state of one record. A withdrawn record is kept as a tombstone,
+/// so that processes that are behind receive the withdrawal.
+struct StoredRecord {
   std::string Kind;
   std::string Name;
-  /// Count of the changes of this record, from 1.
+  /// Number of changes of this record, starting at 1.
   uint64_t Version = 0;
-  /// Revision of the configuration that wrote it.
+  /// Revision of the configuration that wrote this state.
   uint64_t Revision = 0;
   bool Withdrawn = false;
-  /// As submitted, comments included.
+  /// The text as submitted, including comments.
   std::string Text;
 
-  bool operator==(const Entry &) const = default;
+  bool operator==(const StoredRecord &) const = default;
 };
 
 struct Delta {
-  /// The entries are all that changed after this revision...
+  /// Records contains all changes after this revision.
   uint64_t Base = 0;
-  /// ...up to and including this one.
+  /// Last revision that Records includes.
   uint64_t Head = 0;
-  /// The entries are the whole configuration; Base means nothing.
+  /// Records is the whole configuration, and Base is unused.
   bool Full = false;
-  std::vector<Entry> Entries;
+  std::vector<StoredRecord> Records;
 };
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/OperatorClient.cpp
+++ b/Libraries/LibConfig/OperatorClient.cpp
@@ -1,6 +1,6 @@
-//===- OperatorClient.cpp - Talks to the operator API ---------------------===//
+//===- OperatorClient.cpp - Client of the operator API --------------------===//
 //
-// What each kind of answer means for a write.
+// Classifies the responses to a write.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,86 +23,86 @@
 OperatorClient::OperatorClient(OperatorClientOptions Options)
     : m_Options(std::move(Options)) {
   for (const Endpoint &Entry : m_Options.Entries) {
-    platform::HttpCallOptions Each;
-    Each.Server = Entry;
-    Each.Timeout = m_Options.Timeout;
-    m_Calls.push_back(std::make_shared<HttpCalls>(Each));
+    platform::HttpCallOptions CallOptions;
+    CallOptions.Server = Entry;
+    CallOptions.Timeout = m_Options.Timeout;
+    m_Calls.push_back(std::make_shared<HttpCalls>(CallOptions));
   }
 }
 
 OperatorClient::~OperatorClient() {
-  for (auto &Each : m_Calls)
-    Each->stop();
+  for (auto &Calls : m_Calls)
+    Calls->stop();
 }
 
-HttpOutcome OperatorClient::ask(size_t Entry, HttpQuestion Question) {
+HttpOutcome OperatorClient::send(size_t Entry, HttpQuestion Request) {
   std::promise<HttpOutcome> Promise;
-  m_Calls[Entry]->submit(std::move(Question), [&Promise](HttpOutcome Outcome) {
+  m_Calls[Entry]->submit(std::move(Request), [&Promise](HttpOutcome Outcome) {
     Promise.set_value(std::move(Outcome));
   });
   return Promise.get_future().get();
 }
 
-/// The error in a problem answer.
-static Error problemOf(const HttpAnswer &Answer) {
-  auto Body = nlohmann::json::parse(Answer.Body, nullptr, false);
-  Error Why{ResultCode::Internal,
-            "status " + std::to_string(Answer.Status),
-            {},
-            Answer.RetryAfter};
+/// The error in a problem response.
+static Error errorOf(const HttpAnswer &Response) {
+  auto Body = nlohmann::json::parse(Response.Body, nullptr, false);
+  Error Parsed{ResultCode::Internal,
+               "status " + std::to_string(Response.Status),
+               {},
+               Response.RetryAfter};
   if (!Body.is_object())
-    return Why;
+    return Parsed;
   if (auto Code = Body.find("code");
       Code != Body.end() && Code->is_number_integer())
-    Why.Code =
+    Parsed.Code =
         resultCodeFromNumber(Code->get<int>()).value_or(ResultCode::Internal);
   if (auto Text = Body.find("detail"); Text != Body.end() && Text->is_string())
-    Why.Message = Text->get<std::string>();
+    Parsed.Message = Text->get<std::string>();
   if (auto Field = Body.find("field");
       Field != Body.end() && Field->is_string())
-    Why.Field = Field->get<std::string>();
-  return Why;
+    Parsed.Field = Field->get<std::string>();
+  return Parsed;
 }
 
 static Result<std::string> bodyOf(HttpOutcome Outcome) {
   if (auto *Failure = std::get_if<HttpFailure>(&Outcome))
     return failure(ResultCode::PeerUnreachable, std::move(Failure->Message));
-  auto &Answer = std::get<HttpAnswer>(Outcome);
-  if (Answer.Status == 200)
-    return std::move(Answer.Body);
-  return outcome::failure(problemOf(Answer));
+  auto &Response = std::get<HttpAnswer>(Outcome);
+  if (Response.Status == 200)
+    return std::move(Response.Body);
+  return outcome::failure(errorOf(Response));
 }
 
 Result<std::string> OperatorClient::read(const std::string &Path) {
   Result<std::string> Last =
       failure(ResultCode::PeerUnreachable, "no entry was given");
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
-    Last = bodyOf(ask(Entry, {HttpVerb::Get, Path, {}}));
+    Last = bodyOf(send(Entry, {HttpVerb::Get, Path, {}}));
     if (Last || Last.error().Code == ResultCode::RecordNotFound)
       return Last;
   }
   return Last;
 }
 
-std::vector<EntryAnswer> OperatorClient::readAll(const std::string &Path) {
-  std::vector<std::future<HttpOutcome>> Asked;
+std::vector<EntryResponse> OperatorClient::readAll(const std::string &Path) {
+  std::vector<std::future<HttpOutcome>> Pending;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry)
-    Asked.push_back(std::async(std::launch::async, [this, Entry, &Path] {
-      return ask(Entry, {HttpVerb::Get, Path, {}});
+    Pending.push_back(std::async(std::launch::async, [this, Entry, &Path] {
+      return send(Entry, {HttpVerb::Get, Path, {}});
     }));
-  std::vector<EntryAnswer> Answers;
+  std::vector<EntryResponse> Responses;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
-    HttpOutcome Outcome = Asked[Entry].get();
+    HttpOutcome Outcome = Pending[Entry].get();
     const auto *Failure = std::get_if<HttpFailure>(&Outcome);
-    bool Running = !Failure || Failure->MayHaveBeenProcessed;
-    Answers.push_back(
-        {m_Options.Entries[Entry], Running, bodyOf(std::move(Outcome))});
+    bool Listening = !Failure || Failure->MayHaveBeenProcessed;
+    Responses.push_back(
+        {m_Options.Entries[Entry], Listening, bodyOf(std::move(Outcome))});
   }
-  return Answers;
+  return Responses;
 }
 
-/// Whether another entry may do what this one could not.
-static bool mayHelpElsewhere(ResultCode Code) {
+/// Whether another entry may succeed after one has failed with \p Code.
+static bool isWorthTryingNextEntry(ResultCode Code) {
   switch (Code) {
   case ResultCode::Overloaded:
   case ResultCode::Draining:
@@ -117,35 +117,35 @@
   }
 }
 
-/// Once one attempt may have done the change, a later entry's failure proves
-/// nothing: the first may still be at work on it. To report that failure would
-/// tell the operator that a change was refused which is then in force.
+/// Once an attempt may have taken effect, the error of a later entry is not
+/// conclusive, because the first entry may still be processing the change. If
+/// that error were reported, the operator would assume that a change was
+/// rejected although it takes effect.
 Result<std::string> OperatorClient::write(HttpVerb Verb,
                                           const std::string &Path,
                                           const std::string &Body) {
-  bool MayBeDone = false;
+  bool MayHaveTakenEffect = false;
   Error Last{ResultCode::PeerUnreachable, "no entry was given", {}, {}};
   for (size_t Attempt = 0; Attempt < m_Calls.size() * m_Options.Rounds;
        ++Attempt) {
     size_t Entry = Attempt % m_Calls.size();
     if (Attempt > 0 && Entry == 0)
       std::this_thread::sleep_for(m_Options.RoundPause);
-    HttpOutcome Outcome = ask(Entry, {Verb, Path, Body, false});
+    HttpOutcome Outcome = send(Entry, {Verb, Path, Body, false});
     if (const auto *Failure = std::get_if<HttpFailure>(&Outcome))
-      MayBeDone |= Failure->MayHaveBeenProcessed;
-    auto Answer = bodyOf(std::move(Outcome));
-    if (Answer)
-      return Answer;
-    Last = Answer.error();
-    MayBeDone |= Last.Code == ResultCode::StoreOutcomeUnknown ||
-                 Last.Code == ResultCode::Internal;
-    if (!mayHelpElsewhere(Last.Code))
+      MayHaveTakenEffect |= Failure->MayHaveBeenProcessed;
+    auto Response = bodyOf(std::move(Outcome));
+    if (Response)
+      return Response;
+    Last = Response.error();
+    MayHaveTakenEffect |= Last.Code == ResultCode::StoreOutcomeUnknown ||
+                          Last.Code == ResultCode::Internal;
+    if (!isWorthTryingNextEntry(Last.Code))
       break;
   }
-  if (MayBeDone && Last.Code != ResultCode::StoreOutcomeUnknown)
+  if (MayHaveTakenEffect && Last.Code != ResultCode::StoreOutcomeUnknown)
     Last = {ResultCode::StoreOutcomeUnknown,
-            "an earlier attempt may have made the change (" + Last.Message +
-                ")",
+            "an earlier attempt may have taken effect (" + Last.Message + ")",
             Last.Field, std::nullopt};
   return outcome::failure(std::move(Last));
 }
--- a/Libraries/LibConfig/OperatorClient.h
+++ b/Libraries/LibConfig/OperatorClient.h
@@ -1,7 +1,7 @@
-//===- OperatorClient.h - Talks to the operator API -------------*- C++ -*-===//
+//===- OperatorClient.h - Client of the operator API ------------*- C++ -*-===//
 //
 // Sends an operator's reads and writes to one entry after the other until one
-// gives an answer that settles the matter.
+// returns a conclusive response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,19 +20,19 @@
 
 struct OperatorClientOptions {
   std::vector<Endpoint> Entries;
-  /// Of one question to one entry.
+  /// Timeout of one request to one entry.
   std::chrono::milliseconds Timeout{3000};
-  /// Times that every entry is asked before a write is given up.
+  /// Number of times a write is sent to every entry before it fails.
   unsigned Rounds = 3;
   std::chrono::milliseconds RoundPause{200};
 };
 
-/// An entry's answer to a question that only it can answer.
-struct EntryAnswer {
+/// Response of one entry to a request that is sent to all entries.
+struct EntryResponse {
   Endpoint Entry;
-  /// False: nothing listens there.
-  bool Running = true;
-  /// The body of a 200 answer, or why there is none.
+  /// False if the connection was refused, so that no process listens there.
+  bool Listening = true;
+  /// The body of a 200 response, or the error.
   Result<std::string> Body;
 };
 
@@ -41,19 +41,20 @@
   explicit OperatorClient(OperatorClientOptions Options);
   ~OperatorClient();
 
-  /// The first good answer; the error of the last entry otherwise.
+  /// The first successful response, otherwise the error of the last entry.
   Result<std::string> read(const std::string &Path);
-  /// Asks every entry.
-  std::vector<EntryAnswer> readAll(const std::string &Path);
+  /// Reads from every entry.
+  std::vector<EntryResponse> readAll(const std::string &Path);
 
-  /// Sends a write; \p Path or \p Body carries its operation id, so that
-  /// sending it to several entries does it once. StoreOutcomeUnknown: one of
-  /// them may have done it. Every other error: nothing was done.
+  /// Sends a write. \p Path or \p Body carries its operation id, so that it
+  /// takes effect once even if several entries receive it.
+  /// StoreOutcomeUnknown: the write may have taken effect. Any other error: it
+  /// has not taken effect.
   Result<std::string> write(platform::HttpVerb Verb, const std::string &Path,
                             const std::string &Body);
 
 private:
-  platform::HttpOutcome ask(size_t Entry, platform::HttpQuestion Question);
+  platform::HttpOutcome send(size_t Entry, platform::HttpQuestion Request);
 
   const OperatorClientOptions m_Options;
   std::vector<std::shared_ptr<platform::HttpCalls>> m_Calls;
--- a/Libraries/LibConfig/OperatorJson.cpp
+++ b/Libraries/LibConfig/OperatorJson.cpp
@@ -1,6 +1,6 @@
 //===- OperatorJson.cpp - JSON of the operator API ------------------------===//
 //
-// One function for each object.
+// One function for each type of object.
 //
 //===----------------------------------------------------------------------===//
 
@@ -8,17 +8,17 @@
 
 namespace figlift::config {
 
-OrderedJson jsonOf(const Item &Known) {
-  OrderedJson Body = {{"kind", Known.Stored.Kind},
-                      {"name", Known.Stored.Name},
-                      {"version", Known.Stored.Version},
-                      {"revision", Known.Stored.Revision},
-                      {"withdrawn", Known.Stored.Withdrawn}};
-  if (Known.Parsed)
-    Body["schemaVersion"] = Known.Parsed->SchemaVersion;
-  if (!Known.Unreadable.empty())
-    Body["unreadable"] = Known.Unreadable;
-  Body["text"] = Known.Stored.Text;
+OrderedJson jsonOf(const SnapshotRecord &Record) {
+  OrderedJson Body = {{"kind", Record.Stored.Kind},
+                      {"name", Record.Stored.Name},
+                      {"version", Record.Stored.Version},
+                      {"revision", Record.Stored.Revision},
+                      {"withdrawn", Record.Stored.Withdrawn}};
+  if (Record.Parsed)
+    Body["schemaVersion"] = Record.Parsed->SchemaVersion;
+  if (!Record.Unreadable.empty())
+    Body["unreadable"] = Record.Unreadable;
+  Body["text"] = Record.Stored.Text;
   return Body;
 }
 
@@ -54,10 +54,10 @@
 }
 
 http::Response jsonResponse(const OrderedJson &Body) {
-  http::Response Answer;
-  Answer.Body =
+  http::Response Response;
+  Response.Body =
       Body.dump(-1, ' ', false, OrderedJson::error_handler_t::replace);
-  return Answer;
+  return Response;
 }
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/OperatorJson.h
+++ b/Libraries/LibConfig/OperatorJson.h
@@ -1,6 +1,6 @@
 //===- OperatorJson.h - JSON of the operator API ----------------*- C++ -*-===//
 //
-// How records, status and outcomes look in answers to operators.
+// Format of records, status and outcomes in responses to operators.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,12 +17,12 @@
 
 using OrderedJson = nlohmann::ordered_json;
 
-OrderedJson jsonOf(const Item &Known);
+OrderedJson jsonOf(const SnapshotRecord &Record);
 OrderedJson jsonOf(const TargetStatus &Target);
 OrderedJson jsonOf(const EntryStatus &Entry);
 OrderedJson jsonOf(const ChangeOutcome &Outcome);
 
-/// A 200 answer.
+/// A response with status 200.
 http::Response jsonResponse(const OrderedJson &Body);
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/OperatorService.cpp
+++ b/Libraries/LibConfig/OperatorService.cpp
@@ -1,6 +1,6 @@
 //===- OperatorService.cpp - The operator API -----------------------------===//
 //
-// Routing, reading of requests, and the thread that carries out writes.
+// Routing, parsing of requests, and the thread that executes writes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,11 +25,10 @@
       {Code, std::move(Message), std::move(Field), std::nullopt}, "");
 }
 
-static http::Response noSuchPath() {
-  auto Answer =
-      problem(ResultCode::InvalidInput, "there is no such path or method");
-  Answer.Status = 404;
-  return Answer;
+static http::Response unknownPath() {
+  auto Response = problem(ResultCode::InvalidInput, "unknown path or method");
+  Response.Status = 404;
+  return Response;
 }
 
 static std::vector<std::string> segmentsOf(std::string_view Path) {
@@ -52,37 +51,37 @@
 }
 
 OperatorService::~OperatorService() {
-  std::deque<Job> Refused;
+  std::deque<Job> Rejected;
   {
     std::lock_guard Lock(m_Mutex);
     m_Stopped = true;
-    Refused.swap(m_Queue);
+    Rejected.swap(m_Queue);
   }
   m_Changed.notify_all();
   m_Thread.join();
-  for (Job &Each : Refused)
-    Each.Done(problem(ResultCode::Draining, "this entry is stopping"));
+  for (Job &Queued : Rejected)
+    Queued.Done(problem(ResultCode::Draining, "this entry is shutting down"));
 }
 
 void OperatorService::handle(const http::Request &Request, Reply Done) {
   const Segments Path = segmentsOf(Request.Path);
-  const std::string Part = Path.empty() ? "" : Path[0];
-  const bool Get = Request.Method == "GET";
-  const bool Post = Request.Method == "POST";
-  if (Get && Part == "records" && Path.size() <= 3)
+  const std::string Resource = Path.empty() ? "" : Path[0];
+  const bool IsGet = Request.Method == "GET";
+  const bool IsPost = Request.Method == "POST";
+  if (IsGet && Resource == "records" && Path.size() <= 3)
     return Done(getRecords(Path, Request));
-  if (Get && Part == "status" && Path.size() == 1)
+  if (IsGet && Resource == "status" && Path.size() == 1)
     return Done(getStatus());
-  if (Get && Part == "explain" && Path.size() == 2)
+  if (IsGet && Resource == "explain" && Path.size() == 2)
     return Done(getExplanation(Path[1]));
-  if (Post && Part == "records" && Path.size() == 1)
-    return enqueue(submission(Request), std::move(Done));
-  if (Request.Method == "DELETE" && Part == "records" && Path.size() == 3)
-    return enqueue(withdrawal(Path, Request), std::move(Done));
-  if (Post && Part == "targets" && Path.size() == 3)
-    return enqueue(wish(Path, Request), std::move(Done),
-                   TargetWish{Path[1], Path[2] == "undrain"});
-  Done(noSuchPath());
+  if (IsPost && Resource == "records" && Path.size() == 1)
+    return enqueue(parseSubmission(Request), std::move(Done));
+  if (Request.Method == "DELETE" && Resource == "records" && Path.size() == 3)
+    return enqueue(parseWithdrawal(Path, Request), std::move(Done));
+  if (IsPost && Resource == "targets" && Path.size() == 3)
+    return enqueue(parseTargetRequest(Path, Request), std::move(Done),
+                   TargetRequest{Path[1], Path[2] == "undrain"});
+  Done(unknownPath());
 }
 
 http::Response OperatorService::getRecords(const Segments &Path,
@@ -91,82 +90,83 @@
   if (!Current)
     return problem(ResultCode::NotReady, "this entry has no configuration yet");
   if (Path.size() == 3) {
-    const Item *Found = Current->find(Path[1], Path[2]);
-    if (!Found || Found->Stored.Withdrawn)
+    const SnapshotRecord *Record = Current->find(Path[1], Path[2]);
+    if (!Record || Record->Stored.Withdrawn)
       return problem(ResultCode::RecordNotFound,
                      "there is no " + Path[1] + " " + Path[2]);
-    return jsonResponse(jsonOf(*Found));
+    return jsonResponse(jsonOf(*Record));
   }
   OrderedJson Body = {{"revision", Current->revision()},
                       {"records", OrderedJson::array()}};
-  bool WithWithdrawn = Request.query("withdrawn") == "1";
-  for (const Item *Each : Current->list(Path.size() == 2 ? Path[1] : ""))
-    if (WithWithdrawn || !Each->Stored.Withdrawn)
-      Body["records"].push_back(jsonOf(*Each));
+  bool IncludeWithdrawn = Request.query("withdrawn") == "1";
+  for (const SnapshotRecord *Record :
+       Current->list(Path.size() == 2 ? Path[1] : ""))
+    if (IncludeWithdrawn || !Record->Stored.Withdrawn)
+      Body["records"].push_back(jsonOf(*Record));
   return jsonResponse(Body);
 }
 
 http::Response OperatorService::getStatus() const {
   SnapshotPointer Current = m_Context.Current();
-  std::string Why = m_Context.WhyNotServing();
+  std::string Reason = m_Context.NotServingReason();
   OrderedJson Body = {{"entry", m_Context.Status.entryId()},
                       {"revision", Current ? Current->revision() : 0},
-                      {"serving", Why.empty()}};
-  if (!Why.empty())
-    Body["reason"] = Why;
+                      {"serving", Reason.empty()}};
+  if (!Reason.empty())
+    Body["reason"] = Reason;
   Body["targets"] = OrderedJson::array();
-  for (const TargetStatus &Each : m_Context.Status.targets())
-    Body["targets"].push_back(jsonOf(Each));
+  for (const TargetStatus &Target : m_Context.Status.targets())
+    Body["targets"].push_back(jsonOf(Target));
   Body["entries"] = OrderedJson::array();
-  for (const EntryStatus &Each : m_Context.Status.entries())
-    Body["entries"].push_back(jsonOf(Each));
+  for (const EntryStatus &Entry : m_Context.Status.entries())
+    Body["entries"].push_back(jsonOf(Entry));
   return jsonResponse(Body);
 }
 
 http::Response OperatorService::getExplanation(const std::string &Id) const {
   OrderedJson Body = {{"id", Id}, {"entry", m_Context.Status.entryId()}};
-  for (const TargetStatus &Each : m_Context.Status.targets())
-    if (Each.Id == Id)
-      Body["target"] = jsonOf(Each);
+  for (const TargetStatus &Target : m_Context.Status.targets())
+    if (Target.Id == Id)
+      Body["target"] = jsonOf(Target);
   if (SnapshotPointer Current = m_Context.Current())
-    if (const Item *Wish = Current->find("target", Id))
-      Body["record"] = jsonOf(*Wish);
+    if (const SnapshotRecord *Record = Current->find("target", Id))
+      Body["record"] = jsonOf(*Record);
   Body["events"] = m_Context.Status.explain(Id);
   return jsonResponse(Body);
 }
 
-/// Every write has an operation id, else a lost answer could not be settled by
-/// sending it again.
-Result<std::string> OperatorService::operationIdOf(const std::string &Given) {
-  if (Given.empty())
+/// Every write gets an operation id, so that it can be retried safely after a
+/// lost response.
+Result<std::string> OperatorService::parseOperationId(const std::string &Text) {
+  if (Text.empty())
     return m_Ids.nextText();
-  auto Id = Uuid::parse(Given);
+  auto Id = Uuid::parse(Text);
   if (!Id || !Id.value().isVersion7())
     return failure(ResultCode::InvalidInput,
-                   "found \"" + Given + "\"; allowed: a UUID of version 7",
+                   "found \"" + Text + "\"; expected a UUID of version 7",
                    "operationId");
   return Id.value().toString();
 }
 
-Result<void> OperatorService::addTexts(const std::string &File,
-                                       ChangeRequest &Into) const {
+Result<void> OperatorService::addRecords(const std::string &File,
+                                         ChangeRequest &Output) const {
   FIGLIFT_TRY(Texts, record::splitRecords(File));
   FIGLIFT_TRY(Records, record::parseRecords(File));
   for (size_t Index = 0; Index < Records.size(); ++Index) {
     Change Next{Records[Index].Kind, Records[Index].Name,
                 std::move(Texts[Index].Text), false};
-    for (const Change &Other : Into.Changes)
+    for (const Change &Other : Output.Changes)
       if (Other.Kind == Next.Kind && Other.Name == Next.Name)
         return failure(ResultCode::RecordInvalid,
                        "found " + Next.Kind + " " + Next.Name +
-                           " twice; allowed: once in an operation",
+                           " twice; expected at most once per operation",
                        "name");
-    Into.Changes.push_back(std::move(Next));
+    Output.Changes.push_back(std::move(Next));
   }
   return success();
 }
 
-static Result<std::optional<uint64_t>> versionOf(const std::string &Text) {
+static Result<std::optional<uint64_t>> parseVersion(const std::string &Text) {
   if (Text.empty())
     return std::optional<uint64_t>();
   uint64_t Version = 0;
@@ -174,17 +174,17 @@
       std::from_chars(Text.data(), Text.data() + Text.size(), Version);
   if (Code != std::errc() || End != Text.data() + Text.size())
     return failure(ResultCode::InvalidInput,
-                   "found \"" + Text + "\"; allowed: a whole number from 0",
+                   "found \"" + Text + "\"; expected a whole number from 0",
                    "ifVersion");
   return std::optional<uint64_t>(Version);
 }
 
 Result<ChangeRequest>
-OperatorService::submission(const http::Request &Request) {
+OperatorService::parseSubmission(const http::Request &Request) {
   FIGLIFT_TRY(Body, http::parseJsonBody(Request.Body));
-  auto Invalid = [](const char *Allowed, const char *Field) {
-    return failure(ResultCode::InvalidInput, std::string("allowed: ") + Allowed,
-                   Field);
+  auto Invalid = [](const char *Expected, const char *Field) {
+    return failure(ResultCode::InvalidInput,
+                   std::string("expected ") + Expected, Field);
   };
   if (!Body.is_object())
     return Invalid("an object with operationId and records", "");
@@ -198,85 +198,89 @@
   if (!Records.is_array())
     return Invalid("an array of texts", "records");
 
-  ChangeRequest Wanted;
-  FIGLIFT_TRY(OperationId, operationIdOf(Id.get<std::string>()));
-  Wanted.OperationId = OperationId;
+  ChangeRequest Parsed;
+  FIGLIFT_TRY(OperationId, parseOperationId(Id.get<std::string>()));
+  Parsed.OperationId = OperationId;
   if (!Version.is_null())
-    Wanted.IfVersion = Version.get<uint64_t>();
+    Parsed.IfVersion = Version.get<uint64_t>();
   for (const Json &Text : Records) {
     if (!Text.is_string())
       return Invalid("an array of texts", "records");
-    FIGLIFT_TRY(addTexts(Text.get<std::string>(), Wanted));
+    FIGLIFT_TRY(addRecords(Text.get<std::string>(), Parsed));
   }
-  if (Wanted.Changes.empty() ||
-      Wanted.Changes.size() > m_Options.MaximumRecordsPerOperation)
+  if (Parsed.Changes.empty() ||
+      Parsed.Changes.size() > m_Options.MaximumRecordsPerOperation)
     return Invalid("1 to 64 records in an operation", "records");
-  if (Wanted.IfVersion && Wanted.Changes.size() != 1)
+  if (Parsed.IfVersion && Parsed.Changes.size() != 1)
     return Invalid("ifVersion with a single record", "ifVersion");
-  return Wanted;
+  return Parsed;
 }
 
 Result<ChangeRequest>
-OperatorService::withdrawal(const Segments &Path,
-                            const http::Request &Request) {
-  ChangeRequest Wanted;
-  FIGLIFT_TRY(OperationId, operationIdOf(Request.query("operationId")));
-  Wanted.OperationId = OperationId;
-  FIGLIFT_TRY(Version, versionOf(Request.query("ifVersion")));
-  Wanted.IfVersion = Version;
-  Wanted.Changes.push_back({Path[1], Path[2], "", true});
-  return Wanted;
+OperatorService::parseWithdrawal(const Segments &Path,
+                                 const http::Request &Request) {
+  ChangeRequest Parsed;
+  FIGLIFT_TRY(OperationId, parseOperationId(Request.query("operationId")));
+  Parsed.OperationId = OperationId;
+  FIGLIFT_TRY(Version, parseVersion(Request.query("ifVersion")));
+  Parsed.IfVersion = Version;
+  Parsed.Changes.push_back({Path[1], Path[2], "", true});
+  return Parsed;
 }
 
-Result<void> OperatorService::checkKnown(const std::string &Target) const {
+Result<void>
+OperatorService::checkTargetExists(const std::string &Target) const {
   auto Targets = m_Context.Status.targets();
-  auto Same = [&Target](const TargetStatus &Each) { return Each.Id == Target; };
-  if (Targets.empty() || std::any_of(Targets.begin(), Targets.end(), Same))
+  auto Matches = [&Target](const TargetStatus &Status) {
+    return Status.Id == Target;
+  };
+  if (Targets.empty() || std::any_of(Targets.begin(), Targets.end(), Matches))
     return success();
   return failure(ResultCode::RecordNotFound,
                  "no target " + Target + " is known", "target");
 }
 
-Result<ChangeRequest> OperatorService::wish(const Segments &Path,
-                                            const http::Request &Request) {
+Result<ChangeRequest>
+OperatorService::parseTargetRequest(const Segments &Path,
+                                    const http::Request &Request) {
   const std::string &Target = Path[1];
   const std::string &Verb = Path[2];
   if (Verb != "drain" && Verb != "undrain" && Verb != "retire")
     return failure(ResultCode::InvalidInput,
-                   "found \"" + Verb + "\"; allowed: drain, undrain, retire");
-  // A target that is gone from the list may still be retired.
+                   "found \"" + Verb + "\"; expected drain, undrain, retire");
+  // A target that is no longer on the platform's list may still be retired.
   if (Verb == "drain") {
-    FIGLIFT_TRY(checkKnown(Target));
+    FIGLIFT_TRY(checkTargetExists(Target));
   }
-  ChangeRequest Wanted;
-  FIGLIFT_TRY(OperationId, operationIdOf(Request.query("operationId")));
-  Wanted.OperationId = OperationId;
+  ChangeRequest Parsed;
+  FIGLIFT_TRY(OperationId, parseOperationId(Request.query("operationId")));
+  Parsed.OperationId = OperationId;
   OrderedJson Record = {
       {"schemaVersion", 1},
       {"kind", "target"},
       {"name", Target},
       {"spec", {{"intent", Verb == "undrain" ? "serve" : Verb}}}};
-  FIGLIFT_TRY(addTexts(
-      Record.dump(-1, ' ', false, Json::error_handler_t::replace), Wanted));
-  return Wanted;
+  FIGLIFT_TRY(addRecords(
+      Record.dump(-1, ' ', false, Json::error_handler_t::replace), Parsed));
+  return Parsed;
 }
 
 void OperatorService::enqueue(Result<ChangeRequest> Request, Reply Done,
-                              std::optional<TargetWish> Wish) {
+                              std::optional<TargetRequest> Target) {
   if (!Request)
     return Done(http::problemResponse(Request.error(), ""));
   std::unique_lock Lock(m_Mutex);
   const bool Full = m_Queue.size() >= m_Options.MaximumQueuedWrites;
   if (m_Stopped || Full) {
-    const ResultCode Refusal =
+    const ResultCode Code =
         m_Stopped ? ResultCode::Draining : ResultCode::Overloaded;
     Lock.unlock();
-    return Done(http::problemResponse({Refusal, "the change was not taken", "",
-                                       std::chrono::milliseconds(500)},
-                                      ""));
+    return Done(http::problemResponse(
+        {Code, "the change was not queued", "", std::chrono::milliseconds(500)},
+        ""));
   }
   m_Queue.push_back(
-      {std::move(Request).value(), std::move(Done), std::move(Wish)});
+      {std::move(Request).value(), std::move(Done), std::move(Target)});
   Lock.unlock();
   m_Changed.notify_one();
 }
@@ -294,20 +298,20 @@
   }
 }
 
-/// An operator who must empty a machine can't wait for the end of an outage of
-/// the table. The agent does as asked until it restarts or a newer record of
-/// its target comes; the operator is told that no record says so yet.
-Error OperatorService::carriedOutAnyway(Error Why,
-                                        const TargetWish &Wish) const {
-  const bool OfTable = Why.Code == ResultCode::StoreUnavailable ||
-                       Why.Code == ResultCode::StoreOutcomeUnknown;
-  if (!OfTable || !m_Context.AskAgentToDrain(Wish.Target, Wish.Serves))
-    return Why;
-  Why.Message += std::string("; the agent of ") + Wish.Target +
-                 " was asked to " + (Wish.Serves ? "serve" : "drain") +
-                 " all the same, but the wish is not recorded: repeat it when "
-                 "the table is back";
-  return Why;
+/// Draining a VM must not depend on the table, whose outage may last long. The
+/// agent follows the direct request until it restarts or a newer record of its
+/// target arrives. The error informs the operator that no record was written.
+Error OperatorService::requestDirectly(Error Cause,
+                                       const TargetRequest &Request) const {
+  const bool IsStoreError = Cause.Code == ResultCode::StoreUnavailable ||
+                            Cause.Code == ResultCode::StoreOutcomeUnknown;
+  if (!IsStoreError || !m_Context.RequestDrain(Request.Target, Request.Undrain))
+    return Cause;
+  Cause.Message += std::string("; the agent of ") + Request.Target +
+                   " was asked to " + (Request.Undrain ? "serve" : "drain") +
+                   " all the same, but the request is not recorded; retry it "
+                   "when the table is available";
+  return Cause;
 }
 
 void OperatorService::perform(Job Next) {
@@ -318,10 +322,10 @@
   auto Outcome = applyChange(m_Context.Table, std::move(Next.Request),
                              m_Options.Writer, Pause);
   if (!Outcome) {
-    Error Why = Outcome.error();
-    if (Next.Wish)
-      Why = carriedOutAnyway(std::move(Why), *Next.Wish);
-    return Next.Done(http::problemResponse(Why, ""));
+    Error Cause = Outcome.error();
+    if (Next.Target)
+      Cause = requestDirectly(std::move(Cause), *Next.Target);
+    return Next.Done(http::problemResponse(Cause, ""));
   }
   m_Context.OnCommitted(Outcome.value());
   Next.Done(jsonResponse(jsonOf(Outcome.value())));
--- a/Libraries/LibConfig/OperatorService.h
+++ b/Libraries/LibConfig/OperatorService.h
@@ -1,7 +1,7 @@
 //===- OperatorService.h - The operator API ---------------------*- C++ -*-===//
 //
-// Answers the HTTP requests under /operator/v1/. The entry forwards them here
-// and writes the answers back.
+// Handles the HTTP requests under /operator/v1/. The entry forwards them to
+// this service and sends the responses.
 //
 //   POST   /operator/v1/records        {"operationId","records":[text...],
 //                                       "ifVersion"?}
@@ -11,8 +11,8 @@
 //   GET    /operator/v1/status
 //   GET    /operator/v1/explain/ID
 //
-// Reads are answered at once from the snapshot in force here. Writes wait in a
-// bounded queue for one thread, because carrying one out blocks.
+// Reads are handled at once from this entry's current snapshot. Writes block,
+// so they wait in a bounded queue for a thread of their own.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,7 +33,7 @@
 
 namespace figlift::config {
 
-/// Beginning of every path that goes to handle().
+/// Prefix of the paths that handle() serves.
 inline constexpr std::string_view OperatorPathPrefix = "/operator/v1/";
 
 struct OperatorOptions {
@@ -42,19 +42,20 @@
   size_t MaximumRecordsPerOperation = 64;
 };
 
-/// What the service needs of its process.
+/// Dependencies of the service.
 struct OperatorContext {
   platform::Table &Table;
   const StatusProvider &Status;
-  /// The snapshot in force, or null.
+  /// The current snapshot, or null.
   std::function<SnapshotPointer()> Current;
-  /// Why this entry takes no new work, or empty.
-  std::function<std::string()> WhyNotServing;
-  /// A change was committed; see ConfigService::committed().
+  /// Why this entry rejects new work, or empty.
+  std::function<std::string()> NotServingReason;
+  /// Called after a commit; see ConfigService::onCommitted().
   std::function<void(const ChangeOutcome &)> OnCommitted;
-  /// Asks a target's agent itself to drain, or to serve again when \p Undo,
-  /// without a record. False when the agent can't be reached from here.
-  std::function<bool(const std::string &Target, bool Undo)> AskAgentToDrain =
+  /// Requests a target's agent directly to drain, or to serve again if \p Undo,
+  /// without a record. Returns false if the agent is not reachable from this
+  /// entry.
+  std::function<bool(const std::string &Target, bool Undo)> RequestDrain =
       [](const std::string &, bool) { return false; };
 };
 
@@ -63,23 +64,23 @@
   using Reply = std::function<void(http::Response)>;
 
   OperatorService(OperatorContext Context, OperatorOptions Options = {});
-  /// Waits for the write at work; writes still waiting are refused.
+  /// Waits for the current write; queued writes are rejected.
   ~OperatorService();
 
-  /// Calls \p Done exactly once, on this thread or on the service's.
+  /// Calls \p Done exactly once, on the calling thread or on the service's.
   void handle(const http::Request &Request, Reply Done);
 
 private:
-  /// An operator's wish for one target.
-  struct TargetWish {
+  /// A requested drain or undrain of one target.
+  struct TargetRequest {
     std::string Target;
-    bool Serves = false;
+    bool Undrain = false;
   };
   struct Job {
     ChangeRequest Request;
     Reply Done;
-    /// Absent: a change of other records.
-    std::optional<TargetWish> Wish;
+    /// Empty if the change is of other records.
+    std::optional<TargetRequest> Target;
   };
   using Segments = std::vector<std::string>;
 
@@ -88,18 +89,18 @@
   http::Response getStatus() const;
   http::Response getExplanation(const std::string &Id) const;
 
-  Result<ChangeRequest> submission(const http::Request &Request);
-  Result<ChangeRequest> withdrawal(const Segments &Path,
-                                   const http::Request &Request);
-  Result<ChangeRequest> wish(const Segments &Path,
-                             const http::Request &Request);
-  Result<std::string> operationIdOf(const std::string &Given);
-  Result<void> addTexts(const std::string &File, ChangeRequest &Into) const;
-  Result<void> checkKnown(const std::string &Target) const;
+  Result<ChangeRequest> parseSubmission(const http::Request &Request);
+  Result<ChangeRequest> parseWithdrawal(const Segments &Path,
+                                        const http::Request &Request);
+  Result<ChangeRequest> parseTargetRequest(const Segments &Path,
+                                           const http::Request &Request);
+  Result<std::string> parseOperationId(const std::string &Text);
+  Result<void> addRecords(const std::string &File, ChangeRequest &Output) const;
+  Result<void> checkTargetExists(const std::string &Target) const;
 
   void enqueue(Result<ChangeRequest> Request, Reply Done,
-               std::optional<TargetWish> Wish = std::nullopt);
-  Error carriedOutAnyway(Error Why, const TargetWish &Wish) const;
+               std::optional<TargetRequest> Target = std::nullopt);
+  Error requestDirectly(Error Cause, const TargetRequest &Request) const;
   void run();
   void perform(Job Next);
 
--- a/Libraries/LibConfig/RcuReadSection.cpp
+++ b/Libraries/LibConfig/RcuReadSection.cpp
@@ -1,6 +1,6 @@
 //===- RcuReadSection.cpp - Read-side critical sections -------------------===//
 //
-// Thin cover of liburcu's memb flavour.
+// Thin wrapper around liburcu's memb flavor.
 //
 //===----------------------------------------------------------------------===//
 
@@ -8,8 +8,9 @@
 
 #include <urcu/urcu-memb.h>
 
-// The thread sanitizer can't see the order that membarrier gives, and would
-// report each reclaimed object as a race. These calls tell it.
+// The thread sanitizer does not understand the ordering that membarrier
+// provides and would report each reclaimed object as a data race. These
+// annotations make the ordering visible to it.
 #if defined(__SANITIZE_THREAD__)
 extern "C" void __tsan_acquire(void *Address);
 extern "C" void __tsan_release(void *Address);
@@ -22,7 +23,7 @@
 
 namespace {
 
-/// Stands for "a section has ended" towards the thread sanitizer.
+/// Address that represents the end of read sections for the thread sanitizer.
 char SectionsEnded;
 
 struct ThreadRegistration {
--- a/Libraries/LibConfig/RcuReadSection.h
+++ b/Libraries/LibConfig/RcuReadSection.h
@@ -1,7 +1,7 @@
 //===- RcuReadSection.h - Read-side critical sections -----------*- C++ -*-===//
 //
-// liburcu lets a thread be registered only once; everything of a process that
-// reads under RCU (memb flavour) goes through this class.
+// liburcu allows a thread to be registered only once, so all code of a process
+// that reads under RCU (memb flavor) must use this class.
 //
 //===----------------------------------------------------------------------===//
 
@@ -9,12 +9,12 @@
 
 namespace figlift::config {
 
-/// Returns when every section that was open at the call has ended. Not inside
-/// a section.
+/// Returns once every read section that was open at the time of the call has
+/// ended. Must not be called inside a section.
 void waitForReaders();
 
-/// Registers the thread at its first use. Code inside must not block. Sections
-/// may nest.
+/// Registers the thread at its first use. Code inside a section must not block.
+/// Sections may be nested.
 class RcuReadSection {
 public:
   RcuReadSection();
--- a/Libraries/LibConfig/Rollout.cpp
+++ b/Libraries/LibConfig/Rollout.cpp
@@ -1,7 +1,7 @@
-//===- Rollout.cpp - Who has a revision in force --------------------------===//
+//===- Rollout.cpp - Progress of a configuration rollout ------------------===//
 //
-// An entry knows only the agents it holds a stream to, so the highest revision
-// that any entry reports of a process counts.
+// An entry knows only the agents to which it has a stream, so the highest
+// revision that any entry reports for a process is used.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,108 +18,109 @@
 
 namespace {
 
-/// What all entries together say of one process.
-struct Heard {
-  /// 0: nobody has word of it.
+/// Combined reports of all entries about one process.
+struct ProcessStatus {
+  /// 0 if no entry knows the revision.
   uint64_t Revision = 0;
   std::string State = "unreachable";
-  bool Gone = false;
+  bool IsGone = false;
 };
 
-/// Processes by "target ID" or "entry ID".
-using Processes = std::map<std::string, Heard>;
+/// Keyed by "target ID" or "entry ID".
+using Processes = std::map<std::string, ProcessStatus>;
 
-void merge(Processes &Into, const std::string &Name, uint64_t Revision,
+void merge(Processes &Merged, const std::string &Name, uint64_t Revision,
            const std::string &State) {
-  Heard &Known = Into[Name];
-  Known.Gone |= State == "gone";
-  if (Revision < Known.Revision)
+  ProcessStatus &Process = Merged[Name];
+  Process.IsGone |= State == "gone";
+  if (Revision < Process.Revision)
     return;
-  Known.Revision = Revision;
+  Process.Revision = Revision;
   if (State != "unreachable")
-    Known.State = State;
+    Process.State = State;
 }
 
-void mergeList(Processes &Into, const Json &Status, const char *List,
-               const std::string &Word) {
-  for (const Json &Each : Status.value(List, Json::array()))
-    if (Each.is_object())
-      merge(Into, Word + Each.value("id", ""),
-            Each.value("revisionInForce", uint64_t(0)),
-            Each.value("state", "unreachable"));
+void mergeList(Processes &Merged, const Json &Status, const char *List,
+               const std::string &NamePrefix) {
+  for (const Json &Reported : Status.value(List, Json::array()))
+    if (Reported.is_object())
+      merge(Merged, NamePrefix + Reported.value("id", ""),
+            Reported.value("revisionInForce", uint64_t(0)),
+            Reported.value("state", "unreachable"));
 }
 
-Json parsed(const EntryAnswer &Answer) {
-  if (!Answer.Body)
+Json parseBody(const EntryResponse &Response) {
+  if (!Response.Body)
     return Json();
-  return Json::parse(Answer.Body.value(), nullptr, false);
+  return Json::parse(Response.Body.value(), nullptr, false);
 }
 
-Processes processesIn(const std::vector<EntryAnswer> &Answers) {
-  Processes All;
-  for (const EntryAnswer &Each : Answers) {
-    const Json Status = parsed(Each);
+Processes mergeAll(const std::vector<EntryResponse> &Responses) {
+  Processes Merged;
+  for (const EntryResponse &Response : Responses) {
+    const Json Status = parseBody(Response);
     if (!Status.is_object()) {
-      if (Each.Running)
-        merge(All, "entry " + Each.Entry.toString(), 0, "unreachable");
+      if (Response.Listening)
+        merge(Merged, "entry " + Response.Entry.toString(), 0, "unreachable");
       continue;
     }
-    merge(All, "entry " + Status.value("entry", Each.Entry.toString()),
+    merge(Merged, "entry " + Status.value("entry", Response.Entry.toString()),
           Status.value("revision", uint64_t(0)),
           Status.value("serving", true) ? "serving" : "not serving");
-    mergeList(All, Status, "targets", "target ");
-    mergeList(All, Status, "entries", "entry ");
+    mergeList(Merged, Status, "targets", "target ");
+    mergeList(Merged, Status, "entries", "entry ");
   }
-  return All;
+  return Merged;
 }
 
-/// An entry knows no other's revision unless they talk, so an operator who
-/// names one entry of several has to be told how to ask the rest.
-std::string describe(const Heard &Known) {
-  if (Known.Revision == 0 && Known.State == "serving")
-    return "no word of its revision; name it with --entry too";
-  return "revision " + std::to_string(Known.Revision) + ", " + Known.State;
+/// An entry knows the revision of another entry only if the two are connected.
+/// The message therefore says how to query the other entries as well.
+std::string describe(const ProcessStatus &Process) {
+  if (Process.Revision == 0 && Process.State == "serving")
+    return "revision unknown; pass its address with --entry as well";
+  return "revision " + std::to_string(Process.Revision) + ", " + Process.State;
 }
 
 } // namespace
 
-Rollout rolloutOf(const std::vector<EntryAnswer> &Answers, uint64_t Revision) {
-  Rollout Found;
+Rollout rolloutStatus(const std::vector<EntryResponse> &Responses,
+                      uint64_t Revision) {
+  Rollout Status;
   try {
-    for (const auto &[Name, Known] : processesIn(Answers)) {
-      if (Known.Gone)
+    for (const auto &[Name, Process] : mergeAll(Responses)) {
+      if (Process.IsGone)
         continue;
-      if (Known.Revision >= Revision)
-        ++Found.InForce;
+      if (Process.Revision >= Revision)
+        ++Status.InForce;
       else
-        Found.Lagging.push_back(Name + ": " + describe(Known));
+        Status.Lagging.push_back(Name + ": " + describe(Process));
     }
   } catch (const Json::exception &Exception) {
-    Found.Lagging.push_back(std::string("malformed status: ") +
-                            Exception.what());
+    Status.Lagging.push_back(std::string("malformed status: ") +
+                             Exception.what());
   }
-  return Found;
+  return Status;
 }
 
-bool isDrained(const std::vector<EntryAnswer> &Answers,
+bool isDrained(const std::vector<EntryResponse> &Responses,
                const std::string &Target) {
-  bool Answered = false;
-  bool Listed = false;
+  bool HasResponse = false;
+  bool IsListed = false;
   bool Drained = false;
-  for (const EntryAnswer &Each : Answers) {
-    const Json Status = parsed(Each);
+  for (const EntryResponse &Response : Responses) {
+    const Json Status = parseBody(Response);
     if (!Status.is_object())
       continue;
-    Answered = true;
-    for (const Json &Line : Status.value("targets", Json::array())) {
-      if (!Line.is_object() || Line.value("id", Json()) != Target)
+    HasResponse = true;
+    for (const Json &Reported : Status.value("targets", Json::array())) {
+      if (!Reported.is_object() || Reported.value("id", Json()) != Target)
         continue;
-      Json State = Line.value("state", Json());
-      Listed = true;
+      Json State = Reported.value("state", Json());
+      IsListed = true;
       Drained |= State == "drained" || State == "gone";
     }
   }
-  return Drained || (Answered && !Listed);
+  return Drained || (HasResponse && !IsListed);
 }
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/Rollout.h
+++ b/Libraries/LibConfig/Rollout.h
@@ -1,7 +1,7 @@
-//===- Rollout.h - Who has a revision in force ------------------*- C++ -*-===//
+//===- Rollout.h - Progress of a configuration rollout ----------*- C++ -*-===//
 //
-// Judges, from the status answers of all entries, whether a revision is in
-// force everywhere, who lags, and whether a target has drained.
+// Determines from the status responses of all entries whether a revision is in
+// force everywhere, which processes lag, and whether a target has drained.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,23 +16,24 @@
 namespace figlift::config {
 
 struct Rollout {
-  /// One line for each process that does not have the revision yet.
+  /// One line for each process in which the revision is not in force yet.
   std::vector<std::string> Lagging;
-  /// Number of processes that have it.
+  /// Number of processes in which it is in force.
   size_t InForce = 0;
 
   bool complete() const { return Lagging.empty() && InForce > 0; }
 };
 
-/// \p Answers are those to /operator/v1/status. A given entry at whose address
-/// nothing listens is no process any more and does not count, unless another
-/// entry still knows it from the platform's list.
-Rollout rolloutOf(const std::vector<EntryAnswer> &Answers, uint64_t Revision);
+/// \p Responses are those to /operator/v1/status. An entry at whose address no
+/// process listens is ignored, unless another entry still reports it from the
+/// platform's list.
+Rollout rolloutStatus(const std::vector<EntryResponse> &Responses,
+                      uint64_t Revision);
 
-/// Whether an entry reports the target drained or gone, or entries answered
-/// and none lists it any more. A drained target stays drained until another
-/// record says otherwise, so one word for it is enough.
-bool isDrained(const std::vector<EntryAnswer> &Answers,
+/// Whether an entry reports the target as drained or gone, or entries responded
+/// and none of them lists it. A drained target stays drained until another
+/// record changes that, so one report is sufficient.
+bool isDrained(const std::vector<EntryResponse> &Responses,
                const std::string &Target);
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/Snapshot.cpp
+++ b/Libraries/LibConfig/Snapshot.cpp
@@ -1,6 +1,6 @@
 //===- Snapshot.cpp - The configuration at one revision -------------------===//
 //
-// Applying changes and looking records up.
+// Applies changes and looks up records.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,36 +10,36 @@
 
 SnapshotPointer Snapshot::empty() { return std::make_shared<Snapshot>(); }
 
-SnapshotPointer Snapshot::with(const Delta &Changes) const {
-  bool Gap = !Changes.Full && Changes.Base > m_Revision;
-  if (Gap || Changes.Head <= m_Revision)
+SnapshotPointer Snapshot::apply(const Delta &Changes) const {
+  bool HasGap = !Changes.Full && Changes.Base > m_Revision;
+  if (HasGap || Changes.Head <= m_Revision)
     return nullptr;
   auto Next = std::make_shared<Snapshot>(*this);
   Next->m_Revision = Changes.Head;
-  for (const Entry &Each : Changes.Entries)
-    Next->put(Each);
+  for (const StoredRecord &Changed : Changes.Records)
+    Next->put(Changed);
   return Next;
 }
 
-/// Entries carry the revision that wrote them, so an older state of a record
-/// never replaces a newer one, in whatever order deltas arrive.
-void Snapshot::put(const Entry &Changed) {
-  Item &Known = m_Items[{Changed.Kind, Changed.Name}];
-  if (Changed.Revision <= Known.Stored.Revision)
+/// Each record carries the revision that wrote it, so that an older state never
+/// replaces a newer one, regardless of the sequence in which deltas arrive.
+void Snapshot::put(const StoredRecord &Changed) {
+  SnapshotRecord &Record = m_Records[{Changed.Kind, Changed.Name}];
+  if (Changed.Revision <= Record.Stored.Revision)
     return;
-  Known.Stored = Changed;
-  Known.Unreadable.clear();
+  Record.Stored = Changed;
+  Record.Unreadable.clear();
   if (Changed.Withdrawn) {
-    Known.Parsed = nullptr;
+    Record.Parsed = nullptr;
     return;
   }
   auto Parsed = record::parseRecord(Changed.Text);
   if (Parsed && Parsed.value().Kind == Changed.Kind &&
       Parsed.value().Name == Changed.Name)
-    Known.Parsed =
+    Record.Parsed =
         std::make_shared<const record::Record>(std::move(Parsed).value());
   else
-    Known.Unreadable =
+    Record.Unreadable =
         Parsed ? "the text names another record" : Parsed.error().Message;
 }
 
@@ -48,29 +48,31 @@
   Changes.Base = Revision;
   Changes.Head = m_Revision;
   Changes.Full = Revision == 0;
-  for (const auto &[Key, Known] : m_Items)
-    if (Known.Stored.Revision > Revision)
-      Changes.Entries.push_back(Known.Stored);
+  for (const auto &[Key, Record] : m_Records)
+    if (Record.Stored.Revision > Revision)
+      Changes.Records.push_back(Record.Stored);
   return Changes;
 }
 
-const Item *Snapshot::find(std::string_view Kind, std::string_view Name) const {
-  auto Found = m_Items.find({std::string(Kind), std::string(Name)});
-  return Found == m_Items.end() ? nullptr : &Found->second;
+const SnapshotRecord *Snapshot::find(std::string_view Kind,
+                                     std::string_view Name) const {
+  auto Record = m_Records.find({std::string(Kind), std::string(Name)});
+  return Record == m_Records.end() ? nullptr : &Record->second;
 }
 
-std::vector<const Item *> Snapshot::list(std::string_view Kind) const {
-  std::vector<const Item *> Found;
-  for (const auto &[Key, Known] : m_Items)
+std::vector<const SnapshotRecord *>
+Snapshot::list(std::string_view Kind) const {
+  std::vector<const SnapshotRecord *> Records;
+  for (const auto &[Key, Record] : m_Records)
     if (Kind.empty() || Key.first == Kind)
-      Found.push_back(&Known);
-  return Found;
+      Records.push_back(&Record);
+  return Records;
 }
 
 const record::Specification *
 Snapshot::specification(std::string_view Kind, std::string_view Name) const {
-  const Item *Found = find(Kind, Name);
-  return Found && Found->Parsed ? &Found->Parsed->Spec : nullptr;
+  const SnapshotRecord *Record = find(Kind, Name);
+  return Record && Record->Parsed ? &Record->Parsed->Spec : nullptr;
 }
 
 const record::BackEnd *Snapshot::backEnd(std::string_view Name) const {
@@ -85,9 +87,9 @@
 
 record::TargetIntent Snapshot::targetIntent(std::string_view VmId) const {
   const auto *Spec = specification("target", VmId);
-  const auto *Wish =
+  const auto *Requested =
       Spec ? std::get_if<record::TargetDesiredState>(Spec) : nullptr;
-  return Wish ? Wish->Intent : record::TargetIntent::Serve;
+  return Requested ? Requested->Intent : record::TargetIntent::Serve;
 }
 
 } // namespace figlift::config
--- a/Libraries/LibConfig/SnapshotCell.cpp
+++ b/Libraries/LibConfig/SnapshotCell.cpp
@@ -1,6 +1,6 @@
 //===- SnapshotCell.cpp - The current snapshot under RCU ------------------===//
 //
-// Replacing the snapshot and waiting for its readers.
+// Replaces the snapshot and waits for its readers.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Libraries/LibConfig/StatusProvider.h
+++ b/Libraries/LibConfig/StatusProvider.h
@@ -1,6 +1,6 @@
-//===- StatusProvider.h - What an entry knows of the others -----*- C++ -*-===//
+//===- StatusProvider.h - Fleet status as seen by an entry ------*- C++ -*-===//
 //
-// Implemented by the entry; the operator API shows it.
+// Implemented by the entry and served by the operator API.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,11 +24,11 @@
   std::string Id;
   std::string BackEnd;
   std::string Zone;
-  /// "recovering", "serving", "draining", "drained" as the agent says;
-  /// "unreachable" when it is on the VM list and no stream to it is up;
-  /// "gone" when the list says so.
+  /// "recovering", "serving", "draining" or "drained" as reported by the agent;
+  /// "unreachable" if the VM list contains the target and no stream to it is
+  /// open; "gone" according to the VM list.
   std::string State;
-  /// 0 when this entry has no word from the agent.
+  /// 0 if this entry has not received a report from the agent.
   uint64_t RevisionInForce = 0;
   std::string Role;
   TargetLoad Load;
@@ -39,7 +39,7 @@
   std::string Id;
   /// "serving", "draining" or "unreachable".
   std::string State;
-  /// 0 when this entry has no word from the other.
+  /// 0 if this entry has not received a message from the other entry.
   uint64_t RevisionInForce = 0;
 };
 
@@ -49,9 +49,9 @@
   /// Id of this entry.
   virtual std::string entryId() const = 0;
   virtual std::vector<TargetStatus> targets() const = 0;
-  /// The other entries as far as this one knows them.
+  /// The other entries that this entry knows.
   virtual std::vector<EntryStatus> entries() const = 0;
-  /// Events that name a request or a target, oldest first, a line each.
+  /// Events of a request or a target, oldest first, one line each.
   virtual std::vector<std::string> explain(const std::string &Id) const = 0;
 };
 
--- a/Libraries/LibConfig/WireDelta.cpp
+++ b/Libraries/LibConfig/WireDelta.cpp
@@ -1,6 +1,6 @@
-//===- WireDelta.cpp - Changes of the configuration on the wire -----------===//
+//===- WireDelta.cpp - Wire format of configuration changes ---------------===//
 //
-// Field by field.
+// Converts each field.
 //
 //===----------------------------------------------------------------------===//
 
@@ -8,34 +8,34 @@
 
 namespace figlift::config {
 
-static void fill(const Entry &From, wire::Record &To) {
-  To.set_kind(From.Kind);
-  To.set_name(From.Name);
-  To.set_version(From.Version);
-  To.set_revision(From.Revision);
-  To.set_withdrawn(From.Withdrawn);
-  To.set_json(From.Text);
+static void fill(const StoredRecord &Source, wire::Record &Output) {
+  Output.set_kind(Source.Kind);
+  Output.set_name(Source.Name);
+  Output.set_version(Source.Version);
+  Output.set_revision(Source.Revision);
+  Output.set_withdrawn(Source.Withdrawn);
+  Output.set_json(Source.Text);
 }
 
-static Entry entryOf(const wire::Record &From) {
-  return {From.kind(),     From.name(),      From.version(),
-          From.revision(), From.withdrawn(), From.json()};
+static StoredRecord toStoredRecord(const wire::Record &Source) {
+  return {Source.kind(),     Source.name(),      Source.version(),
+          Source.revision(), Source.withdrawn(), Source.json()};
 }
 
 template <typename Message>
-static void fillRecords(const Delta &From, Message &To) {
-  To.set_full(From.Full);
-  To.set_head_revision(From.Head);
-  for (const Entry &Each : From.Entries)
-    fill(Each, *To.add_records());
+static void fillRecords(const Delta &Source, Message &Output) {
+  Output.set_full(Source.Full);
+  Output.set_head_revision(Source.Head);
+  for (const StoredRecord &Record : Source.Records)
+    fill(Record, *Output.add_records());
 }
 
-template <typename Message> static Delta deltaOf(const Message &From) {
+template <typename Message> static Delta deltaOf(const Message &Source) {
   Delta Changes;
-  Changes.Full = From.full();
-  Changes.Head = From.head_revision();
-  for (const wire::Record &Each : From.records())
-    Changes.Entries.push_back(entryOf(Each));
+  Changes.Full = Source.full();
+  Changes.Head = Source.head_revision();
+  for (const wire::Record &Record : Source.records())
+    Changes.Records.push_back(toStoredRecord(Record));
   return Changes;
 }
 
--- a/Libraries/LibConfig/WireDelta.h
+++ b/Libraries/LibConfig/WireDelta.h
@@ -1,6 +1,6 @@
-//===- WireDelta.h - Changes of the configuration on the wire ---*- C++ -*-===//
+//===- WireDelta.h - Wire format of configuration changes -------*- C++ -*-===//
 //
-// Converts between Delta and the messages that carry it.
+// Converts between Delta and the messages that contain it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,15 +13,15 @@
 
 namespace figlift::config {
 
-/// What an entry sends on a Sync stream. A delta without entries is sent too:
-/// it tells the peer the head.
+/// The message that an entry sends on a Sync stream. A delta without records is
+/// sent as well, because it carries the head revision.
 wire::SyncUp toSyncUp(const Delta &Changes, const std::string &EntryId);
 Delta fromSyncUp(const wire::SyncUp &Message);
 
-/// The answer to a ConfigurationRequest; \p Changes is the diff of the
+/// The response to a ConfigurationRequest; \p Changes is the diff of the
 /// snapshot since the request's after_revision.
 wire::ConfigurationReply toReply(const Delta &Changes);
-/// \p After is the after_revision of the request that was answered.
+/// \p After is the after_revision of the corresponding request.
 Delta fromReply(const wire::ConfigurationReply &Message, uint64_t After);
 
 } // namespace figlift::config
--- a/Services/figlift-agent/Agent.cpp
+++ b/Services/figlift-agent/Agent.cpp
@@ -182,7 +182,7 @@
 
 uint64_t Agent::recordRevision() const {
   const auto &Now = m_Configuration->inForce();
-  const config::Item *Record =
+  const config::SnapshotRecord *Record =
       Now ? Now->find("target", m_Shared.Settings.Process.Id) : nullptr;
   return Record ? Record->Stored.Revision : 0;
 }
--- a/Services/figlift-agent/Configuration.cpp
+++ b/Services/figlift-agent/Configuration.cpp
@@ -49,7 +49,7 @@
 }
 
 void Configuration::onSync(const wire::SyncUp &Message) {
-  step(PushedByPeer{config::fromSyncUp(Message)});
+  step(ChangesPushed{config::fromSyncUp(Message)});
 }
 
 void Configuration::onConfiguration(StreamId Stream,
@@ -123,7 +123,7 @@
     return Then(true);
   m_Waiting.push_back(
       {Revision, std::move(Then), BootClock::now() + WaitLimit});
-  step(SeenRevision{Revision});
+  step(RevisionSeen{Revision});
 }
 
 void Configuration::endWaits() {
@@ -144,7 +144,7 @@
   std::set<std::string> Out;
   if (!inForce())
     return Out;
-  for (const config::Item *Target : inForce()->list("target"))
+  for (const config::SnapshotRecord *Target : inForce()->list("target"))
     if (inForce()->targetIntent(Target->Stored.Name) !=
         record::TargetIntent::Serve)
       Out.insert(Target->Stored.Name);
--- a/Services/figlift-agent/Configuration.h
+++ b/Services/figlift-agent/Configuration.h
@@ -44,7 +44,7 @@
   /// it is already, and with false when it could not be had in time.
   void require(uint64_t Revision, std::function<void(bool)> Then);
   /// An entry is connected, which is a sign of life.
-  void peerHeard() { step(config::follower::PeerHeard{}); }
+  void peerHeard() { step(config::follower::PeerAlive{}); }
   void tick();
 
   const config::SnapshotPointer &inForce() const {
--- a/Services/figlift-entry/CallerApi.cpp
+++ b/Services/figlift-entry/CallerApi.cpp
@@ -74,7 +74,8 @@
   const ServingSnapshot Now = readServingState(Context);
   addRevisionHeader(Caller, Now);
   nlohmann::ordered_json Models = nlohmann::ordered_json::array();
-  for (const config::Item *Item : Now.Configuration->list("backEnd")) {
+  for (const config::SnapshotRecord *Item :
+       Now.Configuration->list("backEnd")) {
     const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = Now.Configuration->backEnd(Name);
     if (!BackEnd)
--- a/Services/figlift-entry/CompletionRequest.cpp
+++ b/Services/figlift-entry/CompletionRequest.cpp
@@ -132,7 +132,7 @@
                      "model");
     return success();
   }
-  for (const config::Item *Item : Records.list("backEnd")) {
+  for (const config::SnapshotRecord *Item : Records.list("backEnd")) {
     const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = Records.backEnd(Name);
     if (!BackEnd)
--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -57,7 +57,7 @@
 
 std::vector<std::string> serviceBackEnds(const config::Snapshot &Snapshot) {
   std::vector<std::string> Names;
-  for (const config::Item *Item : Snapshot.list("backEnd"))
+  for (const config::SnapshotRecord *Item : Snapshot.list("backEnd"))
     if (const record::BackEnd *Spec = Snapshot.backEnd(Item->Stored.Name);
         Spec && Spec->Type == record::BackEndType::Service)
       Names.push_back(Item->Stored.Name);
@@ -175,7 +175,9 @@
     });
     m_Fleet->start(
         [this](std::vector<Endpoint> Peers) { m_Peers->setPeers(Peers); },
-        [this](uint64_t Revision) { m_Configuration->sawRevision(Revision); });
+        [this](uint64_t Revision) {
+          m_Configuration->observeRevision(Revision);
+        });
   });
 }
 
@@ -219,7 +221,7 @@
             return State ? std::string() : State.error().Message;
           },
           [this](const config::ChangeOutcome &Outcome) {
-            m_Configuration->committed(Outcome);
+            m_Configuration->onCommitted(Outcome);
           },
           [this](const std::string &Target, bool Undo) {
             return requestDrain(Target, Undo);
@@ -266,7 +268,7 @@
   m_Calls = std::make_unique<CallContext>(CallContext{
       m_State, m_Timers, m_Events, m_CallMetrics, m_Ids, m_Budget,
       m_Fleet->healthBook(), m_Workspaces, m_Routing, m_RetryOptions,
-      [this](uint64_t Revision) { m_Configuration->sawRevision(Revision); },
+      [this](uint64_t Revision) { m_Configuration->observeRevision(Revision); },
       [this](const std::string &BackEnd) { m_Homes->requestRead(BackEnd); }});
 
   std::vector<http::Route> Routes = http::administrationRoutes(
--- a/Services/figlift-entry/EntryShardView.cpp
+++ b/Services/figlift-entry/EntryShardView.cpp
@@ -83,7 +83,7 @@
   const config::SnapshotPointer &Configuration = m_Fleet.configuration();
   if (!Configuration)
     return Shards;
-  for (const config::Item *Item : Configuration->list("backEnd"))
+  for (const config::SnapshotRecord *Item : Configuration->list("backEnd"))
     if (Configuration->backEnd(Item->Stored.Name))
       Shards.push_back({Item->Stored.Name, m_Settings.Process.Region});
   return Shards;
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -246,7 +246,7 @@
   log::logEvent(log::Level::Info, "revision-in-force",
                 {{"revision", Revision}});
   membership::WishesRead Wishes;
-  for (const config::Item *Item : m_Configuration->list("target"))
+  for (const config::SnapshotRecord *Item : m_Configuration->list("target"))
     Wishes.Wishes[Item->Stored.Name] =
         m_Configuration->targetIntent(Item->Stored.Name);
   step(Wishes);
--- a/Services/figlift-entry/FleetPublish.cpp
+++ b/Services/figlift-entry/FleetPublish.cpp
@@ -59,7 +59,7 @@
   std::map<std::string, route::ClassBounds> Bounds;
   if (!m_Configuration)
     return Bounds;
-  for (const config::Item *Item : m_Configuration->list("backEnd")) {
+  for (const config::SnapshotRecord *Item : m_Configuration->list("backEnd")) {
     const std::string &Name = Item->Stored.Name;
     const record::BackEnd *BackEnd = m_Configuration->backEnd(Name);
     if (!BackEnd)
--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -21,7 +21,8 @@
   return true;
 }();
 
-config::Entry backEndEntry(const std::string &Name, const std::string &Text) {
+config::StoredRecord backEndEntry(const std::string &Name,
+                                  const std::string &Text) {
   return {.Kind = "backEnd",
           .Name = Name,
           .Version = 1,
@@ -36,7 +37,7 @@
   config::Delta Delta;
   Delta.Head = 1;
   Delta.Full = true;
-  Delta.Entries = {
+  Delta.Records = {
       backEndEntry("lm-desk", R"({"schemaVersion": 1, "kind": "backEnd",
         "name": "lm-desk", "spec": {"type": "model",
         "models": [{"name": "desk", "version": "1"}],
@@ -45,7 +46,7 @@
         "name": "booking-core", "spec": {"type": "service",
         "nonRepeatablePaths": ["/slots"],
         "immediatePaths": ["/waivers"]}})")};
-  return config::Snapshot::empty()->with(Delta);
+  return config::Snapshot::empty()->apply(Delta);
 }
 
 wire::RunFrame FakeAgent::ReceivedCall::frame() const {
--- a/Tests/Fuzz/Decoders.cpp
+++ b/Tests/Fuzz/Decoders.cpp
@@ -78,7 +78,7 @@
   Row.Version = 1;
   Row.Value = std::string(Bytes);
   for (const std::string &Fault :
-       {judge(config::decodeHead(Row)), judge(config::decodeEntry(Row)),
+       {judge(config::decodeHead(Row)), judge(config::decodeRecord(Row)),
         judge(config::decodeChange(Row)), judge(config::decodeOperation(Row))})
     if (!Fault.empty())
       return Fault;
--- a/Tests/LibConfig/FakeTable.h
+++ b/Tests/LibConfig/FakeTable.h
@@ -1,6 +1,6 @@
-//===- FakeTable.h - The table in memory, with faults -----------*- C++ -*-===//
+//===- FakeTable.h - In-memory table with fault injection -------*- C++ -*-===//
 //
-// Answers at once on the caller's thread. Faults are set for the next calls.
+// Calls back at once on the caller's thread. Faults apply to the next calls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,29 +14,29 @@
 
 namespace figlift::test {
 
-/// LateEffect: no answer, and the effect comes only with the next commit.
-/// DownAfterwards: the commit is answered, and every later call fails.
+/// LateEffect: the response is lost and the effect is delayed until the next
+/// commit. DownAfterwards: the commit succeeds, and every later call fails.
 enum class Fault {
   None,
   Down,
-  EffectWithoutAnswer,
-  LostBeforeEffect,
+  EffectWithLostResponse,
+  LostWithoutEffect,
   LateEffect,
   DownAfterwards
 };
 
 class FakeTable : public platform::Table {
 public:
-  /// Of every call while it is set.
+  /// While set, every call fails with StoreUnavailable.
   void setDown(bool Down) {
     std::lock_guard Lock(m_Mutex);
     m_Down = Down;
   }
-  /// Of the next commits, one each.
+  /// Faults of the next commits, one each.
   std::deque<Fault> CommitFaults;
-  /// Called before every commit, for what others do meanwhile.
+  /// Called once before the next commit, to simulate concurrent changes.
   std::function<void()> BeforeCommit;
-  unsigned Commits = 0;
+  unsigned CommitCount = 0;
 
   void read(std::string Key, platform::Callback<platform::Row> Done) override {
     if (isDown())
@@ -48,38 +48,38 @@
                  platform::Callback<std::vector<platform::Row>> Done) override {
     if (isDown())
       return Done(down());
-    std::vector<platform::Row> Found;
+    std::vector<platform::Row> Rows;
     std::unique_lock Lock(m_Mutex);
     for (const auto &[Key, Row] : m_Rows)
       if (Row.Version && Key.starts_with(Prefix) && Key > After &&
-          Found.size() < Limit)
-        Found.push_back(Row);
+          Rows.size() < Limit)
+        Rows.push_back(Row);
     Lock.unlock();
-    Done(std::move(Found));
+    Done(std::move(Rows));
   }
 
-  void commit(platform::Transaction What,
+  void commit(platform::Transaction Transaction,
               platform::Callback<std::monostate> Done) override {
-    if (auto Before = std::exchange(BeforeCommit, nullptr))
-      Before();
-    ++Commits;
-    if (auto Late = std::exchange(m_Late, std::nullopt))
-      apply(*Late);
-    Fault Now = Fault::None;
+    if (auto Callback = std::exchange(BeforeCommit, nullptr))
+      Callback();
+    ++CommitCount;
+    if (auto Delayed = std::exchange(m_DelayedCommit, std::nullopt))
+      apply(*Delayed);
+    Fault Injected = Fault::None;
     if (!CommitFaults.empty()) {
-      Now = CommitFaults.front();
+      Injected = CommitFaults.front();
       CommitFaults.pop_front();
     }
-    if (isDown() || Now == Fault::Down)
+    if (isDown() || Injected == Fault::Down)
       return Done(down());
-    if (Now == Fault::LateEffect)
-      m_Late = What;
-    if (Now == Fault::LostBeforeEffect || Now == Fault::LateEffect)
+    if (Injected == Fault::LateEffect)
+      m_DelayedCommit = Transaction;
+    if (Injected == Fault::LostWithoutEffect || Injected == Fault::LateEffect)
       return Done(failure(ResultCode::StoreOutcomeUnknown, "answer lost"));
-    bool Applied = apply(What);
-    if (Now == Fault::DownAfterwards)
+    bool Applied = apply(Transaction);
+    if (Injected == Fault::DownAfterwards)
       setDown(true);
-    if (Now == Fault::EffectWithoutAnswer)
+    if (Injected == Fault::EffectWithLostResponse)
       return Done(failure(ResultCode::StoreOutcomeUnknown, "answer lost"));
     if (!Applied)
       return Done(failure(ResultCode::StoreConflict, "conflict"));
@@ -88,8 +88,8 @@
 
   platform::Row rowOf(const std::string &Key) {
     std::lock_guard Lock(m_Mutex);
-    auto Found = m_Rows.find(Key);
-    return Found == m_Rows.end() ? platform::Row{Key, 0, ""} : Found->second;
+    auto Row = m_Rows.find(Key);
+    return Row == m_Rows.end() ? platform::Row{Key, 0, ""} : Row->second;
   }
 
 private:
@@ -101,12 +101,12 @@
     return failure(ResultCode::StoreUnavailable, "down");
   }
 
-  bool apply(const platform::Transaction &What) {
+  bool apply(const platform::Transaction &Transaction) {
     std::lock_guard Lock(m_Mutex);
-    for (const auto &[Key, Version] : What.Conditions)
+    for (const auto &[Key, Version] : Transaction.Conditions)
       if (m_Rows[Key].Version != Version)
         return false;
-    for (const auto &[Key, Value] : What.Writes) {
+    for (const auto &[Key, Value] : Transaction.Writes) {
       platform::Row &Row = m_Rows[Key];
       Row = Value ? platform::Row{Key, Row.Version + 1, *Value}
                   : platform::Row{Key, 0, ""};
@@ -117,7 +117,7 @@
   std::mutex m_Mutex;
   std::map<std::string, platform::Row> m_Rows;
   bool m_Down = false;
-  std::optional<platform::Transaction> m_Late;
+  std::optional<platform::Transaction> m_DelayedCommit;
 };
 
 } // namespace figlift::test
--- a/Tests/LibConfig/TestConfigService.cpp
+++ b/Tests/LibConfig/TestConfigService.cpp
@@ -1,6 +1,6 @@
-//===- TestConfigService.cpp - The shell and the operator API -------------===//
+//===- TestConfigService.cpp - Configuration service and operator API -----===//
 //
-// Two entries' services over one table in memory, and the HTTP paths.
+// Services of two entries that share an in-memory table, and the HTTP paths.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,14 @@
 
 namespace {
 
-class OneTarget : public StatusProvider {
+class SingleTargetStatus : public StatusProvider {
 public:
   std::string entryId() const override { return "entry-1"; }
   std::vector<TargetStatus> targets() const override {
-    TargetStatus Known;
-    Known.Id = "t1";
-    Known.State = "serving";
-    return {Known};
+    TargetStatus Target;
+    Target.Id = "t1";
+    Target.State = "serving";
+    return {Target};
   }
   std::vector<EntryStatus> entries() const override { return {}; }
   std::vector<std::string> explain(const std::string &Id) const override {
@@ -38,16 +38,17 @@
   }
 };
 
-/// An entry's configuration with its operator API.
+/// Configuration service and operator API of an entry.
 struct Node {
-  explicit Node(FakeTable &Table, PeerFetcher Peers = failing())
+  explicit Node(FakeTable &Table, PeerFetcher Peers = unreachablePeers())
       : Service({}, makeTableSource(Table, std::move(Peers)), {}),
-        Operator(
-            {Table, Status, [this] { return Service.current(); },
-             [] { return std::string(); },
-             [this](const ChangeOutcome &What) { Service.committed(What); }}) {}
+        Operator({Table, Status, [this] { return Service.current(); },
+                  [] { return std::string(); },
+                  [this](const ChangeOutcome &Outcome) {
+                    Service.onCommitted(Outcome);
+                  }}) {}
 
-  static PeerFetcher failing() {
+  static PeerFetcher unreachablePeers() {
     return [](uint64_t, bool, platform::Callback<Delta> Done) {
       Done(failure(ResultCode::PeerUnreachable, "no peer"));
     };
@@ -61,28 +62,28 @@
     Request.Path = "/operator/v1/" + Path;
     Request.Body = Body;
     Request.Query = std::move(Query);
-    std::promise<http::Response> Answer;
-    Operator.handle(Request, [&Answer](http::Response Given) {
-      Answer.set_value(std::move(Given));
+    std::promise<http::Response> Promise;
+    Operator.handle(Request, [&Promise](http::Response Response) {
+      Promise.set_value(std::move(Response));
     });
-    return Answer.get_future().get();
+    return Promise.get_future().get();
   }
 
   bool reaches(uint64_t Revision) {
     std::promise<bool> Reached;
-    Service.whenReached(Revision, 3s,
-                        [&Reached](bool Good) { Reached.set_value(Good); });
+    Service.whenReached(
+        Revision, 3s, [&Reached](bool InForce) { Reached.set_value(InForce); });
     return Reached.get_future().get();
   }
 
-  OneTarget Status;
+  SingleTargetStatus Status;
   ConfigService Service;
   OperatorService Operator;
 };
 
 const std::string Operation = "01890a5d-ac96-774b-bcce-b302099a8057";
 
-std::string submission(const std::string &Text) {
+std::string submissionBody(const std::string &Text) {
   return Json{{"operationId", Operation}, {"records", {Text}}}.dump();
 }
 
@@ -93,39 +94,39 @@
 
 TEST_GROUP(ConfigService){};
 
-// Symptom: an acknowledged change is in force nowhere for as long as the store
-// is down.
-// Sequence: the change is committed and acknowledged; the store goes down at
-// once. Cause: the entry that had committed it read it back from the store.
-TEST(ConfigService, PutsItsOwnChangeIntoForceThoughTheStoreGoesDown) {
+// Guards against an acknowledged change that is not in force anywhere during an
+// outage: the store goes down right after the commit, and the entry must not
+// need to read its own change back.
+TEST(ConfigService, AppliesItsOwnChangeAlthoughTheStoreGoesDown) {
   FakeTable Table;
   Node First(Table);
   Table.CommitFaults = {test::Fault::DownAfterwards};
-  CHECK_EQUAL(200, First.call("POST", "records", submission(Workspace)).Status);
+  CHECK_EQUAL(200,
+              First.call("POST", "records", submissionBody(Workspace)).Status);
   CHECK_TRUE(First.reaches(1));
 }
 
-TEST(ConfigService, PutsAnAcceptedChangeIntoForceAtEveryEntry) {
+TEST(ConfigService, AppliesAnAcceptedChangeAtEveryEntry) {
   FakeTable Table;
   Node First(Table), Second(Table);
-  auto Answer = First.call("POST", "records", submission(Workspace));
-  CHECK_EQUAL(200, Answer.Status);
-  CHECK_EQUAL(1, Json::parse(Answer.Body)["revision"].get<int>());
+  auto Response = First.call("POST", "records", submissionBody(Workspace));
+  CHECK_EQUAL(200, Response.Status);
+  CHECK_EQUAL(1, Json::parse(Response.Body)["revision"].get<int>());
   CHECK_TRUE(First.reaches(1));
-  // The second learns it from a message that carries the revision.
+  // A message with the new revision makes the second entry fetch the change.
   CHECK_TRUE(Second.reaches(1));
   double Share = Second.Service.snapshots().read(
       [](const Snapshot *Current) { return Current->workspace("w")->Share; });
   DOUBLES_EQUAL(2.0, Share, 0);
-  // A lost answer is settled by sending the operation to another entry.
-  Answer = Second.call("POST", "records", submission(Workspace));
-  CHECK_EQUAL(1, Json::parse(Answer.Body)["revision"].get<int>());
+  // After a lost response, the operation can be retried at another entry.
+  Response = Second.call("POST", "records", submissionBody(Workspace));
+  CHECK_EQUAL(1, Json::parse(Response.Body)["revision"].get<int>());
 }
 
-TEST(ConfigService, BringsANewProcessUpFromAPeerDuringAnOutage) {
+TEST(ConfigService, StartsANewProcessFromAPeerDuringAnOutage) {
   FakeTable Table;
   Node Old(Table);
-  Old.call("POST", "records", submission(Workspace));
+  Old.call("POST", "records", submissionBody(Workspace));
   CHECK_TRUE(Old.reaches(1));
   Table.setDown(true);
   Node New(Table, [&](uint64_t After, bool, platform::Callback<Delta> Done) {
@@ -140,14 +141,14 @@
   Table.setDown(true);
   Node Alone(Table);
   std::promise<bool> Reached;
-  Alone.Service.whenReached(1, 200ms,
-                            [&Reached](bool Good) { Reached.set_value(Good); });
+  Alone.Service.whenReached(
+      1, 200ms, [&Reached](bool InForce) { Reached.set_value(InForce); });
   CHECK_FALSE(Reached.get_future().get());
   CHECK_FALSE(Alone.Service.serving());
   CHECK_EQUAL(503, Alone.call("GET", "records").Status);
 }
 
-TEST(ConfigService, AnswersOperators) {
+TEST(ConfigService, HandlesOperatorRequests) {
   FakeTable Table;
   Node Entry(Table);
   CHECK_EQUAL(200, Entry.call("POST", "targets/t1/drain").Status);
@@ -159,8 +160,8 @@
   STRCMP_EQUAL("t1", Status["targets"][0]["id"].get<std::string>().c_str());
   auto Record = Json::parse(Entry.call("GET", "records/target/t1").Body);
   CHECK_EQUAL(1, Record["version"].get<int>());
-  auto Why = Json::parse(Entry.call("GET", "explain/t1").Body);
-  CHECK_EQUAL(1u, Why["events"].size());
+  auto Explanation = Json::parse(Entry.call("GET", "explain/t1").Body);
+  CHECK_EQUAL(1u, Explanation["events"].size());
   CHECK_EQUAL(
       200, Entry.call("DELETE", "records/target/t1", "", {{"ifVersion", "1"}})
                .Status);
@@ -168,7 +169,7 @@
   CHECK_EQUAL(404, Entry.call("GET", "records/target/t1").Status);
 }
 
-TEST(ConfigService, RefusesWhatOperatorsGetWrongAndNamesTheField) {
+TEST(ConfigService, RejectsInvalidOperatorRequestsAndNamesTheField) {
   FakeTable Table;
   Node Entry(Table);
   struct Case {
@@ -181,8 +182,8 @@
       R"({"schemaVersion":1,"kind":"workspace","name":"w","spec":{"shar":2}})";
   std::string Twice = std::string("[") + Workspace + "," + Workspace + "]";
   const Case Cases[] = {
-      {"POST", "records", submission(Bad), 401, "spec.shar"},
-      {"POST", "records", submission(Twice), 401, "name"},
+      {"POST", "records", submissionBody(Bad), 401, "spec.shar"},
+      {"POST", "records", submissionBody(Twice), 401, "name"},
       {"POST", "records", "[]", 101, ""},
       {"POST", "records", R"({"records":"x"})", 101, "records"},
       {"POST", "records", R"({"records":[],"operationId":"7"})", 101,
@@ -193,9 +194,9 @@
       {"PUT", "records", "", 101, ""},
   };
   for (const auto &[Method, Path, Body, Code, Field] : Cases) {
-    auto Answer = Json::parse(Entry.call(Method, Path, Body).Body);
-    CHECK_EQUAL_TEXT(Code, Answer["code"].get<int>(), Path);
-    STRCMP_EQUAL_TEXT(Field, Answer.value("field", "").c_str(), Path);
+    auto Response = Json::parse(Entry.call(Method, Path, Body).Body);
+    CHECK_EQUAL_TEXT(Code, Response["code"].get<int>(), Path);
+    STRCMP_EQUAL_TEXT(Field, Response.value("field", "").c_str(), Path);
   }
-  CHECK_EQUAL(0u, Table.Commits);
+  CHECK_EQUAL(0u, Table.CommitCount);
 }
--- a/Tests/LibConfig/TestOperatorClient.cpp
+++ b/Tests/LibConfig/TestOperatorClient.cpp
@@ -1,6 +1,7 @@
 //===- TestOperatorClient.cpp - Operators' writes over several entries ----===//
 //
-// Scripted entries lose answers and refuse; the status of a rollout is judged.
+// Scripted entries that lose responses or reject writes, and the evaluation of
+// a rollout's status.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,16 +19,17 @@
 
 namespace {
 
-constexpr auto Says = Step::What::Answer;
-const Step Committed{Says, 200, R"({"revision":4})"};
-const Step StoreDown{Says, 503, R"({"code":601,"detail":"down"})"};
-const Step Unknown{Says, 504, R"({"code":603,"detail":"lost"})"};
-const Step Conflict{Says, 409, R"({"code":402,"detail":"version 3"})"};
-const Step Invalid{Says, 422, R"({"code":401,"detail":"bad","field":"spec"})"};
+constexpr auto Responds = Step::What::Answer;
+const Step Committed{Responds, 200, R"({"revision":4})"};
+const Step StoreDown{Responds, 503, R"({"code":601,"detail":"down"})"};
+const Step Unknown{Responds, 504, R"({"code":603,"detail":"lost"})"};
+const Step Conflict{Responds, 409, R"({"code":402,"detail":"version 3"})"};
+const Step Invalid{Responds, 422,
+                   R"({"code":401,"detail":"bad","field":"spec"})"};
 const Step Lost{Step::What::CloseWithoutAnswer};
 const Step Silent{Step::What::Silence};
 
-Result<std::string> writeTo(std::vector<uint16_t> Ports) {
+Result<std::string> writeThrough(std::vector<uint16_t> Ports) {
   OperatorClientOptions Options;
   for (uint16_t Port : Ports)
     Options.Entries.push_back({"127.0.0.1", Port});
@@ -36,7 +38,7 @@
   return OperatorClient(Options).write(platform::HttpVerb::Post, "/x", "{}");
 }
 
-EntryAnswer status(const std::string &Body) {
+EntryResponse status(const std::string &Body) {
   return {Endpoint{"127.0.0.1", 1}, true, Body};
 }
 
@@ -44,10 +46,10 @@
 
 TEST_GROUP(OperatorClient){};
 
-TEST(OperatorClient, TellsTheTruthAboutEveryPairOfAnswers) {
-  // Symptom: an operator is told "refused" of a change that is in force.
-  // Sequence: the first entry commits and its answer is lost; the second one
-  // refuses. Cause: the last answer is taken for the outcome.
+TEST(OperatorClient, ReportsTheOutcomeOfEveryPairOfResponses) {
+  // Guards against reporting a change as rejected although it is in force: the
+  // first entry commits and its response is lost, the second one rejects the
+  // change, and the last response must not be used as the outcome.
   struct Case {
     Step First, Second;
     ResultCode Expected;
@@ -68,23 +70,23 @@
       {Silent, Lost, ResultCode::StoreOutcomeUnknown},
   };
   for (const auto &[First, Second, Expected] : Cases) {
-    RawServer One({First}), Two({Second});
-    auto Answer = writeTo({One.port(), Two.port()});
+    RawServer FirstEntry({First}), SecondEntry({Second});
+    auto Response = writeThrough({FirstEntry.port(), SecondEntry.port()});
     CHECK_EQUAL(static_cast<int>(Expected),
-                Answer ? 0 : static_cast<int>(Answer.error().Code));
+                Response ? 0 : static_cast<int>(Response.error().Code));
   }
 }
 
-TEST(OperatorClient, KnowsThatNothingWasDoneWhereNothingListens) {
+TEST(OperatorClient, ReportsNoEffectIfNoEntryListens) {
   uint16_t Free = RawServer({}).port();
-  CHECK_TRUE(writeTo({Free}).error().Code == ResultCode::PeerUnreachable);
-  RawServer Running({Committed});
-  CHECK_TRUE(writeTo({Free, Running.port()}).has_value());
+  CHECK_TRUE(writeThrough({Free}).error().Code == ResultCode::PeerUnreachable);
+  RawServer Listening({Committed});
+  CHECK_TRUE(writeThrough({Free, Listening.port()}).has_value());
 }
 
 TEST_GROUP(Rollout){};
 
-TEST(Rollout, ListsWhoLagsAndCountsWhatAnyEntryKnows) {
+TEST(Rollout, ListsLaggingProcessesAndCombinesReportsOfAllEntries) {
   auto First = status(R"({"entry":"e1","revision":5,"serving":true,"targets":[
     {"id":"t1","state":"serving","revisionInForce":5},
     {"id":"t2","state":"unreachable","revisionInForce":0},
@@ -93,21 +95,21 @@
   auto Second = status(R"({"entry":"e2","revision":5,"serving":true,"targets":[
     {"id":"t1","state":"unreachable","revisionInForce":0},
     {"id":"t2","state":"serving","revisionInForce":4}],"entries":[]})");
-  auto Found = rolloutOf({First, Second}, 5);
-  CHECK_EQUAL(3u, Found.InForce);
-  CHECK_EQUAL(1u, Found.Lagging.size());
-  STRCMP_EQUAL("target t2: revision 4, serving", Found.Lagging[0].c_str());
-  CHECK_TRUE(rolloutOf({First, Second}, 4).complete());
+  auto Status = rolloutStatus({First, Second}, 5);
+  CHECK_EQUAL(3u, Status.InForce);
+  CHECK_EQUAL(1u, Status.Lagging.size());
+  STRCMP_EQUAL("target t2: revision 4, serving", Status.Lagging[0].c_str());
+  CHECK_TRUE(rolloutStatus({First, Second}, 4).complete());
 
-  EntryAnswer CutOff{Endpoint{"127.0.0.1", 2}, true,
-                     failure(ResultCode::PeerUnreachable, "timeout")};
-  CHECK_FALSE(rolloutOf({First, Second, CutOff}, 4).complete());
-  CutOff.Running = false;
-  CHECK_TRUE(rolloutOf({First, Second, CutOff}, 4).complete());
-  CHECK_FALSE(rolloutOf({CutOff}, 4).complete());
+  EntryResponse Unreachable{Endpoint{"127.0.0.1", 2}, true,
+                            failure(ResultCode::PeerUnreachable, "timeout")};
+  CHECK_FALSE(rolloutStatus({First, Second, Unreachable}, 4).complete());
+  Unreachable.Listening = false;
+  CHECK_TRUE(rolloutStatus({First, Second, Unreachable}, 4).complete());
+  CHECK_FALSE(rolloutStatus({Unreachable}, 4).complete());
 }
 
-TEST(Rollout, KnowsADrainedTarget) {
+TEST(Rollout, DetectsADrainedTarget) {
   auto Status = [](const std::string &State) {
     return status(R"({"entry":"e1","targets":[{"id":"t1","state":")" + State +
                   R"("}]})");
--- a/Utilities/figlift-ctl/Runner.cpp
+++ b/Utilities/figlift-ctl/Runner.cpp
@@ -135,7 +135,7 @@
   auto Until = std::chrono::steady_clock::now() + *m_Given.Wait;
   while (true) {
     auto Answers = m_Client.readAll(Prefix + "status");
-    auto Found = config::rolloutOf(Answers, Revision);
+    auto Found = config::rolloutStatus(Answers, Revision);
     bool Drained = Draining.empty() || config::isDrained(Answers, Draining);
     if (Found.complete() && Drained) {
       std::cerr << "revision " << Revision << " is in force in "
