--- a/Tests/LibConfig/FakeTable.h
+++ b/Tests/LibConfig/FakeTable.h
@@ -75,12 +75,12 @@
     if (Injected == Fault::LateEffect)
       m_DelayedCommit = Transaction;
     if (Injected == Fault::LostWithoutEffect || Injected == Fault::LateEffect)
-      return Done(failure(ResultCode::StoreOutcomeUnknown, "answer lost"));
+      return Done(failure(ResultCode::StoreOutcomeUnknown, "response lost"));
     bool Applied = apply(Transaction);
     if (Injected == Fault::DownAfterwards)
       setDown(true);
     if (Injected == Fault::EffectWithLostResponse)
-      return Done(failure(ResultCode::StoreOutcomeUnknown, "answer lost"));
+      return Done(failure(ResultCode::StoreOutcomeUnknown, "response lost"));
     if (!Applied)
       return Done(failure(ResultCode::StoreConflict, "conflict"));
     Done(std::monostate());
--- a/Tests/LibPlanner/TestShardPlanner.cpp
+++ b/Tests/LibPlanner/TestShardPlanner.cpp
@@ -56,7 +56,7 @@
             Done OnReply) override {
     Sent.push_back(Order);
     if (Replies.empty())
-      return OnReply(failure(ResultCode::PeerUnreachable, "answer lost"));
+      return OnReply(failure(ResultCode::PeerUnreachable, "reply lost"));
     Result<wire::OrderReply> Reply = Replies.front();
     Replies.pop_front();
     OnReply(Reply);
@@ -198,7 +198,7 @@
     Engine.Models = {{"desk", "1", ""}};
     Engine.ReportedAt = BootClock::now() + 1h;
   }
-  m_Sender.Replies = {failure(ResultCode::PeerUnreachable, "answer lost"),
+  m_Sender.Replies = {failure(ResultCode::PeerUnreachable, "reply lost"),
                       reply("running"), reply("done")};
   PlannerService Service("entry-1", dependencies("entry-1#1"));
   CHECK_TRUE(runUntil(Service, [&] {
