--- a/Services/figlift-agent/Agent.cpp
+++ b/Services/figlift-agent/Agent.cpp
@@ -187,7 +187,7 @@
 
 uint64_t Agent::recordRevision() const {
   const auto &Configuration = m_Configuration->inForce();
-  const config::Item *Record =
+  const config::SnapshotRecord *Record =
       Configuration
           ? Configuration->find("target", m_Shared.Settings.Process.Id)
           : nullptr;
--- a/Services/figlift-agent/Configuration.cpp
+++ b/Services/figlift-agent/Configuration.cpp
@@ -53,7 +53,7 @@
 }
 
 void Configuration::onSync(const wire::SyncUp &Message) {
-  step(PushedByPeer{config::fromSyncUp(Message)});
+  step(ChangesPushed{config::fromSyncUp(Message)});
 }
 
 void Configuration::onConfiguration(StreamId Stream,
@@ -132,7 +132,7 @@
     return Done(true);
   m_Pending.push_back(
       {Revision, std::move(Done), BootClock::now() + WaitTimeout});
-  step(SeenRevision{Revision});
+  step(RevisionSeen{Revision});
 }
 
 void Configuration::completePending() {
@@ -153,7 +153,7 @@
   std::set<std::string> Targets;
   if (!inForce())
     return Targets;
-  for (const config::Item *Target : inForce()->list("target"))
+  for (const config::SnapshotRecord *Target : inForce()->list("target"))
     if (inForce()->targetIntent(Target->Stored.Name) !=
         record::TargetIntent::Serve)
       Targets.insert(Target->Stored.Name);
--- a/Services/figlift-agent/Configuration.h
+++ b/Services/figlift-agent/Configuration.h
@@ -45,7 +45,7 @@
   /// on timeout. Calls it immediately if the revision is in force already.
   void awaitRevision(uint64_t Revision, std::function<void(bool)> Done);
   /// Records that an entry is connected, which shows that it is alive.
-  void peerHeard() { step(config::follower::PeerHeard{}); }
+  void peerHeard() { step(config::follower::PeerAlive{}); }
   void tick();
 
   const config::SnapshotPointer &inForce() const {
--- a/Services/figlift-agent/Orders.cpp
+++ b/Services/figlift-agent/Orders.cpp
@@ -144,7 +144,7 @@
   m_Shared.Events.record(Done ? timeline::kinds::OrderDone
                               : timeline::kinds::OrderAbandoned,
                          {SubjectType::Target, m_Shared.Settings.Process.Id},
-                         {{"order", Action.Row.What.Id}});
+                         {{"order", Action.Row.Intent.Id}});
   commit(
       {{{Key, Action.ExpectedVersion}}, {{Key, writeIntentRow(Action.Row)}}});
 }
@@ -244,9 +244,10 @@
   m_Shared.Events.record(
       timeline::kinds::OrderStarted,
       {SubjectType::Target, m_Shared.Settings.Process.Id},
-      {{"order", Action.What.Id}, {"epoch", Action.What.Epoch}});
-  target::OrderCall Call{Action.What.Id, Action.Fence,
-                         std::visit(OrderKindConverter{}, Action.What.What)};
+      {{"order", Action.Payload.Id}, {"epoch", Action.Payload.Epoch}});
+  target::OrderCall Call{
+      Action.Payload.Id, Action.Fence,
+      std::visit(OrderKindConverter{}, Action.Payload.RequestedChange)};
   m_Dependencies.Engine.order(std::move(Call), [this](const auto &Answer) {
     m_Shared.Loop.post([this, Event = toOrderEvent(Answer)] { step(Event); });
   });
--- a/Services/figlift-entry/Fleet.cpp
+++ b/Services/figlift-entry/Fleet.cpp
@@ -246,7 +246,7 @@
   log::logEvent(log::Level::Info, "revision-in-force",
                 {{"revision", Revision}});
   membership::DesiredStatesRead DesiredStates;
-  for (const config::Item *Item : m_Configuration->list("target"))
+  for (const config::SnapshotRecord *Item : m_Configuration->list("target"))
     DesiredStates.DesiredStates[Item->Stored.Name] =
         m_Configuration->targetIntent(Item->Stored.Name);
   step(DesiredStates);
--- a/Tests/FaultMatrix/Table/Cells.cpp
+++ b/Tests/FaultMatrix/Table/Cells.cpp
@@ -38,7 +38,7 @@
 constexpr std::string_view EngineX =
     "OrderExploration.AnEngineThatIgnoresTheFenceNeverHoldsConflictingOrders";
 constexpr std::string_view StoreX =
-    "OrderExploration.FaultsOfTheStoreChangeNothingByHalves";
+    "OrderExploration.StoreFaultsNeverApplyARejectedOrder";
 constexpr std::string_view TakeoverX =
     "HomeExploration.ATakeoverRunsNothingTwice";
 constexpr std::string_view RestartX =
@@ -102,7 +102,7 @@
           "Authority.GivesNoOrdersWithoutTheStoreAndGoesOnAfterwards"},
          {TargetCrash, EngineX},
          {DuplicateDelivery,
-          "OrderMachine.CarriesAnOrderThroughAndAnswersItAgainFromTheBook"}}),
+          "OrderMachine.CompletesAnOrderAndRepliesToItsRetryFromTheHistory"}}),
     row("order", "CheckingAuthority",
         {{Kill, EngineX},
          {Pause, EngineX},
@@ -149,8 +149,8 @@
         {{Kill, "Rollout.BringsRestartedProcessesUpToDateDuringAnOutage"},
          {CutBothWays, "Isolation.StopsNewWorkAndSaysSoAndReturnsByItself"},
          {Delay, FollowerX},
-         {StoreDown,
-          "ConfigFollower.ServesOnThroughAnOutageOfTheTableWhilePeersAnswer"},
+         {StoreDown, "ConfigFollower."
+                     "KeepsServingDuringAnOutageOfTheTableWhilePeersRespond"},
          {StoreSlow, FollowerX},
          {DuplicateDelivery, FollowerX}}),
     row("config follower", "FetchChanges",
@@ -164,8 +164,7 @@
          {CutBothWays,
           "ConfigFollower.StopsWhenNeitherTheTableNorAnyPeerIsReached"},
          {Delay, FollowerX},
-         {StoreDown,
-          "ConfigFollower.TakesTheNewestOfItsPeersWhenItIsNewDuringAnOutage"},
+         {StoreDown, "ConfigFollower.StartsFromTheNewestPeerDuringAnOutage"},
          {DuplicateDelivery, "ConfigFollower.NeverGoesBackwards"}}),
     row("config follower", "Publish",
         {{Delay, FollowerX},
@@ -188,7 +187,7 @@
     row("config writer", "Reading",
         {{StoreDown,
           "ConfigWriter.KnowsThatNothingWasWrittenWhenTheStoreIsDown"},
-         {OperatorRace, "ConfigWriter.LetsOneOfTwoRacingOperatorsWin"}}),
+         {OperatorRace, "ConfigWriter.LetsOneOfTwoConcurrentOperatorsWin"}}),
     row("config writer", "Committing",
         {{Delay, "ConfigWriter.HoldsUnderEveryOrderOfFaultsAtItsCommits"},
          {StoreDown, "ConfigWriter.HoldsUnderEveryOrderOfFaultsAtItsCommits"},
