--- a/Libraries/LibHttp/Administration.cpp
+++ b/Libraries/LibHttp/Administration.cpp
@@ -1,4 +1,4 @@
-//===- Administration.cpp - Health, metrics and time line routes ----------===//
+//===- Administration.cpp - Health, metrics and timeline routes -----------===//
 //
 // See Administration.h.
 //
@@ -31,16 +31,16 @@
                   .Headers = {}};
 }
 
-Result<uint64_t> stampAfter(const Request &Asked) {
-  const std::string After = Asked.query("after");
+Result<uint64_t> parseAfterParameter(const Request &Incoming) {
+  const std::string After = Incoming.query("after");
   uint64_t Stamp = 0;
   const char *End = After.data() + After.size();
-  const auto [Stopped, Problem] =
+  const auto [Parsed, Problem] =
       std::from_chars(After.data(), End, Stamp, HexadecimalBase);
-  if (!After.empty() && (Problem != std::errc{} || Stopped != End))
+  if (!After.empty() && (Problem != std::errc{} || Parsed != End))
     return failure(ResultCode::InvalidInput,
                    "found \"" + After +
-                       "\"; allowed are up to 16 hexadecimal digits",
+                       "\"; expected up to 16 hexadecimal digits",
                    "after");
   return Stamp;
 }
@@ -68,12 +68,12 @@
   Routes.push_back(administrativeRoute(
       "/timeline",
       [After = std::move(Hooks.TimelineAfter)](std::shared_ptr<Exchange> Call) {
-        const Result<uint64_t> Stamp = stampAfter(Call->request());
+        const Result<uint64_t> Stamp = parseAfterParameter(Call->request());
         if (!Stamp)
           return Call->replyProblem(Stamp.error());
-        Response Answer;
-        Answer.Body = After(Stamp.value());
-        Call->reply(std::move(Answer));
+        Response Timeline;
+        Timeline.Body = After(Stamp.value());
+        Call->reply(std::move(Timeline));
       }));
   return Routes;
 }
--- a/Libraries/LibHttp/Administration.h
+++ b/Libraries/LibHttp/Administration.h
@@ -1,6 +1,7 @@
-//===- Administration.h - Health, metrics and time line routes --*- C++ -*-===//
+//===- Administration.h - Health, metrics and timeline routes ---*- C++ -*-===//
 //
-// /healthz, /readyz, /metrics and /timeline, the same in every process.
+// The routes /healthz, /readyz, /metrics and /timeline, which every process
+// serves.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,12 +18,12 @@
 namespace figlift::http {
 
 struct AdministrationHooks {
-  /// Why the process takes no new work, or success.
+  /// Success, or the reason why the process accepts no new work.
   std::function<Result<void>()> Ready;
-  /// Prometheus text format.
+  /// Metrics in the Prometheus text format.
   std::function<std::string()> Metrics;
-  /// Body of GET /timeline with the events after a stamp; 0 means from the
-  /// start. The query parameter `after` has 16 hexadecimal digits.
+  /// Response body of GET /timeline: the events after a stamp, or all events
+  /// for 0. The query parameter `after` has up to 16 hexadecimal digits.
   std::function<std::string(uint64_t After)> TimelineAfter;
 };
 
--- a/Libraries/LibHttp/ConnectionEventStream.cpp
+++ b/Libraries/LibHttp/ConnectionEventStream.cpp
@@ -1,4 +1,4 @@
-//===- ConnectionEventStream.cpp - Events over a connection ---------------===//
+//===- ConnectionEventStream.cpp - Event stream over a connection ---------===//
 //
 // See ConnectionEventStream.h.
 //
@@ -16,12 +16,12 @@
 }
 
 bool ConnectionEventStream::write(std::string Bytes) {
-  return !m_Closed.load() && m_Caller->writeStream(std::move(Bytes));
+  return !m_Closed.load() && m_Channel->writeStream(std::move(Bytes));
 }
 
 void ConnectionEventStream::close() {
   if (!m_Closed.exchange(true))
-    m_Caller->endStream();
+    m_Channel->endStream();
 }
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/ConnectionEventStream.h
+++ b/Libraries/LibHttp/ConnectionEventStream.h
@@ -1,4 +1,4 @@
-//===- ConnectionEventStream.h - Events over a connection -------*- C++ -*-===//
+//===- ConnectionEventStream.h - Event stream over a connection -*- C++ -*-===//
 //
 // Internal to this library.
 //
@@ -6,8 +6,8 @@
 
 #pragma once
 
-#include "LibHttp/CallerLink.h"
 #include "LibHttp/EventStream.h"
+#include "LibHttp/ResponseChannel.h"
 
 #include <atomic>
 #include <memory>
@@ -16,19 +16,19 @@
 
 class ConnectionEventStream final : public EventStream {
 public:
-  explicit ConnectionEventStream(std::shared_ptr<CallerLink> Caller)
-      : m_Caller(std::move(Caller)) {}
+  explicit ConnectionEventStream(std::shared_ptr<ResponseChannel> Channel)
+      : m_Channel(std::move(Channel)) {}
   ~ConnectionEventStream() override { close(); }
 
   bool send(std::string_view Data) override;
   bool comment() override { return write(": \n\n"); }
   void close() override;
-  size_t queuedBytes() const override { return m_Caller->queuedBytes(); }
+  size_t queuedBytes() const override { return m_Channel->queuedBytes(); }
 
 private:
   bool write(std::string Bytes);
 
-  const std::shared_ptr<CallerLink> m_Caller;
+  const std::shared_ptr<ResponseChannel> m_Channel;
   std::atomic<bool> m_Closed{false};
 };
 
--- a/Libraries/LibHttp/ConnectionExchange.cpp
+++ b/Libraries/LibHttp/ConnectionExchange.cpp
@@ -20,65 +20,69 @@
 constexpr size_t MaximumRequestIdLength = 128;
 
 std::string lowerCase(std::string Text) {
-  std::transform(Text.begin(), Text.end(), Text.begin(),
-                 [](unsigned char Letter) { return std::tolower(Letter); });
+  std::transform(
+      Text.begin(), Text.end(), Text.begin(),
+      [](unsigned char Character) { return std::tolower(Character); });
   return Text;
 }
 
-/// \p Text without its percent escapes (RFC 3986); one that is not two
-/// hexadecimal digits stays as it is: no route has such a path.
+/// Decodes the percent escapes of \p Text (RFC 3986). An invalid escape is left
+/// as it is; no route has such a path.
 std::string decodeEscapes(std::string_view Text) {
   std::string Decoded;
   Decoded.reserve(Text.size());
-  for (size_t At = 0; At < Text.size(); ++At) {
+  for (size_t i = 0; i < Text.size(); ++i) {
     unsigned char Byte = 0;
-    const char *const Digits = Text.data() + At + 1;
-    if (Text[At] == '%' && At + 2 < Text.size() &&
+    const char *const Digits = Text.data() + i + 1;
+    if (Text[i] == '%' && i + 2 < Text.size() &&
         std::from_chars(Digits, Digits + 2, Byte, 16).ptr == Digits + 2) {
       Decoded += static_cast<char>(Byte);
-      At += 2;
+      i += 2;
       continue;
     }
-    Decoded += Text[At];
+    Decoded += Text[i];
   }
   return Decoded;
 }
 
-void readQuery(std::string_view Query, Request &Into) {
+void parseQuery(std::string_view Query, Request &Output) {
   while (!Query.empty()) {
-    const std::string_view Part = Query.substr(0, Query.find('&'));
-    Query.remove_prefix(std::min(Query.size(), Part.size() + 1));
-    if (Part.empty())
+    const std::string_view Parameter = Query.substr(0, Query.find('&'));
+    Query.remove_prefix(std::min(Query.size(), Parameter.size() + 1));
+    if (Parameter.empty())
       continue;
-    const size_t Equals = std::min(Part.find('='), Part.size());
+    const size_t Equals = std::min(Parameter.find('='), Parameter.size());
     const std::string_view Value =
-        Part.substr(std::min(Part.size(), Equals + 1));
-    Into.Query[decodeEscapes(Part.substr(0, Equals))] = decodeEscapes(Value);
+        Parameter.substr(std::min(Parameter.size(), Equals + 1));
+    Output.Query[decodeEscapes(Parameter.substr(0, Equals))] =
+        decodeEscapes(Value);
   }
 }
 
-Request describe(proxy::Request Incoming) {
-  Request Asked;
-  Asked.Method = std::move(Incoming.Head.Method);
+Request makeRequest(proxy::Request Incoming) {
+  Request Parsed;
+  Parsed.Method = std::move(Incoming.Head.Method);
   const std::string &Target = Incoming.Head.Target;
-  Asked.RawPath = std::string(Incoming.Head.path());
+  Parsed.RawPath = std::string(Incoming.Head.path());
   if (const size_t Mark = Target.find('?'); Mark != std::string::npos)
-    Asked.RawQuery = Target.substr(Mark + 1);
-  Asked.Path = decodeEscapes(Asked.RawPath);
-  readQuery(Asked.RawQuery, Asked);
+    Parsed.RawQuery = Target.substr(Mark + 1);
+  Parsed.Path = decodeEscapes(Parsed.RawPath);
+  parseQuery(Parsed.RawQuery, Parsed);
   for (const proxy::HeaderField &Field : Incoming.Head.Headers)
-    Asked.Headers[lowerCase(Field.Name)] = Field.Value;
-  Asked.Body = std::move(Incoming.Body);
-  return Asked;
+    Parsed.Headers[lowerCase(Field.Name)] = Field.Value;
+  Parsed.Body = std::move(Incoming.Body);
+  return Parsed;
 }
 
-/// Echoed on answers that no handler gave; anything odd is not.
-std::string fitRequestId(std::string Given) {
-  const bool IsFit = Given.size() <= MaximumRequestIdLength &&
-                     std::all_of(Given.begin(), Given.end(), [](char Letter) {
-                       return Letter > ' ' && Letter < 127;
-                     });
-  return IsFit ? Given : std::string();
+/// The caller's request id, which is echoed in responses that no handler gave,
+/// or an empty string if it is too long or has characters other than printable
+/// ASCII.
+std::string validRequestId(std::string Id) {
+  const bool IsValid = Id.size() <= MaximumRequestIdLength &&
+                       std::all_of(Id.begin(), Id.end(), [](char Character) {
+                         return Character > ' ' && Character < 127;
+                       });
+  return IsValid ? Id : std::string();
 }
 
 Error internalError(std::string Message) {
@@ -87,7 +91,7 @@
 
 void addHeaders(proxy::ResponseHead &Head, const HeaderList &Headers) {
   for (const auto &[Name, Value] : Headers) {
-    // The last of several values counts, as handlers override defaults.
+    // A later value replaces an earlier one: handlers override defaults.
     Head.Headers.remove(Name);
     Head.Headers.add(Name, Value);
   }
@@ -95,54 +99,55 @@
 
 } // namespace
 
-proxy::ResponseHead headOf(const Response &Answer) {
+proxy::ResponseHead responseHead(const Response &Reply) {
   proxy::ResponseHead Head;
-  Head.Status = static_cast<unsigned>(Answer.Status);
-  if (!Answer.Body.empty())
-    Head.Headers.add("Content-Type", Answer.ContentType);
-  addHeaders(Head, Answer.Headers);
+  Head.Status = static_cast<unsigned>(Reply.Status);
+  if (!Reply.Body.empty())
+    Head.Headers.add("Content-Type", Reply.ContentType);
+  addHeaders(Head, Reply.Headers);
   return Head;
 }
 
-ConnectionExchange::ConnectionExchange(std::shared_ptr<CallerLink> Caller,
+ConnectionExchange::ConnectionExchange(std::shared_ptr<ResponseChannel> Channel,
                                        proxy::Request Incoming)
-    : m_Caller(std::move(Caller)), m_Request(describe(std::move(Incoming))),
-      m_RequestId(fitRequestId(m_Request.header("x-request-id"))) {}
+    : m_Channel(std::move(Channel)),
+      m_Request(makeRequest(std::move(Incoming))),
+      m_RequestId(validRequestId(m_Request.header("x-request-id"))) {}
 
 ConnectionExchange::~ConnectionExchange() {
-  if (!m_Answered.load())
-    replyProblem(internalError("the request was dropped without an answer"));
+  if (!m_Responded.load())
+    replyProblem(internalError("the request was dropped without a response"));
 }
 
-void ConnectionExchange::reply(Response Answer) {
-  if (m_Answered.exchange(true))
+void ConnectionExchange::reply(Response Reply) {
+  if (m_Responded.exchange(true))
     return;
-  proxy::ResponseHead Head = headOf(Answer);
+  proxy::ResponseHead Head = responseHead(Reply);
   addHeaders(Head, m_Headers);
   if (!m_RequestId.empty())
     addHeaders(Head, {{"X-Request-Id", m_RequestId}});
-  m_Caller->respond(std::move(Head), std::move(Answer.Body));
+  m_Channel->respond(std::move(Head), std::move(Reply.Body));
 }
 
-void ConnectionExchange::replyProblem(const Error &What) {
-  reply(problemResponse(What, m_RequestId));
+void ConnectionExchange::replyProblem(const Error &Problem) {
+  reply(problemResponse(Problem, m_RequestId));
 }
 
 void ConnectionExchange::replyUnknownPath(bool PathKnown) {
-  Response Answer = problemResponse(
+  Response Reply = problemResponse(
       Error{ResultCode::InvalidInput,
-            PathKnown ? "this path does not take " + m_Request.Method
-                      : "no such path: " + m_Request.Path,
+            PathKnown ? "method not allowed for this path: " + m_Request.Method
+                      : "unknown path: " + m_Request.Path,
             "path", std::nullopt},
       m_RequestId);
-  Answer.Status = PathKnown ? 405 : 404;
-  reply(std::move(Answer));
+  Reply.Status = PathKnown ? 405 : 404;
+  reply(std::move(Reply));
 }
 
 std::shared_ptr<EventStream>
-ConnectionExchange::startEvents(HeaderList Headers,
-                                std::function<void()> Gone) {
-  if (m_Answered.exchange(true))
+ConnectionExchange::startEventStream(HeaderList Headers,
+                                     std::function<void()> OnDisconnect) {
+  if (m_Responded.exchange(true))
     return nullptr;
   proxy::ResponseHead Head;
   Head.Status = 200;
@@ -152,8 +157,8 @@
   addHeaders(Head, m_Headers);
   if (!m_RequestId.empty())
     addHeaders(Head, {{"X-Request-Id", m_RequestId}});
-  m_Caller->beginStream(std::move(Head), std::move(Gone));
-  return std::make_shared<ConnectionEventStream>(m_Caller);
+  m_Channel->beginStream(std::move(Head), std::move(OnDisconnect));
+  return std::make_shared<ConnectionEventStream>(m_Channel);
 }
 
 void ConnectionExchange::handle(const Handler &Handle) {
--- a/Libraries/LibHttp/ConnectionExchange.h
+++ b/Libraries/LibHttp/ConnectionExchange.h
@@ -6,8 +6,8 @@
 
 #pragma once
 
-#include "LibHttp/CallerLink.h"
 #include "LibHttp/Exchange.h"
+#include "LibHttp/ResponseChannel.h"
 
 #include <atomic>
 #include <memory>
@@ -18,7 +18,7 @@
     : public Exchange,
       public std::enable_shared_from_this<ConnectionExchange> {
 public:
-  ConnectionExchange(std::shared_ptr<CallerLink> Caller,
+  ConnectionExchange(std::shared_ptr<ResponseChannel> Channel,
                      proxy::Request Incoming);
   ~ConnectionExchange() override;
 
@@ -27,27 +27,29 @@
   void addHeader(std::string Name, std::string Value) override {
     m_Headers.emplace_back(std::move(Name), std::move(Value));
   }
-  void reply(Response Answer) override;
-  void replyProblem(const Error &What) override;
-  std::shared_ptr<EventStream> startEvents(HeaderList Headers,
-                                           std::function<void()> Gone) override;
+  void reply(Response Reply) override;
+  void replyProblem(const Error &Problem) override;
+  std::shared_ptr<EventStream>
+  startEventStream(HeaderList Headers,
+                   std::function<void()> OnDisconnect) override;
 
+  /// Replies 405 if \p PathKnown, as only the method is wrong, else 404.
   void replyUnknownPath(bool PathKnown);
-  /// Calls \p Handle; an exception of it is answered as Internal.
+  /// Calls \p Handle; replies Internal if it throws.
   void handle(const Handler &Handle);
 
 private:
   proxy::ResponseHead prepare(int Status, const std::string &ContentType,
                               const HeaderList &Headers) const;
 
-  std::shared_ptr<CallerLink> m_Caller;
+  std::shared_ptr<ResponseChannel> m_Channel;
   Request m_Request;
   std::string m_RequestId;
   HeaderList m_Headers;
-  std::atomic<bool> m_Answered{false};
+  std::atomic<bool> m_Responded{false};
 };
 
-/// An answer of \p Answer's own fields, as a head of the connection.
-proxy::ResponseHead headOf(const Response &Answer);
+/// Converts the status and the headers of \p Reply.
+proxy::ResponseHead responseHead(const Response &Reply);
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/EventStream.h
+++ b/Libraries/LibHttp/EventStream.h
@@ -1,6 +1,6 @@
 //===- EventStream.h - Server-sent events -----------------------*- C++ -*-===//
 //
-// Writer of a text/event-stream answer.
+// Writer of a text/event-stream response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,21 +12,22 @@
 
 namespace figlift::http {
 
-/// Members may be called from any thread. An event or comment is written whole,
-/// also when two threads write at once.
+/// Members may be called from any thread. Events and comments are written
+/// atomically, also when several threads write concurrently.
 class EventStream {
 public:
   virtual ~EventStream() = default;
-  /// Sends one event of a single `data:` line; \p Data holds no line break.
-  /// False when the caller has gone or reads too slowly.
+  /// Sends an event with a single `data:` line; \p Data has no line break.
+  /// Returns false if the caller has disconnected or reads too slowly.
   virtual bool send(std::string_view Data) = 0;
-  /// Sends a comment, which callers ignore. A caller who has gone shows only
-  /// when bytes are written: without comments a long silence of the engine
-  /// would hide it, and the engine would work for nobody.
+  /// Sends a comment, which callers ignore. A caller that disappears without
+  /// closing its connection is detected only by writing: without comments, that
+  /// would go unnoticed while the engine produces no output, and the engine
+  /// would keep working on the abandoned request.
   virtual bool comment() = 0;
-  /// Ends the answer in good order.
+  /// Ends the response gracefully.
   virtual void close() = 0;
-  /// Bytes taken from us and not yet written to the caller's connection.
+  /// Bytes accepted and not yet written to the caller's connection.
   virtual size_t queuedBytes() const = 0;
 };
 
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -1,7 +1,7 @@
-//===- Exchange.h - One HTTP request and its answer -------------*- C++ -*-===//
+//===- Exchange.h - HTTP request and its response ---------------*- C++ -*-===//
 //
-// A handler answers an exchange once: with a whole response, with an error as
-// problem details, or with a stream of server-sent events.
+// A handler responds to an exchange once: with a complete response, with an
+// error as problem details, or with a stream of server-sent events.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,23 +16,26 @@
 
 namespace figlift::http {
 
-/// All members may be called from any thread. An exchange that is dropped
-/// without an answer answers Internal, so that no caller waits for ever.
+/// All members may be called from any thread. An exchange that is destroyed
+/// without a response replies Internal, so that its caller does not wait
+/// forever.
 class Exchange {
 public:
   virtual ~Exchange() = default;
   virtual const Request &request() const = 0;
-  /// Value of X-Request-Id of every answer; set before answering.
+  /// Sets the X-Request-Id header of the response; to be called before
+  /// replying.
   virtual void setRequestId(std::string Id) = 0;
-  /// Header of every answer; set before answering.
+  /// Adds a header to the response; to be called before replying.
   virtual void addHeader(std::string Name, std::string Value) = 0;
-  /// Later answers are ignored.
-  virtual void reply(Response Answer) = 0;
-  virtual void replyProblem(const Error &What) = 0;
-  /// Begins a text/event-stream answer with status 200; null after another
-  /// answer. \p Gone is called once when a write to the caller has failed.
+  /// Only the first response is sent; later ones are ignored.
+  virtual void reply(Response Reply) = 0;
+  virtual void replyProblem(const Error &Problem) = 0;
+  /// Starts a text/event-stream response with status 200. Returns null if there
+  /// was a response already. \p OnDisconnect is called once if the caller
+  /// disconnects before the end of the stream.
   virtual std::shared_ptr<EventStream>
-  startEvents(HeaderList Headers, std::function<void()> Gone) = 0;
+  startEventStream(HeaderList Headers, std::function<void()> OnDisconnect) = 0;
 };
 
 using Handler = std::function<void(std::shared_ptr<Exchange>)>;
--- a/Libraries/LibHttp/JsonBody.cpp
+++ b/Libraries/LibHttp/JsonBody.cpp
@@ -1,4 +1,4 @@
-//===- JsonBody.cpp - JSON of a request's body ----------------------------===//
+//===- JsonBody.cpp - Parser for JSON request bodies ----------------------===//
 //
 // See JsonBody.h.
 //
@@ -11,22 +11,22 @@
 namespace figlift::http {
 
 bool nestsDeeperThan(std::string_view Json, size_t Depth) {
-  size_t Open = 0;
-  bool InText = false;
-  for (size_t At = 0; At < Json.size(); ++At) {
-    const char Letter = Json[At];
-    if (InText) {
-      if (Letter == '\\')
-        ++At;
-      else if (Letter == '"')
-        InText = false;
-    } else if (Letter == '"') {
-      InText = true;
-    } else if (Letter == '{' || Letter == '[') {
-      if (++Open > Depth)
+  size_t OpenBrackets = 0;
+  bool InString = false;
+  for (size_t i = 0; i < Json.size(); ++i) {
+    const char Character = Json[i];
+    if (InString) {
+      if (Character == '\\')
+        ++i;
+      else if (Character == '"')
+        InString = false;
+    } else if (Character == '"') {
+      InString = true;
+    } else if (Character == '{' || Character == '[') {
+      if (++OpenBrackets > Depth)
         return true;
-    } else if ((Letter == '}' || Letter == ']') && Open > 0) {
-      --Open;
+    } else if ((Character == '}' || Character == ']') && OpenBrackets > 0) {
+      --OpenBrackets;
     }
   }
   return false;
@@ -35,8 +35,8 @@
 Result<nlohmann::json> parseJsonBody(std::string_view Body) {
   if (nestsDeeperThan(Body, MaximumJsonDepth))
     return failure(ResultCode::InvalidInput,
-                   "JSON may be nested " + std::to_string(MaximumJsonDepth) +
-                       " levels deep",
+                   "JSON may be nested at most " +
+                       std::to_string(MaximumJsonDepth) + " levels deep",
                    "body");
   nlohmann::json Parsed =
       nlohmann::json::parse(Body, nullptr, /*allow_exceptions=*/false);
--- a/Libraries/LibHttp/JsonBody.h
+++ b/Libraries/LibHttp/JsonBody.h
@@ -1,9 +1,9 @@
-//===- JsonBody.h - JSON of a request's body --------------------*- C++ -*-===//
+//===- JsonBody.h - Parser for JSON request bodies --------------*- C++ -*-===//
 //
-// Parses what callers and operators send, after a look at how deeply it is
-// nested. A parser keeps a record for each open bracket, so two megabytes of
-// brackets would take over a hundred of memory; nothing that is sent here in
-// earnest is nested more than a few levels.
+// Parses the bodies that callers and operators send, after checking the nesting
+// depth. The JSON parser allocates a record for each open bracket, so that two
+// megabytes of brackets would take over a hundred megabytes of memory. Valid
+// bodies are nested only a few levels deep.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +18,15 @@
 
 namespace figlift::http {
 
-/// Ten times the depth of the deepest record.
+/// About ten times the depth of the most deeply nested record.
 inline constexpr size_t MaximumJsonDepth = 64;
 
-/// Whether objects and arrays are nested more than \p Depth deep; brackets in
-/// texts do not count.
+/// Whether objects and arrays are nested more than \p Depth levels deep;
+/// brackets in strings do not count.
 bool nestsDeeperThan(std::string_view Json, size_t Depth);
 
-/// Fails with InvalidInput, field "body", for what is no JSON, or nested too
-/// deeply.
+/// Fails with InvalidInput and field "body" if \p Body is not JSON or is nested
+/// more than MaximumJsonDepth levels deep.
 Result<nlohmann::json> parseJsonBody(std::string_view Body);
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/Message.h
+++ b/Libraries/LibHttp/Message.h
@@ -1,7 +1,7 @@
 //===- Message.h - HTTP requests and responses ------------------*- C++ -*-===//
 //
-// The form in which handlers see HTTP: plain data, so that they can be tested
-// without a listener and the connection code shows in this library alone.
+// Requests and responses as handlers see them: plain data, so that handlers can
+// be tested without a listener and do not depend on the connection code.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,24 +17,24 @@
 
 struct Request {
   std::string Method;
-  /// Decoded path without the query, always beginning with '/'.
+  /// Decoded path without the query; starts with '/'.
   std::string Path;
-  /// As received: still with its escapes, without the query.
+  /// Path as received, with its percent escapes, without the query.
   std::string RawPath;
-  /// As received, without the '?'.
+  /// Query as received, without the '?'.
   std::string RawQuery;
   /// Decoded query parameters.
   std::map<std::string, std::string> Query;
-  /// Names in lower case.
+  /// Header values by name in lower case.
   std::map<std::string, std::string> Headers;
   std::string Body;
 
-  /// Value of a header, or an empty text. \p LowerName is in lower case.
+  /// Value of a header, or an empty string. \p LowerName is in lower case.
   std::string header(std::string_view LowerName) const {
     const auto Found = Headers.find(std::string(LowerName));
     return Found == Headers.end() ? std::string() : Found->second;
   }
-  /// Value of a query parameter, or an empty text.
+  /// Value of a query parameter, or an empty string.
   std::string query(std::string_view Name) const {
     const auto Found = Query.find(std::string(Name));
     return Found == Query.end() ? std::string() : Found->second;
--- a/Libraries/LibHttp/Problem.cpp
+++ b/Libraries/LibHttp/Problem.cpp
@@ -1,4 +1,4 @@
-//===- Problem.cpp - Problem details of errors ----------------------------===//
+//===- Problem.cpp - Problem details (RFC 9457) ---------------------------===//
 //
 // See Problem.h.
 //
@@ -24,39 +24,39 @@
   return "not-applicable";
 }
 
-std::string problemBody(const Error &What, std::string_view RequestId) {
-  const ResultCodeInfo &Info = resultCodeInfo(What.Code);
+std::string problemBody(const Error &Problem, std::string_view RequestId) {
+  const ResultCodeInfo &Info = resultCodeInfo(Problem.Code);
   nlohmann::ordered_json Body;
-  Body["type"] =
-      "urn:figlift:result-code:" + std::to_string(static_cast<int>(What.Code));
+  Body["type"] = "urn:figlift:result-code:" +
+                 std::to_string(static_cast<int>(Problem.Code));
   Body["title"] = std::string(Info.Name);
   Body["status"] = Info.HttpStatus;
-  Body["detail"] = What.Message;
-  Body["code"] = static_cast<int>(What.Code);
+  Body["detail"] = Problem.Message;
+  Body["code"] = static_cast<int>(Problem.Code);
   Body["executed"] = std::string(executionName(Info.Executed));
-  if (!What.Field.empty())
-    Body["field"] = What.Field;
+  if (!Problem.Field.empty())
+    Body["field"] = Problem.Field;
   if (!RequestId.empty())
     Body["request_id"] = std::string(RequestId);
-  if (What.RetryAfter)
-    Body["retry_after_ms"] = What.RetryAfter->count();
-  // Messages may quote a caller's bytes, which need not be UTF-8.
+  if (Problem.RetryAfter)
+    Body["retry_after_ms"] = Problem.RetryAfter->count();
+  // Messages may quote input of the caller, which may not be valid UTF-8.
   return Body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-Response problemResponse(const Error &What, std::string_view RequestId) {
-  Response Answer;
-  Answer.Status = resultCodeInfo(What.Code).HttpStatus;
-  Answer.ContentType = "application/problem+json";
-  Answer.Body = problemBody(What, RequestId);
+Response problemResponse(const Error &Problem, std::string_view RequestId) {
+  Response Reply;
+  Reply.Status = resultCodeInfo(Problem.Code).HttpStatus;
+  Reply.ContentType = "application/problem+json";
+  Reply.Body = problemBody(Problem, RequestId);
   if (!RequestId.empty())
-    Answer.Headers.emplace_back("X-Request-Id", std::string(RequestId));
-  if (What.RetryAfter) {
+    Reply.Headers.emplace_back("X-Request-Id", std::string(RequestId));
+  if (Problem.RetryAfter) {
     const auto Seconds =
-        std::chrono::ceil<std::chrono::seconds>(*What.RetryAfter);
-    Answer.Headers.emplace_back("Retry-After", std::to_string(Seconds.count()));
+        std::chrono::ceil<std::chrono::seconds>(*Problem.RetryAfter);
+    Reply.Headers.emplace_back("Retry-After", std::to_string(Seconds.count()));
   }
-  return Answer;
+  return Reply;
 }
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/Problem.h
+++ b/Libraries/LibHttp/Problem.h
@@ -1,7 +1,7 @@
-//===- Problem.h - Problem details of errors --------------------*- C++ -*-===//
+//===- Problem.h - Problem details (RFC 9457) -------------------*- C++ -*-===//
 //
-// Turns an Error into the application/problem+json answer of RFC 9457, with
-// the numbered result code, whether the work was executed, and Retry-After.
+// Converts an Error to an application/problem+json response as of RFC 9457,
+// with the numeric result code, whether the work was executed, and Retry-After.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,11 +18,12 @@
 /// "not-run", "unknown", "ran" or "not-applicable".
 std::string_view executionName(Execution Executed);
 
-/// The JSON object alone, as an event of a stream carries it.
-std::string problemBody(const Error &What, std::string_view RequestId);
+/// The JSON object without a response head, as sent in an event of a stream.
+std::string problemBody(const Error &Problem, std::string_view RequestId);
 
-/// The whole answer: status of the code's row, problem body, Retry-After in
-/// whole seconds rounded up (its unit on the wire) when the error has one.
-Response problemResponse(const Error &What, std::string_view RequestId);
+/// The complete response: the HTTP status of the result code, the problem body,
+/// and Retry-After, if the error has one, rounded up to the whole seconds that
+/// the header has.
+Response problemResponse(const Error &Problem, std::string_view RequestId);
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/Server.cpp
+++ b/Libraries/LibHttp/Server.cpp
@@ -1,7 +1,7 @@
 //===- Server.cpp - HTTP listener with routes -----------------------------===//
 //
-// See Server.h. Each connection is read on a strand of its own; this file
-// accepts connections, finds the route and calls the handler.
+// Accepts connections, finds the route of a request and calls its handler. Each
+// connection runs on a strand of its own.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,29 +29,30 @@
 using asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// Answers that are being written when the server stops have this long to
-/// leave; a caller who takes longer has stopped reading.
+/// Time for responses that are being written when the server stops; a caller
+/// that needs longer is assumed to have stopped reading.
 constexpr std::chrono::milliseconds StopGrace{500};
-/// Pause after an accept that failed for want of descriptors.
-constexpr std::chrono::milliseconds AcceptPause{50};
+/// Delay after a failed accept, for example for lack of file descriptors.
+constexpr std::chrono::milliseconds AcceptRetryDelay{50};
 
-class ListenerServer final : public Server, public proxy::RequestHandler {
+class AsioServer final : public Server, public proxy::RequestHandler {
 public:
-  ListenerServer(const ServerOptions &Options, std::vector<Route> Routes)
+  AsioServer(const ServerOptions &Options, std::vector<Route> Routes)
       : m_Options(Options), m_Routes(std::move(Routes)),
-        m_Core(std::make_shared<ServerCore>()),
-        m_Work(asio::make_work_guard(m_Core->Loop)),
-        m_Acceptor(asio::make_strand(m_Core->Loop)),
+        m_Shared(std::make_shared<SharedServerState>()),
+        m_Work(asio::make_work_guard(m_Shared->Loop)),
+        m_Acceptor(asio::make_strand(m_Shared->Loop)),
         m_AcceptTimer(m_Acceptor.get_executor()) {
-    m_Core->MaximumQueuedBytesPerStream = Options.MaximumQueuedBytesPerStream;
-    // A longer path first: the first route that matches is the longest.
+    m_Shared->MaximumQueuedBytesPerStream = Options.MaximumQueuedBytesPerStream;
+    // Longest path first, so that the first matching route has the longest
+    // path.
     std::stable_sort(m_Routes.begin(), m_Routes.end(),
                      [](const Route &A, const Route &B) {
                        return A.Path.size() > B.Path.size();
                      });
   }
 
-  ~ListenerServer() override { stop(); }
+  ~AsioServer() override { stop(); }
 
   Result<void> open() {
     ErrorCode Code;
@@ -70,37 +71,37 @@
                      "cannot listen on " + m_Options.Listen.toString() + ": " +
                          Code.message());
     accept();
-    for (unsigned Each = 0; Each < std::max(1U, m_Options.Threads); ++Each)
-      m_Threads.emplace_back([this] { m_Core->Loop.run(); });
+    for (unsigned i = 0; i < std::max(1U, m_Options.Threads); ++i)
+      m_Threads.emplace_back([this] { m_Shared->Loop.run(); });
     return success();
   }
 
   void drain() override { m_Draining.store(true); }
-  size_t requestsInFlight() const override { return m_Core->InFlight.load(); }
+  size_t requestsInFlight() const override { return m_Shared->InFlight.load(); }
 
   void stop() override {
     if (m_Threads.empty())
       return;
     asio::post(m_Acceptor.get_executor(), [this] {
       m_Stopping = true;
-      ErrorCode Ignored; // Closed either way.
+      ErrorCode Ignored; // The acceptor is closed in any case.
       m_Acceptor.close(Ignored);
       m_AcceptTimer.cancel();
     });
     closeConnections();
     m_Work.reset();
-    // Without connections nothing is left to wait for, and the loop ends.
-    for (std::thread &Each : m_Threads)
-      Each.join();
+    // Without connections and work guard the loop runs out of work and returns.
+    for (std::thread &Thread : m_Threads)
+      Thread.join();
     m_Threads.clear();
-    m_Core->Stopped.store(true);
+    m_Shared->Stopped.store(true);
   }
 
 private:
   using Connections = std::set<std::shared_ptr<proxy::CallerConnection>>;
 
   void accept() {
-    m_Acceptor.async_accept(asio::make_strand(m_Core->Loop),
+    m_Acceptor.async_accept(asio::make_strand(m_Shared->Loop),
                             [this](const ErrorCode &Code, tcp::socket Socket) {
                               accepted(Code, std::move(Socket));
                             });
@@ -110,19 +111,20 @@
     if (m_Stopping)
       return;
     if (Code) {
-      // Without descriptors the next accept fails at once, again and again.
-      m_AcceptTimer.expires_after(AcceptPause);
-      m_AcceptTimer.async_wait([this](const ErrorCode &Stopped) {
-        if (!Stopped && !m_Stopping)
+      // Without free file descriptors an immediate accept would fail again, in
+      // a busy loop.
+      m_AcceptTimer.expires_after(AcceptRetryDelay);
+      m_AcceptTimer.async_wait([this](const ErrorCode &Cancelled) {
+        if (!Cancelled && !m_Stopping)
           accept();
       });
       return;
     }
-    begin(std::move(Socket));
+    startConnection(std::move(Socket));
     accept();
   }
 
-  void begin(tcp::socket Socket) {
+  void startConnection(tcp::socket Socket) {
     proxy::CallerLimits Limits;
     Limits.Bounds = {m_Options.MaximumHeadBytes, m_Options.MaximumBodyBytes};
     Limits.HeadTimeout = m_Options.HeadTimeout;
@@ -132,8 +134,8 @@
         std::move(Socket), Limits, *this);
     {
       std::lock_guard Lock(m_Mutex);
-      // Each connection may hold a head and a body: their number bounds the
-      // memory that callers can take.
+      // Each connection may buffer a head and a body, so the limit on
+      // connections bounds the memory that callers can use.
       if (m_Closing || m_Open.size() >= m_Options.MaximumConnections)
         return;
       m_Open.insert(Caller);
@@ -145,24 +147,26 @@
     std::unique_lock Lock(m_Mutex);
     m_Closing = true;
     const Connections Open = m_Open;
-    for (const auto &Each : Open)
-      asio::post(Each->executor(), [Each] { Each->closeIfIdle(); });
-    const auto NoneOpen = [this] { return m_Open.empty(); };
-    if (m_NoneOpen.wait_for(Lock, StopGrace, NoneOpen))
+    for (const auto &Caller : Open)
+      asio::post(Caller->executor(), [Caller] { Caller->closeIfIdle(); });
+    const auto AllClosed = [this] { return m_Open.empty(); };
+    if (m_AllClosed.wait_for(Lock, StopGrace, AllClosed))
       return;
-    for (const auto &Each : m_Open)
-      asio::post(Each->executor(), [Each] { Each->abort(); });
-    m_NoneOpen.wait(Lock, NoneOpen);
+    for (const auto &Caller : m_Open)
+      asio::post(Caller->executor(), [Caller] { Caller->abort(); });
+    m_AllClosed.wait(Lock, AllClosed);
   }
 
-  const Route *find(const Request &Asked, bool &PathKnown) const {
+  /// Returns null if no route matches; sets \p PathKnown if one matches the
+  /// path.
+  const Route *find(const Request &Incoming, bool &PathKnown) const {
     for (const Route &Candidate : m_Routes) {
       const bool Matches = Candidate.Prefix
-                               ? Asked.Path.starts_with(Candidate.Path)
-                               : Asked.Path == Candidate.Path;
+                               ? Incoming.Path.starts_with(Candidate.Path)
+                               : Incoming.Path == Candidate.Path;
       PathKnown = PathKnown || Matches;
-      if (Matches &&
-          (Candidate.Method == Asked.Method || Candidate.Method == AnyMethod))
+      if (Matches && (Candidate.Method == Incoming.Method ||
+                      Candidate.Method == AnyMethod))
         return &Candidate;
     }
     return nullptr;
@@ -171,55 +175,56 @@
   std::shared_ptr<proxy::ActiveRequest>
   handle(proxy::Request Incoming,
          std::shared_ptr<proxy::CallerConnection> Caller) override {
-    const auto Link = std::make_shared<CallerLink>(m_Core, Caller);
+    const auto Channel = std::make_shared<ResponseChannel>(m_Shared, Caller);
     const auto Call =
-        std::make_shared<ConnectionExchange>(Link, std::move(Incoming));
+        std::make_shared<ConnectionExchange>(Channel, std::move(Incoming));
     bool PathKnown = false;
     if (const Route *Found = find(Call->request(), PathKnown); !Found)
       Call->replyUnknownPath(PathKnown);
-    else if (Found->Administrative || admit(*Call, *Link))
+    else if (Found->Administrative || admit(*Call, *Channel))
       Call->handle(Found->Handle);
-    return Link;
+    return Channel;
   }
 
   proxy::ErrorResponse rejected(unsigned Status) override {
-    Error What{ResultCode::InvalidInput, "the request cannot be read",
-               "request", std::nullopt};
+    Error Problem{ResultCode::InvalidInput, "the request is malformed",
+                  "request", std::nullopt};
     if (Status == 413)
-      What = {ResultCode::InputTooLarge,
-              "the body may have at most " +
-                  std::to_string(m_Options.MaximumBodyBytes) + " bytes",
-              "body", std::nullopt};
+      Problem = {ResultCode::InputTooLarge,
+                 "the body may have at most " +
+                     std::to_string(m_Options.MaximumBodyBytes) + " bytes",
+                 "body", std::nullopt};
     if (Status == 431)
-      What = {ResultCode::InputTooLarge,
-              "the request line and the headers may have at most " +
-                  std::to_string(m_Options.MaximumHeadBytes) + " bytes",
-              "headers", std::nullopt};
-    Response Answer = problemResponse(What, {});
-    Answer.Status = static_cast<int>(Status);
-    return {headOf(Answer), std::move(Answer.Body)};
+      Problem = {ResultCode::InputTooLarge,
+                 "the request line and the headers may have at most " +
+                     std::to_string(m_Options.MaximumHeadBytes) + " bytes",
+                 "headers", std::nullopt};
+    Response Reply = problemResponse(Problem, {});
+    Reply.Status = static_cast<int>(Status);
+    return {responseHead(Reply), std::move(Reply.Body)};
   }
 
   void closed(proxy::CallerConnection &Caller) override {
     std::lock_guard Lock(m_Mutex);
     m_Open.erase(Caller.shared_from_this());
     if (m_Open.empty())
-      m_NoneOpen.notify_all();
+      m_AllClosed.notify_all();
   }
 
-  bool admit(ConnectionExchange &Call, CallerLink &Link) {
-    Error Refusal;
-    Refusal.RetryAfter = m_Options.RetryAfter;
+  /// Rejects \p Call while draining and above the limit of requests in flight.
+  bool admit(ConnectionExchange &Call, ResponseChannel &Channel) {
+    Error Rejection;
+    Rejection.RetryAfter = m_Options.RetryAfter;
     if (m_Draining.load()) {
-      Refusal.Code = ResultCode::Draining;
-      Refusal.Message = "this entry is leaving; ask another";
-      Call.replyProblem(Refusal);
+      Rejection.Code = ResultCode::Draining;
+      Rejection.Message = "this entry is shutting down; use another one";
+      Call.replyProblem(Rejection);
       return false;
     }
-    if (Link.countInFlight() > m_Options.MaximumRequests) {
-      Refusal.Code = ResultCode::LimitReached;
-      Refusal.Message = "too many requests in flight at this entry";
-      Call.replyProblem(Refusal);
+    if (Channel.enterInFlight() > m_Options.MaximumRequests) {
+      Rejection.Code = ResultCode::LimitReached;
+      Rejection.Message = "too many requests in flight at this entry";
+      Call.replyProblem(Rejection);
       return false;
     }
     return true;
@@ -227,18 +232,19 @@
 
   const ServerOptions m_Options;
   std::vector<Route> m_Routes;
-  std::shared_ptr<ServerCore> m_Core;
+  std::shared_ptr<SharedServerState> m_Shared;
   asio::executor_work_guard<asio::io_context::executor_type> m_Work;
-  /// On a strand of its own, as stop() closes it while it may be accepting.
+  /// On a strand of its own, because stop() closes it while it may be
+  /// accepting.
   tcp::acceptor m_Acceptor;
   asio::steady_timer m_AcceptTimer;
   std::vector<std::thread> m_Threads;
   std::atomic<bool> m_Draining{false};
-  /// Used on the acceptor's strand alone.
+  /// Used only on the acceptor's strand.
   bool m_Stopping = false;
   std::mutex m_Mutex;
-  std::condition_variable m_NoneOpen;
-  /// Guarded by m_Mutex, as is m_Closing: no connection is added after it.
+  std::condition_variable m_AllClosed;
+  /// Guarded by m_Mutex, like m_Closing, after which no connection is added.
   Connections m_Open;
   bool m_Closing = false;
 };
@@ -247,9 +253,9 @@
 
 Result<std::unique_ptr<Server>> Server::create(const ServerOptions &Options,
                                                std::vector<Route> Routes) {
-  auto Made = std::make_unique<ListenerServer>(Options, std::move(Routes));
-  FIGLIFT_TRY(Made->open());
-  return std::unique_ptr<Server>(std::move(Made));
+  auto Created = std::make_unique<AsioServer>(Options, std::move(Routes));
+  FIGLIFT_TRY(Created->open());
+  return std::unique_ptr<Server>(std::move(Created));
 }
 
 } // namespace figlift::http
--- a/Libraries/LibHttp/Server.h
+++ b/Libraries/LibHttp/Server.h
@@ -1,9 +1,9 @@
 //===- Server.h - HTTP listener with routes ---------------------*- C++ -*-===//
 //
-// A listener behind a table of routes, with limits for heads, bodies,
-// connections and requests in flight. The bytes are LibProxy's, as in the
-// gateway: cpprestsdk's listener gathers a head without a bound, so a header
-// line without an end took the memory of the process.
+// An HTTP listener that dispatches requests by a table of routes, with limits
+// on heads, bodies, connections and requests in flight. It uses the connections
+// of LibProxy, as the gateway does: the listener of cpprestsdk buffers request
+// heads without a limit, so that an endless header line exhausts the memory.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,56 +23,58 @@
 
 namespace figlift::http {
 
-/// Method of a route that takes every method.
+/// Method of a route that matches every method.
 inline constexpr const char *AnyMethod = "*";
 
-/// A request belongs to the route of its method with the longest path that
-/// matches.
+/// A request is dispatched to the route with the longest matching path among
+/// those of its method.
 struct Route {
   std::string Method;
   std::string Path;
-  /// Matches everything below Path too.
+  /// Match all paths that start with Path.
   bool Prefix = false;
   Handler Handle;
-  /// Health and metrics: answered while draining, and not counted against
-  /// the limit of requests in flight.
+  /// For health and metrics: served also while draining, and not counted as a
+  /// request in flight.
   bool Administrative = false;
 };
 
 struct ServerOptions {
   Endpoint Listen;
-  /// Request line and headers; several times what any caller here sends.
+  /// Limit of request line and headers; several times what callers send.
   uint32_t MaximumHeadBytes = 64u << 10;
   size_t MaximumBodyBytes = 8u << 20;
-  /// Further connections are closed at once. Twice the default for requests:
-  /// callers keep some idle.
+  /// Connections above this number are closed at once. Twice the default of
+  /// MaximumRequests, because callers keep idle connections.
   size_t MaximumConnections = 8192;
-  /// From the first byte of a head to its last.
+  /// Time from the first to the last byte of a request head.
   std::chrono::milliseconds HeadTimeout{10000};
-  /// Without a byte in a body, and between requests.
+  /// Maximum time without input within a body and between requests.
   std::chrono::milliseconds IdleTimeout{60000};
-  /// Handlers run on these; one that blocks holds up others beyond them.
+  /// Number of threads that run the handlers; a handler that blocks occupies
+  /// one of them.
   unsigned Threads = 2;
-  /// Requests whose answer has not ended; more are refused with LimitReached.
+  /// Limit of requests in flight; further ones are rejected with LimitReached.
   size_t MaximumRequests = 4096;
-  /// What callers are told when a limit or draining refuses them.
+  /// Retry-After of requests that are rejected by a limit or while draining.
   std::chrono::milliseconds RetryAfter{1000};
-  /// A stream whose caller leaves more than this unread is ended.
+  /// A stream with more queued bytes than this is aborted.
   size_t MaximumQueuedBytesPerStream = 4u << 20;
 };
 
 class Server {
 public:
   virtual ~Server() = default;
-  /// Refuses new requests (Draining) from now on; running ones go on.
+  /// Rejects new requests with Draining; requests in flight continue.
   virtual void drain() = 0;
-  /// Requests, administrative ones left out, whose answer has not ended.
+  /// Requests whose response has not ended, without administrative ones.
   virtual size_t requestsInFlight() const = 0;
-  /// Closes the listener and every connection; what has been answered has half
-  /// a second to leave.
+  /// Closes the listener and all connections; responses that are being written
+  /// have half a second to complete.
   virtual void stop() = 0;
-  /// Listens at once. The endpoint needs a real port: nothing tells which one
-  /// it would have been given for 0. Fails with SettingsInvalid.
+  /// Creates a server that is already listening. The endpoint needs a port
+  /// other than 0, because the port chosen for 0 cannot be queried. Fails with
+  /// SettingsInvalid.
   static Result<std::unique_ptr<Server>> create(const ServerOptions &Options,
                                                 std::vector<Route> Routes);
 };
--- a/Services/figlift-entry/AnswerWriter.cpp
+++ b/Services/figlift-entry/AnswerWriter.cpp
@@ -62,7 +62,7 @@
 
 void StreamedCompletion::start() {
   std::call_once(m_StartOnce, [this] {
-    m_Stream = m_Caller->startEvents({}, m_OnDisconnect);
+    m_Stream = m_Caller->startEventStream({}, m_OnDisconnect);
   });
 }
 
--- a/Tests/FigliftEntry/EntryFixtures.cpp
+++ b/Tests/FigliftEntry/EntryFixtures.cpp
@@ -187,7 +187,8 @@
 }
 
 std::shared_ptr<http::EventStream>
-FakeCaller::startEvents(http::HeaderList, std::function<void()> OnDisconnect) {
+FakeCaller::startEventStream(http::HeaderList,
+                             std::function<void()> OnDisconnect) {
   m_OnDisconnect = std::move(OnDisconnect);
   return std::make_shared<Stream>(*this);
 }
--- a/Tests/FigliftEntry/EntryFixtures.h
+++ b/Tests/FigliftEntry/EntryFixtures.h
@@ -78,8 +78,8 @@
   void reply(http::Response Answer) override;
   void replyProblem(const Error &Failure) override;
   std::shared_ptr<http::EventStream>
-  startEvents(http::HeaderList Headers,
-              std::function<void()> OnDisconnect) override;
+  startEventStream(http::HeaderList Headers,
+                   std::function<void()> OnDisconnect) override;
 
   bool answered() const { return m_Answered.load(); }
   /// Whether an event has been received.
--- a/Tests/LibHttp/TestJsonBody.cpp
+++ b/Tests/LibHttp/TestJsonBody.cpp
@@ -1,6 +1,6 @@
-//===- TestJsonBody.cpp - Depth of JSON bodies ----------------------------===//
+//===- TestJsonBody.cpp - Nesting depth of JSON bodies --------------------===//
 //
-// Texts are counted through; nothing is built that is nested too deeply.
+// The depth is determined by scanning, before a document is built.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,16 +15,17 @@
 
 TEST_GROUP(JsonBody){};
 
-TEST(JsonBody, CountsOpenBracketsOutsideOfTexts) {
+TEST(JsonBody, CountsOpenBracketsOutsideOfStrings) {
   CHECK_FALSE(nestsDeeperThan("[[1],[2],{\"a\":[]}]", 3));
   CHECK_TRUE(nestsDeeperThan("[[1],[2],{\"a\":[]}]", 2));
   CHECK_FALSE(nestsDeeperThan("[\"[[[[\\\"[[\"]", 1));
   CHECK_FALSE(nestsDeeperThan("]]]][", 1));
 }
 
-TEST(JsonBody, RefusesDeepNestingAndNamesTheBody) {
-  // Symptom: a body of two megabytes takes over a hundred. Sequence: nothing
-  // but open brackets. Cause: the parser keeps a record for each of them.
+TEST(JsonBody, RejectsDeepNestingWithFieldBody) {
+  // Symptom: a body of two megabytes takes over a hundred megabytes of memory.
+  // Sequence: the body consists of open brackets.
+  // Cause: the JSON parser allocates a record for each of them.
   const auto Deep = parseJsonBody(std::string(2 << 20, '['));
   CHECK_FALSE(Deep.has_value());
   STRCMP_EQUAL("body", Deep.error().Field.c_str());
