--- a/Libraries/LibUpstream/ConnectionPool.cpp
+++ b/Libraries/LibUpstream/ConnectionPool.cpp
@@ -1,7 +1,7 @@
 //===- ConnectionPool.cpp - Connections to one server ---------------------===//
 //
-// The idle connection that was used last is used first, so that those a calm
-// hour does not need expire.
+// The most recently used idle connection is reused first, so that surplus
+// connections expire when the load falls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,44 +15,44 @@
                                PoolSettings Settings)
     : m_Loop(Loop), m_Peer(std::move(Peer)), m_Settings(Settings) {}
 
-bool ConnectionPool::usable(const ServerConnection &Connection,
-                            BootTime Now) const {
-  std::chrono::milliseconds Kept = m_Settings.DefaultIdleTimeout;
+bool ConnectionPool::isReusable(const ServerConnection &Connection,
+                                BootTime Now) const {
+  std::chrono::milliseconds IdleTimeout = m_Settings.DefaultIdleTimeout;
   if (const auto Announced = Connection.announcedIdleTimeout())
-    Kept = *Announced;
-  const auto Margin = std::min(m_Settings.ExpiryMargin, Kept / 2);
-  return Now - Connection.idleSince() < Kept - Margin;
+    IdleTimeout = *Announced;
+  const auto Margin = std::min(m_Settings.ExpiryMargin, IdleTimeout / 2);
+  return Now - Connection.idleSince() < IdleTimeout - Margin;
 }
 
-std::shared_ptr<ServerConnection> ConnectionPool::take(BootTime Now) {
+std::shared_ptr<ServerConnection> ConnectionPool::acquire(BootTime Now) {
   while (!m_Idle.empty()) {
     auto Connection = std::move(m_Idle.back());
     m_Idle.pop_back();
     if (!Connection->isFree())
       continue;
-    if (usable(*Connection, Now))
+    if (isReusable(*Connection, Now))
       return Connection;
     Connection->abort();
   }
-  if (m_Open >= m_Limit)
+  if (m_OpenConnections >= m_Limit)
     return nullptr;
   auto Connection =
       std::make_shared<ServerConnection>(m_Loop, m_Peer, m_Settings.Timeouts);
   Connection->onStateChange(
       [Pool = weak_from_this()](ServerConnection &Changed) {
         if (const auto Self = Pool.lock())
-          Self->changed(Changed);
+          Self->onConnectionChange(Changed);
       });
-  ++m_Open;
-  ++m_Opened;
+  ++m_OpenConnections;
+  ++m_TotalOpened;
   return Connection;
 }
 
-void ConnectionPool::changed(ServerConnection &Connection) {
+void ConnectionPool::onConnectionChange(ServerConnection &Connection) {
   if (!Connection.isOpen()) {
-    --m_Open;
+    --m_OpenConnections;
     std::erase_if(m_Idle,
-                  [&](const auto &Each) { return Each.get() == &Connection; });
+                  [&](const auto &Idle) { return Idle.get() == &Connection; });
     return;
   }
   if (m_Retired)
--- a/Libraries/LibUpstream/ConnectionPool.h
+++ b/Libraries/LibUpstream/ConnectionPool.h
@@ -1,8 +1,8 @@
 //===- ConnectionPool.h - Connections to one server -------------*- C++ -*-===//
 //
-// Keeps connections to one target for reuse, within this process's share of
-// what the target accepts from all callers together: beyond that number the
-// target resets connections, whoever opened them.
+// Keeps connections to one target for reuse, up to this process's share of the
+// connections that the target accepts from all clients together. Above that
+// total the target resets connections, regardless of which client opened them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,12 +18,12 @@
 
 struct PoolSettings {
   ConnectionTimeouts Timeouts;
-  /// Idle time after which a connection is not used again where the server
-  /// has not said how long it keeps one.
+  /// Idle time after which a connection is not reused, if the server has not
+  /// announced an idle timeout.
   std::chrono::milliseconds DefaultIdleTimeout{4000};
-  /// A connection this close to the server's idle timeout is not used: the
-  /// server's close and the request would cross, and a request that may not
-  /// be repeated would end with an unknown outcome.
+  /// A connection this close to the server's idle timeout is not reused: the
+  /// server could close it while the request is in transit, and a request that
+  /// must not be retried would end with an unknown outcome.
   std::chrono::milliseconds ExpiryMargin{1200};
 };
 
@@ -32,29 +32,29 @@
   ConnectionPool(boost::asio::io_context &Loop, Endpoint Peer,
                  PoolSettings Settings);
 
-  /// An idle connection, the one used last, or a new one; null when the share
-  /// is used up.
-  std::shared_ptr<ServerConnection> take(BootTime Now);
-  /// Most connections that this process may have open here.
-  void limit(size_t Connections) { m_Limit = Connections; }
-  /// Closes what is idle; connections in use are closed as they end.
+  /// Returns the most recently used idle connection, or a new one; null if the
+  /// limit is reached.
+  std::shared_ptr<ServerConnection> acquire(BootTime Now);
+  /// Sets the maximum number of connections of this pool.
+  void setLimit(size_t Connections) { m_Limit = Connections; }
+  /// Closes idle connections; those in use are closed after their exchange.
   void retire();
 
-  size_t open() const { return m_Open; }
-  uint64_t opened() const { return m_Opened; }
+  size_t openConnections() const { return m_OpenConnections; }
+  uint64_t totalOpened() const { return m_TotalOpened; }
 
 private:
-  void changed(ServerConnection &Connection);
-  bool usable(const ServerConnection &Connection, BootTime Now) const;
+  void onConnectionChange(ServerConnection &Connection);
+  bool isReusable(const ServerConnection &Connection, BootTime Now) const;
 
   boost::asio::io_context &m_Loop;
   Endpoint m_Peer;
   PoolSettings m_Settings;
   size_t m_Limit = 16;
-  /// Connections that are not closed, idle ones included.
-  size_t m_Open = 0;
-  /// Connections made since the start.
-  uint64_t m_Opened = 0;
+  /// Connections that are not closed, including idle ones.
+  size_t m_OpenConnections = 0;
+  /// Connections opened since the creation of the pool.
+  uint64_t m_TotalOpened = 0;
   bool m_Retired = false;
   std::vector<std::shared_ptr<ServerConnection>> m_Idle;
 };
--- a/Libraries/LibUpstream/ServerConnection.cpp
+++ b/Libraries/LibUpstream/ServerConnection.cpp
@@ -1,7 +1,7 @@
-//===- ServerConnection.cpp - One HTTP/1.1 connection to a server ---------===//
+//===- ServerConnection.cpp - HTTP/1.1 connection to a server -------------===//
 //
-// Callbacks hold the connection alive; abort() takes the sink away first, so
-// that none runs into a request that has ended.
+// Pending callbacks keep the connection alive. abort() clears the sink first,
+// so that no callback reaches a request that has ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,15 +23,15 @@
     : m_Loop(Loop), m_Socket(Loop), m_Timer(Loop), m_Peer(std::move(Peer)),
       m_Timeouts(Timeouts) {}
 
-void ServerConnection::exchange(std::string Bytes, bool BodyInResponse,
+void ServerConnection::exchange(std::string Bytes, bool ExpectBody,
                                 std::shared_ptr<ExchangeSink> Sink) {
   ++m_Exchanges;
   m_Outgoing = std::move(Bytes);
   m_Sink = std::move(Sink);
-  m_Written = false;
+  m_RequestWritten = false;
   m_HeadReported = false;
-  m_BodyInResponse = BodyInResponse;
-  m_Parser = proxy::ResponseParser(BodyInResponse);
+  m_ExpectBody = ExpectBody;
+  m_Parser = proxy::ResponseParser(ExpectBody);
   if (m_State == State::Idle) {
     m_State = State::Busy;
     return send();
@@ -46,28 +46,27 @@
   if (!Code)
     m_Socket.open(asio::ip::tcp::v4(), Code);
   if (Code) {
-    // Reported from the loop: the caller is not prepared for an end within
-    // its own call.
+    // Posted to the loop: the sink must not be called within exchange().
     asio::post(m_Loop, [Self = shared_from_this()] {
       if (Self->m_State == State::Connecting)
-        Self->endExchange(ExchangeEnd::NotSent);
+        Self->endExchange(ExchangeOutcome::NotSent);
     });
     return;
   }
   setSocketOptions();
   m_Timer.expires_after(m_Timeouts.Connect);
-  m_Timer.async_wait([Self = shared_from_this()](const ErrorCode &Stopped) {
-    if (!Stopped && Self->m_State == State::Connecting)
-      Self->endExchange(ExchangeEnd::NotSent);
+  m_Timer.async_wait([Self = shared_from_this()](const ErrorCode &Cancelled) {
+    if (!Cancelled && Self->m_State == State::Connecting)
+      Self->endExchange(ExchangeOutcome::NotSent);
   });
   m_Socket.async_connect({Address, m_Peer.Port},
                          [Self = shared_from_this()](const ErrorCode &Result) {
-                           Self->connected(Result);
+                           Self->onConnected(Result);
                          });
 }
 
 void ServerConnection::setSocketOptions() {
-  ErrorCode Ignored; // Each of these only improves on a default.
+  ErrorCode Ignored; // The defaults work too, with slower failure detection.
   m_Socket.set_option(asio::ip::tcp::no_delay(true), Ignored);
   m_Socket.set_option(asio::socket_base::keep_alive(true), Ignored);
   const int Handle = m_Socket.native_handle();
@@ -83,28 +82,28 @@
   setsockopt(Handle, IPPROTO_TCP, TCP_KEEPCNT, &Probes, sizeof(Probes));
 }
 
-void ServerConnection::connected(const ErrorCode &Code) {
+void ServerConnection::onConnected(const ErrorCode &Code) {
   m_Timer.cancel();
   if (m_State != State::Connecting)
     return;
   if (Code)
-    return endExchange(ExchangeEnd::NotSent);
+    return endExchange(ExchangeOutcome::NotSent);
   m_State = State::Busy;
   read();
   send();
 }
 
 void ServerConnection::send() {
-  // The bytes belong to the write alone: an exchange that ends early must not
-  // change them under it.
+  // The write owns the bytes: an exchange that ends early may replace
+  // m_Outgoing before the write completes.
   auto Bytes = std::make_shared<std::string>(std::move(m_Outgoing));
   const auto Sink = std::weak_ptr<ExchangeSink>(m_Sink);
   asio::async_write(
       m_Socket, asio::buffer(*Bytes),
       [Self = shared_from_this(), Bytes, Sink](const ErrorCode &Code, size_t) {
-        // Errors show in the read, after what the server sent.
+        // A write error is reported by the read, after the server's last bytes.
         if (!Code && Sink.lock() == Self->m_Sink)
-          Self->m_Written = true;
+          Self->m_RequestWritten = true;
       });
 }
 
@@ -112,19 +111,19 @@
   m_Socket.async_read_some(
       asio::buffer(m_Buffer),
       [Self = shared_from_this()](const ErrorCode &Code, size_t Count) {
-        Self->received(Code, Count);
+        Self->onReceived(Code, Count);
       });
 }
 
-void ServerConnection::received(const ErrorCode &Code, size_t Count) {
+void ServerConnection::onReceived(const ErrorCode &Code, size_t Count) {
   if (m_State == State::Closed)
     return;
   if (m_State != State::Busy) {
-    // Idle: a close, or bytes that belong to no request.
+    // Idle: the server closed the connection or sent unsolicited bytes.
     return close();
   }
-  receivedInExchange({m_Buffer.data(), Count}, Code == asio::error::eof,
-                     Code && Code != asio::error::eof);
+  processInput({m_Buffer.data(), Count}, Code == asio::error::eof,
+               Code && Code != asio::error::eof);
   if (m_State == State::Closed || Code)
     return;
   if (m_State == State::Busy && m_Sink && !m_Sink->wantsMore()) {
@@ -140,17 +139,17 @@
   read();
 }
 
-void ServerConnection::receivedInExchange(std::string_view Bytes,
-                                          bool EndOfInput, bool Failed) {
+void ServerConnection::processInput(std::string_view Bytes, bool EndOfInput,
+                                    bool Failed) {
   using ParserState = proxy::ResponseParser::State;
-  ParserState Now = m_Parser.feed(Bytes);
+  ParserState Progress = m_Parser.feed(Bytes);
   if (EndOfInput)
-    Now = m_Parser.finish();
-  if (Now == ParserState::Body || Now == ParserState::Complete) {
+    Progress = m_Parser.finish();
+  if (Progress == ParserState::Body || Progress == ParserState::Complete) {
     const auto Sink = m_Sink;
     if (!std::exchange(m_HeadReported, true))
       Sink->onHead(m_Parser.head());
-    // The sink may have aborted the connection.
+    // The sink may have called abort().
     if (m_Sink != Sink)
       return;
     if (std::string Body = m_Parser.takeBody(); !Body.empty())
@@ -158,31 +157,31 @@
     if (m_Sink != Sink)
       return;
   }
-  if (Now == ParserState::Complete)
+  if (Progress == ParserState::Complete)
     return completeExchange();
-  if (Now == ParserState::Failed || EndOfInput || Failed)
-    endExchange(m_Parser.hasStarted() ? ExchangeEnd::Broken
-                                      : ExchangeEnd::NoResponse);
+  if (Progress == ParserState::Failed || EndOfInput || Failed)
+    endExchange(m_Parser.hasStarted() ? ExchangeOutcome::Interrupted
+                                      : ExchangeOutcome::NoResponse);
 }
 
 void ServerConnection::completeExchange() {
-  noteIdleTimeout(m_Parser.head().Headers);
-  const bool Reusable = m_Written && m_Parser.keepsAlive();
+  recordIdleTimeout(m_Parser.head().Headers);
+  const bool Reusable = m_RequestWritten && m_Parser.keepsAlive();
   const auto Sink = std::exchange(m_Sink, nullptr);
   m_IdleSince = BootClock::now();
   m_State = State::Idle;
   if (!Reusable)
     close();
-  else if (m_Listener)
-    m_Listener(*this);
-  Sink->onEnd(ExchangeEnd::Complete);
+  else if (m_StateListener)
+    m_StateListener(*this);
+  Sink->onEnd(ExchangeOutcome::Complete);
 }
 
-void ServerConnection::endExchange(ExchangeEnd How) {
+void ServerConnection::endExchange(ExchangeOutcome Outcome) {
   const auto Sink = std::exchange(m_Sink, nullptr);
   close();
   if (Sink)
-    Sink->onEnd(How);
+    Sink->onEnd(Outcome);
 }
 
 void ServerConnection::abort() {
@@ -194,24 +193,24 @@
   if (std::exchange(m_State, State::Closed) == State::Closed)
     return;
   m_Timer.cancel();
-  ErrorCode Ignored; // The socket is given up either way.
+  ErrorCode Ignored; // The socket is discarded in any case.
   m_Socket.close(Ignored);
-  if (m_Listener)
-    m_Listener(*this);
+  if (m_StateListener)
+    m_StateListener(*this);
 }
 
-void ServerConnection::noteIdleTimeout(const proxy::HeaderList &Headers) {
+void ServerConnection::recordIdleTimeout(const proxy::HeaderList &Headers) {
   const auto Value = Headers.find("Keep-Alive");
   if (!Value)
     return;
-  constexpr std::string_view Name = "timeout=";
-  const size_t At = Value->find(Name);
-  if (At == std::string_view::npos)
+  constexpr std::string_view Parameter = "timeout=";
+  const size_t Position = Value->find(Parameter);
+  if (Position == std::string_view::npos)
     return;
   unsigned Seconds = 0;
   const char *End = Value->data() + Value->size();
-  const auto [Rest, Code] =
-      std::from_chars(Value->data() + At + Name.size(), End, Seconds);
+  const auto [Rest, Code] = std::from_chars(
+      Value->data() + Position + Parameter.size(), End, Seconds);
   if (Code == std::errc{})
     m_IdleTimeout = std::chrono::seconds(Seconds);
 }
--- a/Libraries/LibUpstream/ServerConnection.h
+++ b/Libraries/LibUpstream/ServerConnection.h
@@ -1,13 +1,13 @@
-//===- ServerConnection.h - One HTTP/1.1 connection to a server -*- C++ -*-===//
+//===- ServerConnection.h - HTTP/1.1 connection to a server -----*- C++ -*-===//
 //
-// Carries one exchange after another to a target, or to the platform's store,
-// on the loop's thread. What matters most is what can be proved about the end
-// of an exchange: only NotSent says that no byte of the request left this
-// process, and so that the server cannot have run it.
+// Carries one exchange after another to a target or to the platform's store, on
+// the loop's thread. The outcome of an exchange decides whether a request may
+// be retried: only NotSent guarantees that no byte of the request was sent, so
+// that the server cannot have run it.
 //
-// The socket is read while the connection is idle, too: a close is noticed
-// before the connection is used again, and bytes that come without a request
-// end the connection, so that they are never taken for the next response.
+// The socket is read also while the connection is idle. A close by the server
+// is then detected before the connection is reused, and unsolicited bytes close
+// the connection, so that they are never parsed as the next response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,36 +31,37 @@
 
 namespace figlift::upstream {
 
-enum class ExchangeEnd {
-  /// The whole response came.
+enum class ExchangeOutcome {
+  /// The complete response was received.
   Complete,
-  /// No connection was made; the server has not seen the request.
+  /// No connection was established; the server has not seen the request.
   NotSent,
-  /// The connection ended before any byte of the response.
+  /// The connection ended before the first byte of the response.
   NoResponse,
-  /// The response broke off or was no HTTP.
-  Broken,
+  /// The response was incomplete or not valid HTTP.
+  Interrupted,
 };
 
-/// Receives the response of one exchange. onEnd is called exactly once and
-/// last, unless the connection is aborted by its user.
+/// Receives the response of one exchange. onEnd is the last call and is made
+/// exactly once, unless abort() is called on the connection.
 class ExchangeSink {
 public:
   virtual ~ExchangeSink() = default;
   virtual void onHead(const proxy::ResponseHead &Head) = 0;
   virtual void onBody(std::string Bytes) = 0;
-  virtual void onEnd(ExchangeEnd How) = 0;
-  /// False holds back further reading until resumeReading().
+  virtual void onEnd(ExchangeOutcome Outcome) = 0;
+  /// If false, reading pauses until resumeReading() is called.
   virtual bool wantsMore() const { return true; }
 };
 
 struct ConnectionTimeouts {
-  /// Many times the longest round trip (40 ms between regions); a server whose
-  /// backlog of new connections is full answers after seconds, and by then
-  /// another server has answered.
+  /// Many times the longest round trip (40 ms between regions). A server with a
+  /// full accept backlog completes a connection only after seconds, by when
+  /// another server would have responded.
   std::chrono::milliseconds Connect{600};
-  /// Unacknowledged bytes this old end the connection: a peer without power
-  /// sends no reset, so the connection would hang until the request's timeout.
+  /// Maximum age of unacknowledged bytes (TCP_USER_TIMEOUT). A peer that lost
+  /// power sends no reset, so the connection would otherwise hang until the
+  /// timeout of the request.
   std::chrono::milliseconds Unacknowledged{2500};
 };
 
@@ -69,28 +70,28 @@
   ServerConnection(boost::asio::io_context &Loop, Endpoint Peer,
                    ConnectionTimeouts Timeouts);
 
-  /// Sends one request; the connection is made first if there is none. The
-  /// connection must be free.
-  void exchange(std::string Bytes, bool BodyInResponse,
+  /// Sends the serialized request \p Bytes, after connecting if necessary. The
+  /// connection must be unused or idle. \p ExpectBody is false for HEAD.
+  void exchange(std::string Bytes, bool ExpectBody,
                 std::shared_ptr<ExchangeSink> Sink);
-  /// Closes at once, without a call to the sink. A server drops the request
-  /// whose connection closes.
+  /// Closes the connection at once, without calling the sink. Servers abandon a
+  /// request whose connection closes.
   void abort();
   void resumeReading();
 
   bool isOpen() const { return m_State != State::Closed; }
   bool isFree() const { return m_State == State::Idle; }
-  /// Exchanges begun on this connection; names the one at hand.
+  /// Number of exchanges started so far; identifies the current one.
   uint64_t exchanges() const { return m_Exchanges; }
   /// When the last exchange ended.
   BootTime idleSince() const { return m_IdleSince; }
-  /// How long the server keeps the connection open when idle, if it said so.
+  /// The server's idle timeout, if it announced one in Keep-Alive.
   std::optional<std::chrono::seconds> announcedIdleTimeout() const {
     return m_IdleTimeout;
   }
-  /// Called with the connection whenever it becomes idle or closed.
+  /// Sets a listener that is called when the connection becomes idle or closed.
   void onStateChange(std::function<void(ServerConnection &)> Listener) {
-    m_Listener = std::move(Listener);
+    m_StateListener = std::move(Listener);
   }
 
 private:
@@ -98,15 +99,15 @@
   using ErrorCode = boost::system::error_code;
 
   void connect();
-  void connected(const ErrorCode &Code);
+  void onConnected(const ErrorCode &Code);
   void send();
   void read();
-  void received(const ErrorCode &Code, size_t Count);
-  void receivedInExchange(std::string_view Bytes, bool EndOfInput, bool Failed);
+  void onReceived(const ErrorCode &Code, size_t Count);
+  void processInput(std::string_view Bytes, bool EndOfInput, bool Failed);
   void completeExchange();
-  void endExchange(ExchangeEnd How);
+  void endExchange(ExchangeOutcome Outcome);
   void close();
-  void noteIdleTimeout(const proxy::HeaderList &Headers);
+  void recordIdleTimeout(const proxy::HeaderList &Headers);
   void setSocketOptions();
 
   boost::asio::io_context &m_Loop;
@@ -117,19 +118,19 @@
   State m_State = State::Unconnected;
   std::array<char, 8192> m_Buffer;
   std::string m_Outgoing;
-  /// All bytes of the request were handed to the kernel. A response that
-  /// comes earlier leaves the rest of a body unsent: such a connection is not
-  /// used again, as the server would take other bytes for that rest.
-  bool m_Written = false;
+  /// All bytes of the request were passed to the kernel. If a response arrives
+  /// earlier, the rest of the body is unsent. The connection is then not
+  /// reused, because the server would parse the next request as that rest.
+  bool m_RequestWritten = false;
   bool m_ReadPaused = false;
   bool m_HeadReported = false;
-  bool m_BodyInResponse = true;
+  bool m_ExpectBody = true;
   proxy::ResponseParser m_Parser;
   std::shared_ptr<ExchangeSink> m_Sink;
   std::optional<std::chrono::seconds> m_IdleTimeout;
   BootTime m_IdleSince{};
   uint64_t m_Exchanges = 0;
-  std::function<void(ServerConnection &)> m_Listener;
+  std::function<void(ServerConnection &)> m_StateListener;
 };
 
 } // namespace figlift::upstream
--- a/Services/figlift-gateway/EngineCall.cpp
+++ b/Services/figlift-gateway/EngineCall.cpp
@@ -50,8 +50,8 @@
     m_Connection->abort();
     finish(0);
   }
-  void onEnd(upstream::ExchangeEnd End) override {
-    finish(End == upstream::ExchangeEnd::Complete ? m_Status : 0);
+  void onEnd(upstream::ExchangeOutcome End) override {
+    finish(End == upstream::ExchangeOutcome::Complete ? m_Status : 0);
   }
 
 private:
@@ -78,7 +78,7 @@
   const dispatch::Target *Engine = Shared.Targets.find(TargetId);
   if (Pool == Shared.Pools.end() || !Engine)
     return false;
-  auto Connection = Pool->second->take(BootClock::now());
+  auto Connection = Pool->second->acquire(BootClock::now());
   if (!Connection)
     return false;
   Shared.Limits.recordSend(TargetId, BootClock::now());
--- a/Services/figlift-gateway/EngineHousekeeping.cpp
+++ b/Services/figlift-gateway/EngineHousekeeping.cpp
@@ -17,7 +17,7 @@
 public:
   void onHead(const proxy::ResponseHead &) override {}
   void onBody(std::string) override {}
-  void onEnd(upstream::ExchangeEnd) override {}
+  void onEnd(upstream::ExchangeOutcome) override {}
 };
 
 std::string kindName(dispatch::RouteKind Kind) {
@@ -41,7 +41,7 @@
   if (Pool == Shared.Pools.end() || !Target)
     return;
   const BootTime Now = BootClock::now();
-  if (const auto Connection = Pool->second->take(Now)) {
+  if (const auto Connection = Pool->second->acquire(Now)) {
     Shared.Limits.recordSend(Engine, Now);
     Connection->exchange(slopes::callBytes("DELETE",
                                            slopes::releaseHandleTarget(Handle),
--- a/Services/figlift-gateway/Gateway.cpp
+++ b/Services/figlift-gateway/Gateway.cpp
@@ -233,7 +233,7 @@
     // handled yet have no pool. Dereferencing it unchecked crashed a gateway
     // that restarted in a running fleet.
     if (const auto Pool = m_Shared.Pools.find(Id); Pool != m_Shared.Pools.end())
-      Pool->second->limit(std::max(MinimumConnections, Share));
+      Pool->second->setLimit(std::max(MinimumConnections, Share));
     // A target may be added before the configuration has been read.
     if (Service->Engine)
       m_Shared.Loads.targetCame(Target, Service->Engine->KvCapacityTokens);
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -47,7 +47,7 @@
                     "Open connections to servers", [this] {
                       size_t Sum = 0;
                       for (const auto &[Id, Pool] : m_Shared.Pools)
-                        Sum += Pool->open();
+                        Sum += Pool->openConnections();
                       return double(Sum);
                     });
   Metrics.readCounter("figlift_gateway_connections_opened_total",
@@ -55,7 +55,7 @@
                       [this] {
                         uint64_t Sum = 0;
                         for (const auto &[Id, Pool] : m_Shared.Pools)
-                          Sum += Pool->opened();
+                          Sum += Pool->totalOpened();
                         return double(Sum);
                       });
   Metrics.readCounter("figlift_gateway_server_entries_refused_total",
--- a/Services/figlift-gateway/ServerSend.cpp
+++ b/Services/figlift-gateway/ServerSend.cpp
@@ -11,7 +11,7 @@
 namespace figlift::gateway {
 
 using dispatch::SendOutcome;
-using upstream::ExchangeEnd;
+using upstream::ExchangeOutcome;
 
 namespace {
 bool isSuccess(unsigned Status) { return Status / 100 == 2; }
@@ -30,7 +30,7 @@
   if (Pool == m_Shared.Pools.end())
     return false;
   m_Started = BootClock::now();
-  m_Connection = Pool->second->take(m_Started);
+  m_Connection = Pool->second->acquire(m_Started);
   if (!m_Connection)
     return false;
   Work.Sent = m_Started;
@@ -119,13 +119,13 @@
   end(dispatch::ConnectionLost{});
 }
 
-void ServerSend::onEnd(ExchangeEnd End) {
+void ServerSend::onEnd(ExchangeOutcome End) {
   m_Connection = nullptr;
   if (!m_Owner)
     return;
-  if (End == ExchangeEnd::NotSent)
+  if (End == ExchangeOutcome::NotSent)
     return end(dispatch::NotSent{});
-  if (End != ExchangeEnd::Complete)
+  if (End != ExchangeOutcome::Complete)
     return end(dispatch::ConnectionLost{});
   if (m_Fields.NotExecuted)
     return end(dispatch::Rejected{});
--- a/Services/figlift-gateway/ServerSend.h
+++ b/Services/figlift-gateway/ServerSend.h
@@ -74,7 +74,7 @@
 
   void onHead(const proxy::ResponseHead &Head) override;
   void onBody(std::string Bytes) override;
-  void onEnd(upstream::ExchangeEnd End) override;
+  void onEnd(upstream::ExchangeOutcome End) override;
   bool wantsMore() const override { return !m_Owner || m_Owner->wantsMore(); }
 
 private:
--- a/Tests/LibUpstream/TestServerConnection.cpp
+++ b/Tests/LibUpstream/TestServerConnection.cpp
@@ -1,7 +1,7 @@
-//===- TestServerConnection.cpp - Exchanges with a server -----------------===//
+//===- TestServerConnection.cpp - Outcomes and reuse of connections -------===//
 //
-// The test is the server, on the loopback. What matters is what can be said
-// of a request after its exchange has ended.
+// The test acts as the server, on the loopback, and checks which outcome an
+// exchange reports and when its connection is reused.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,10 +26,10 @@
     Status = Head.Status;
   }
   void onBody(std::string Bytes) override { Body += Bytes; }
-  void onEnd(ExchangeEnd How) override { End = How; }
+  void onEnd(ExchangeOutcome Result) override { Outcome = Result; }
   unsigned Status = 0;
   std::string Body;
-  std::optional<ExchangeEnd> End;
+  std::optional<ExchangeOutcome> Outcome;
 };
 
 } // namespace
@@ -45,10 +45,10 @@
     Pool = std::make_shared<ConnectionPool>(
         Loop, Endpoint{"127.0.0.1", Acceptor.local_endpoint().port()},
         PoolSettings{});
-    Pool->limit(2);
+    Pool->setLimit(2);
   }
   std::shared_ptr<RecordingSink> send() {
-    Connection = Pool->take(BootClock::now());
+    Connection = Pool->acquire(BootClock::now());
     auto Sink = std::make_shared<RecordingSink>();
     Connection->exchange("GET / HTTP/1.1\r\n\r\n", true, Sink);
     return Sink;
@@ -79,106 +79,107 @@
   }
 };
 
-TEST(ServerConnection, UsesAConnectionAgain) {
+TEST(ServerConnection, ReusesAConnection) {
   const auto First = send();
   accept();
   awaitRequest();
   reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  CHECK(until([&] { return First->End.has_value(); }));
-  CHECK(*First->End == ExchangeEnd::Complete);
+  CHECK(until([&] { return First->Outcome.has_value(); }));
+  CHECK(*First->Outcome == ExchangeOutcome::Complete);
   STRCMP_EQUAL("ok", First->Body.c_str());
   send();
   awaitRequest();
-  LONGS_EQUAL(1, Pool->opened());
+  LONGS_EQUAL(1, Pool->totalOpened());
 }
 
-TEST(ServerConnection, ProvesThatNothingWasSent) {
+TEST(ServerConnection, ReportsThatNothingWasSent) {
   Acceptor.close();
   const auto Sink = send();
-  CHECK(until([&] { return Sink->End.has_value(); }));
-  CHECK(*Sink->End == ExchangeEnd::NotSent);
-  LONGS_EQUAL(0, Pool->open());
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
+  CHECK(*Sink->Outcome == ExchangeOutcome::NotSent);
+  LONGS_EQUAL(0, Pool->openConnections());
 }
 
-// Symptom: a request that may run once is sent again and runs twice.
-// Sequence: the server takes the request and its connection is reset before
-// any byte of the response.
-// Cause: a reset was taken for a refusal.
-TEST(ServerConnection, DoesNotCallAResetARefusal) {
+// Symptom: a request that must run at most once is retried and runs twice.
+// Sequence: the server accepts the request, and the connection is reset before
+// the first byte of the response.
+// Cause: a reset was treated as a rejection of the request.
+TEST(ServerConnection, DoesNotReportAResetAsNotSent) {
   const auto Sink = send();
   accept();
   awaitRequest();
   Server.set_option(asio::socket_base::linger(true, 0));
   Server.close();
-  CHECK(until([&] { return Sink->End.has_value(); }));
-  CHECK(*Sink->End == ExchangeEnd::NoResponse);
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
+  CHECK(*Sink->Outcome == ExchangeOutcome::NoResponse);
 }
 
-TEST(ServerConnection, TellsABrokenResponse) {
+TEST(ServerConnection, ReportsAnInterruptedResponse) {
   const auto Sink = send();
   accept();
   awaitRequest();
   reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok");
   Server.close();
-  CHECK(until([&] { return Sink->End.has_value(); }));
-  CHECK(*Sink->End == ExchangeEnd::Broken);
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
+  CHECK(*Sink->Outcome == ExchangeOutcome::Interrupted);
 }
 
-// Symptom: the next caller gets the answer before its own.
+// Symptom: a caller gets the response to an earlier request.
 // Sequence: a server sends a second response on an idle connection.
-// Cause: the idle socket was not read, and the bytes met the next exchange.
-TEST(ServerConnection, DropsAConnectionWithStrayBytes) {
+// Cause: the idle socket was not read, and the bytes were parsed as the
+// response of the next exchange.
+TEST(ServerConnection, ClosesAConnectionWithUnsolicitedBytes) {
   const auto Sink = send();
   accept();
   awaitRequest();
   reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  CHECK(until([&] { return Sink->End.has_value(); }));
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
   reply("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
-  CHECK(until([&] { return Pool->open() == 0; }));
+  CHECK(until([&] { return Pool->openConnections() == 0; }));
 }
 
-TEST(ServerConnection, DropsAConnectionThatTheServerCloses) {
+TEST(ServerConnection, ClosesAConnectionThatTheServerCloses) {
   const auto Sink = send();
   accept();
   awaitRequest();
   reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  CHECK(until([&] { return Sink->End.has_value(); }));
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
   Server.close();
-  CHECK(until([&] { return Pool->open() == 0; }));
+  CHECK(until([&] { return Pool->openConnections() == 0; }));
 }
 
-// Symptom: a request ends with an unknown outcome though the server is sound.
-// Sequence: the server says that it keeps idle connections for one second; the
-// request goes out just as it closes one.
-// Cause: the connection was used close to its announced end.
-TEST(ServerConnection, LeavesAConnectionCloseToItsTimeout) {
+// Symptom: a request ends with an unknown outcome although the server works.
+// Sequence: the server announces an idle timeout of one second and closes the
+// connection while a request is in transit.
+// Cause: the connection was reused shortly before its announced timeout.
+TEST(ServerConnection, DoesNotReuseAConnectionCloseToItsIdleTimeout) {
   const auto Sink = send();
   accept();
   awaitRequest();
   reply("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\n"
         "Content-Length: 0\r\n\r\n");
-  CHECK(until([&] { return Sink->End.has_value(); }));
+  CHECK(until([&] { return Sink->Outcome.has_value(); }));
   const auto Later = BootClock::now() + milliseconds(700);
-  const auto Other = Pool->take(Later);
+  const auto Other = Pool->acquire(Later);
   CHECK(Other != Connection);
-  LONGS_EQUAL(2, Pool->opened());
+  LONGS_EQUAL(2, Pool->totalOpened());
 }
 
-TEST(ServerConnection, KeepsToItsShareOfConnections) {
-  const auto First = Pool->take(BootClock::now());
-  const auto Second = Pool->take(BootClock::now());
+TEST(ServerConnection, KeepsTheLimitOfConnections) {
+  const auto First = Pool->acquire(BootClock::now());
+  const auto Second = Pool->acquire(BootClock::now());
   CHECK(First && Second);
-  CHECK(!Pool->take(BootClock::now()));
+  CHECK(!Pool->acquire(BootClock::now()));
   Second->abort();
-  CHECK(Pool->take(BootClock::now()) != nullptr);
+  CHECK(Pool->acquire(BootClock::now()) != nullptr);
 }
 
-TEST(ServerConnection, TellsNothingAfterAnAbort) {
+TEST(ServerConnection, DoesNotCallTheSinkAfterAnAbort) {
   const auto Sink = send();
   accept();
   awaitRequest();
   Connection->abort();
   Loop.run_for(milliseconds(20));
-  CHECK(!Sink->End.has_value());
-  LONGS_EQUAL(0, Pool->open());
+  CHECK(!Sink->Outcome.has_value());
+  LONGS_EQUAL(0, Pool->openConnections());
 }
