--- a/Libraries/LibStream/AnswerStore.cpp
+++ b/Libraries/LibStream/AnswerStore.cpp
@@ -1,6 +1,6 @@
-//===- AnswerStore.cpp - Answers that outlive their readers ---------------===//
+//===- AnswerStore.cpp - Answers held for resumption ----------------------===//
 //
-// One function for each event of the machine.
+// Transition has one function for each event of the state machine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,34 +13,35 @@
   return Found == m_Answers.end() ? nullptr : &Found->second;
 }
 
-bool AnswerStore::isUnread(const std::string &RequestId) const {
+bool AnswerStore::isResumable(const std::string &RequestId) const {
   const auto Found = m_ByRequest.find(RequestId);
   if (Found == m_ByRequest.end())
     return false;
   const Answer &Held = m_Answers.at(Found->second);
   return !Held.Reader &&
-         !(Held.End && std::holds_alternative<Error>(*Held.End));
+         !(Held.Outcome && std::holds_alternative<Error>(*Held.Outcome));
 }
 
-void AnswerStore::detach(Answer &From) {
-  if (From.Reader)
-    m_ByReader.erase(*From.Reader);
-  From.Reader.reset();
+void AnswerStore::detach(Answer &Held) {
+  if (Held.Reader)
+    m_ByReader.erase(*Held.Reader);
+  Held.Reader.reset();
 }
 
-void AnswerStore::attach(RunId Run, Answer &To, ReaderId Reader,
+void AnswerStore::attach(RunId Run, Answer &Held, ReaderId Reader,
                          std::vector<Action> &Actions) {
-  if (To.Reader)
-    Actions.push_back(DismissReader{*To.Reader});
-  detach(To);
-  To.Reader = Reader;
-  To.Expires.reset();
+  if (Held.Reader)
+    Actions.push_back(CloseReader{*Held.Reader});
+  detach(Held);
+  Held.Reader = Reader;
+  Held.Expires.reset();
   m_ByReader[Reader] = Run;
 }
 
-void AnswerStore::deliverEnd(Answer &Ended, BootTime Now,
-                             std::vector<Action> &Actions) {
-  Actions.push_back(SendEnding{*Ended.Reader, *Ended.End, Ended.Held.end()});
+void AnswerStore::deliverOutcome(Answer &Ended, BootTime Now,
+                                 std::vector<Action> &Actions) {
+  Actions.push_back(
+      SendOutcome{*Ended.Reader, *Ended.Outcome, Ended.Tokens.end()});
   detach(Ended);
   Ended.Expires = Now + m_Limits.DeliveredTime;
   if (!Ended.Delivered)
@@ -48,164 +49,166 @@
   Ended.Delivered = true;
 }
 
-void AnswerStore::remove(Answers::iterator Which) {
-  Answer &Gone = Which->second;
-  m_Bytes -= Gone.Held.bytes();
-  if (Gone.Delivered)
+void AnswerStore::remove(Answers::iterator Position) {
+  Answer &Removed = Position->second;
+  m_Bytes -= Removed.Tokens.bytes();
+  if (Removed.Delivered)
     --m_Delivered;
-  detach(Gone);
-  if (const auto Found = m_ByRequest.find(Gone.RequestId);
-      Found != m_ByRequest.end() && Found->second == Which->first)
+  detach(Removed);
+  if (const auto Found = m_ByRequest.find(Removed.RequestId);
+      Found != m_ByRequest.end() && Found->second == Position->first)
     m_ByRequest.erase(Found);
-  m_Answers.erase(Which);
-}
-
-void AnswerStore::abandon(Answers::iterator Which,
-                          std::vector<Action> &Actions) {
-  if (!Which->second.End)
-    Actions.push_back(CancelRun{Which->first});
-  remove(Which);
-}
-
-void AnswerStore::makeRoom(std::vector<Action> &Actions) {
-  // Ended answers go first, the oldest before the others; then what attached
-  // readers have got already. Runs without a reader go last: each would have
-  // to run again.
-  for (auto At = m_Answers.begin();
-       m_Bytes > m_Limits.MaximumBytes && At != m_Answers.end();) {
-    const auto Next = std::next(At);
-    if (At->second.End)
-      remove(At);
-    At = Next;
+  m_Answers.erase(Position);
+}
+
+void AnswerStore::cancelAndRemove(Answers::iterator Position,
+                                  std::vector<Action> &Actions) {
+  if (!Position->second.Outcome)
+    Actions.push_back(CancelRun{Position->first});
+  remove(Position);
+}
+
+void AnswerStore::evictToLimit(std::vector<Action> &Actions) {
+  // Evicts ended answers first, the oldest before newer ones, then tokens that
+  // attached readers have already received. Active runs without a reader are
+  // canceled last, because their requests would have to run again.
+  for (auto Position = m_Answers.begin();
+       m_Bytes > m_Limits.MaximumBytes && Position != m_Answers.end();) {
+    const auto Next = std::next(Position);
+    if (Position->second.Outcome)
+      remove(Position);
+    Position = Next;
   }
   for (auto &[Run, Held] : m_Answers) {
     if (m_Bytes <= m_Limits.MaximumBytes)
       return;
     if (Held.Reader)
-      m_Bytes -= Held.Held.forgetBefore(Held.Held.end());
+      m_Bytes -= Held.Tokens.discardBefore(Held.Tokens.end());
   }
-  for (auto At = m_Answers.begin();
-       m_Bytes > m_Limits.MaximumBytes && At != m_Answers.end();) {
-    const auto Next = std::next(At);
-    if (!At->second.Reader)
-      abandon(At, Actions);
-    At = Next;
+  for (auto Position = m_Answers.begin();
+       m_Bytes > m_Limits.MaximumBytes && Position != m_Answers.end();) {
+    const auto Next = std::next(Position);
+    if (!Position->second.Reader)
+      cancelAndRemove(Position, Actions);
+    Position = Next;
   }
 }
 
-struct AnswerStore::Step {
+struct AnswerStore::Transition {
   AnswerStore &Store;
   const BootTime Now;
   std::vector<Action> Actions;
 
-  void operator()(const RunStarted &What);
-  void operator()(const TokenProduced &What);
-  void operator()(const RunEnded &What);
-  void operator()(const ReaderLost &What);
-  void operator()(const ReaderCancelled &What);
-  void operator()(const ReaderResumed &What);
+  void operator()(const RunStarted &Input);
+  void operator()(const TokenProduced &Input);
+  void operator()(const RunEnded &Input);
+  void operator()(const ReaderLost &Input);
+  void operator()(const ReaderCancelled &Input);
+  void operator()(const ReaderResumed &Input);
   void operator()(const TimePassed &);
 };
 
-void AnswerStore::Step::operator()(const RunStarted &What) {
-  if (const auto Found = Store.m_ByRequest.find(What.RequestId);
+void AnswerStore::Transition::operator()(const RunStarted &Input) {
+  if (const auto Found = Store.m_ByRequest.find(Input.RequestId);
       Found != Store.m_ByRequest.end()) {
-    const auto Old = Store.m_Answers.find(Found->second);
-    if (Old->second.Reader)
-      Actions.push_back(DismissReader{*Old->second.Reader});
-    Store.abandon(Old, Actions);
+    const auto Replaced = Store.m_Answers.find(Found->second);
+    if (Replaced->second.Reader)
+      Actions.push_back(CloseReader{*Replaced->second.Reader});
+    Store.cancelAndRemove(Replaced, Actions);
   }
-  Answer Fresh;
-  Fresh.RequestId = What.RequestId;
-  Fresh.Held = HeldAnswer(What.FirstToken);
-  Answer &Kept =
-      Store.m_Answers.emplace(What.Run, std::move(Fresh)).first->second;
-  Store.m_ByRequest[What.RequestId] = What.Run;
-  Store.attach(What.Run, Kept, What.Reader, Actions);
-}
-
-void AnswerStore::Step::operator()(const TokenProduced &What) {
-  Answer *Found = Store.find(What.Run);
-  if (!Found || Found->End || What.Index < Found->Held.end())
+  Answer Started;
+  Started.RequestId = Input.RequestId;
+  Started.Tokens = HeldAnswer(Input.FirstToken);
+  Answer &Held =
+      Store.m_Answers.emplace(Input.Run, std::move(Started)).first->second;
+  Store.m_ByRequest[Input.RequestId] = Input.Run;
+  Store.attach(Input.Run, Held, Input.Reader, Actions);
+}
+
+void AnswerStore::Transition::operator()(const TokenProduced &Input) {
+  Answer *Found = Store.find(Input.Run);
+  if (!Found || Found->Outcome || Input.Index < Found->Tokens.end())
     return;
-  if (What.Index > Found->Held.end()) {
-    // A token is missing. To go on would hand the caller an answer with a
-    // hole that nobody can see, so the run ends as failed.
-    Actions.push_back(CancelRun{What.Run});
-    (*this)(RunEnded{What.Run, Error{ResultCode::TargetFailed,
-                                     "the engine left out a token",
-                                     {},
-                                     std::nullopt}});
+  if (Input.Index > Found->Tokens.end()) {
+    // A token is missing. The answer would have a gap that the caller cannot
+    // detect, so the run fails.
+    Actions.push_back(CancelRun{Input.Run});
+    (*this)(RunEnded{Input.Run, Error{ResultCode::TargetFailed,
+                                      "the engine skipped a token",
+                                      {},
+                                      std::nullopt}});
     return;
   }
-  const size_t Before = Found->Held.bytes();
-  Found->Held.append(What.Text);
-  Store.m_Bytes += Found->Held.bytes() - Before;
+  const size_t Before = Found->Tokens.bytes();
+  Found->Tokens.append(Input.Text);
+  Store.m_Bytes += Found->Tokens.bytes() - Before;
   if (Found->Reader)
-    Actions.push_back(SendTokens{*Found->Reader, {What.Index, 1, What.Text}});
+    Actions.push_back(SendTokens{*Found->Reader, {Input.Index, 1, Input.Text}});
   if (Store.m_Bytes > Store.m_Limits.MaximumBytes)
-    Store.makeRoom(Actions);
+    Store.evictToLimit(Actions);
 }
 
-void AnswerStore::Step::operator()(const RunEnded &What) {
-  Answer *Found = Store.find(What.Run);
-  if (!Found || Found->End)
+void AnswerStore::Transition::operator()(const RunEnded &Input) {
+  Answer *Found = Store.find(Input.Run);
+  if (!Found || Found->Outcome)
     return;
-  Found->End = What.How;
+  Found->Outcome = Input.Outcome;
   if (!Found->Reader)
     return;
-  Store.deliverEnd(*Found, Now, Actions);
+  Store.deliverOutcome(*Found, Now, Actions);
 }
 
-void AnswerStore::Step::operator()(const ReaderLost &What) {
-  const auto Found = Store.m_ByReader.find(What.Reader);
+void AnswerStore::Transition::operator()(const ReaderLost &Input) {
+  const auto Found = Store.m_ByReader.find(Input.Reader);
   if (Found == Store.m_ByReader.end())
     return;
-  Answer &Left = *Store.find(Found->second);
-  Store.detach(Left);
-  Left.Expires = Now + Store.m_Limits.DetachedTime;
+  Answer &Held = *Store.find(Found->second);
+  Store.detach(Held);
+  Held.Expires = Now + Store.m_Limits.DetachedTime;
 }
 
-void AnswerStore::Step::operator()(const ReaderCancelled &What) {
-  const auto Found = Store.m_ByReader.find(What.Reader);
+void AnswerStore::Transition::operator()(const ReaderCancelled &Input) {
+  const auto Found = Store.m_ByReader.find(Input.Reader);
   if (Found != Store.m_ByReader.end())
-    Store.abandon(Store.m_Answers.find(Found->second), Actions);
+    Store.cancelAndRemove(Store.m_Answers.find(Found->second), Actions);
 }
 
-void AnswerStore::Step::operator()(const ReaderResumed &What) {
-  const auto Found = Store.m_ByRequest.find(What.RequestId);
+void AnswerStore::Transition::operator()(const ReaderResumed &Input) {
+  const auto Found = Store.m_ByRequest.find(Input.RequestId);
   if (Found == Store.m_ByRequest.end()) {
-    Actions.push_back(RefuseResume{What.Reader});
+    Actions.push_back(RejectResume{Input.Reader});
     return;
   }
   const RunId Run = Found->second;
   Answer &Held = *Store.find(Run);
-  if (What.FirstToken < Held.Held.begin() ||
-      What.FirstToken > Held.Held.end()) {
-    Actions.push_back(RefuseResume{What.Reader});
+  if (Input.FirstToken < Held.Tokens.begin() ||
+      Input.FirstToken > Held.Tokens.end()) {
+    Actions.push_back(RejectResume{Input.Reader});
     return;
   }
-  Store.attach(Run, Held, What.Reader, Actions);
-  if (What.FirstToken < Held.Held.end())
-    Actions.push_back(SendTokens{What.Reader, Held.Held.from(What.FirstToken)});
-  if (!Held.End)
+  Store.attach(Run, Held, Input.Reader, Actions);
+  if (Input.FirstToken < Held.Tokens.end())
+    Actions.push_back(
+        SendTokens{Input.Reader, Held.Tokens.tokensFrom(Input.FirstToken)});
+  if (!Held.Outcome)
     return;
-  Store.deliverEnd(Held, Now, Actions);
+  Store.deliverOutcome(Held, Now, Actions);
 }
 
-void AnswerStore::Step::operator()(const TimePassed &) {
-  for (auto At = Store.m_Answers.begin(); At != Store.m_Answers.end();) {
-    const auto Next = std::next(At);
-    if (At->second.Expires && *At->second.Expires <= Now)
-      Store.abandon(At, Actions);
-    At = Next;
+void AnswerStore::Transition::operator()(const TimePassed &) {
+  for (auto Position = Store.m_Answers.begin();
+       Position != Store.m_Answers.end();) {
+    const auto Next = std::next(Position);
+    if (Position->second.Expires && *Position->second.Expires <= Now)
+      Store.cancelAndRemove(Position, Actions);
+    Position = Next;
   }
 }
 
-std::vector<Action> AnswerStore::step(const Event &What, BootTime Now) {
-  Step Taken{*this, Now, {}};
-  std::visit(Taken, What);
-  return std::move(Taken.Actions);
+std::vector<Action> AnswerStore::step(const Event &Input, BootTime Now) {
+  Transition Handler{*this, Now, {}};
+  std::visit(Handler, Input);
+  return std::move(Handler.Actions);
 }
 
 } // namespace figlift::stream
--- a/Libraries/LibStream/AnswerStore.h
+++ b/Libraries/LibStream/AnswerStore.h
@@ -1,12 +1,12 @@
-//===- AnswerStore.h - Answers that outlive their readers -------*- C++ -*-===//
+//===- AnswerStore.h - Answers held for resumption --------------*- C++ -*-===//
 //
-// The pure state machine behind held answers. A run goes on for a bounded time
-// when the link to the entry breaks, and the same or another entry resumes the
-// answer at its offset, so that a broken link costs no second run. Memory and
-// time are bounded.
+// State machine of held answers, without I/O. When the connection to the entry
+// is lost, a run continues for a limited time, and the same or another entry
+// can resume the answer at a token index. A lost connection thus needs no
+// second run. Memory and holding time are limited.
 //
-// A run is one execution at the engine; a reader is one wire stream that an
-// entry opened for it. A run has at most one reader: the last one to come.
+// A run is one execution at the engine; a reader is a wire stream that an entry
+// opened for it. A run has at most one reader, the most recent one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,28 +31,28 @@
 using ReaderId = uint64_t;
 
 struct StoreLimits {
-  /// Text of all answers together.
+  /// Memory of all held answers together.
   size_t MaximumBytes = 64u << 20;
-  /// How long a run goes on, and its answer is held, without a reader.
+  /// How long a run without a reader continues and its answer is held.
   std::chrono::milliseconds DetachedTime{10000};
-  /// How long a delivered answer is held: the entry may have died before it
-  /// passed the last tokens on.
+  /// How long a delivered answer is held: the entry may have failed before it
+  /// forwarded the last tokens.
   std::chrono::milliseconds DeliveredTime{5000};
 };
 
-/// How a run ended.
+/// Outcome of a run that completed.
 struct Completed {
   uint32_t TotalTokens = 0;
   std::string FinishReason;
   uint32_t CachedPromptTokens = 0;
   std::string KvHandle;
 };
-using Ending = std::variant<Completed, Error>;
+using RunOutcome = std::variant<Completed, Error>;
 
 // Events.
 
-/// A run begins, read by \p Reader. A run that is still held for the same
-/// request gives way.
+/// A run starts, with \p Reader attached. It replaces a run that is still held
+/// for the same request.
 struct RunStarted {
   std::string RequestId;
   RunId Run = 0;
@@ -66,13 +66,13 @@
 };
 struct RunEnded {
   RunId Run = 0;
-  Ending How;
+  RunOutcome Outcome;
 };
-/// The link to the reader broke; it may come back.
+/// The connection to the reader was lost; the answer may be resumed.
 struct ReaderLost {
   ReaderId Reader = 0;
 };
-/// The reader wants no more of this answer.
+/// The reader canceled the request.
 struct ReaderCancelled {
   ReaderId Reader = 0;
 };
@@ -92,81 +92,84 @@
   ReaderId Reader = 0;
   TokenRange Tokens;
 };
-/// The last frame; the reader's stream ends after it.
-struct SendEnding {
+/// Send the last frame and end the reader's stream.
+struct SendOutcome {
   ReaderId Reader = 0;
-  Ending How;
-  /// Tokens of the answer so far, those of earlier attempts included.
+  RunOutcome Outcome;
+  /// Number of tokens of the answer, including those of earlier attempts.
   uint32_t Tokens = 0;
 };
-struct RefuseResume {
+struct RejectResume {
   ReaderId Reader = 0;
   ResultCode Code = ResultCode::AnswerNoLongerHeld;
 };
-/// The run has a newer reader, or gave way to another run.
-struct DismissReader {
+/// Close the reader's stream: its run has a newer reader or was replaced.
+struct CloseReader {
   ReaderId Reader = 0;
 };
-/// The engine should stop this run.
+/// Cancel the run at the engine.
 struct CancelRun {
   RunId Run = 0;
 };
 
-using Action = std::variant<SendTokens, SendEnding, RefuseResume, DismissReader,
-                            CancelRun>;
+using Action =
+    std::variant<SendTokens, SendOutcome, RejectResume, CloseReader, CancelRun>;
 
 class AnswerStore {
 public:
   explicit AnswerStore(StoreLimits Limits) : m_Limits(Limits) {}
 
-  std::vector<Action> step(const Event &What, BootTime Now);
+  std::vector<Action> step(const Event &Input, BootTime Now);
 
   size_t bytes() const { return m_Bytes; }
-  /// Answers that are held, running ones included.
+  /// Number of held answers, including those of active runs.
   size_t answers() const { return m_Answers.size(); }
-  /// Answers whose end no reader has got yet.
+  /// Number of answers whose outcome has not been sent to a reader.
   size_t undelivered() const { return m_Answers.size() - m_Delivered; }
   bool holds(const std::string &RequestId) const {
     return m_ByRequest.contains(RequestId);
   }
-  /// Whether an answer that can still become whole is held, and nobody reads
-  /// it: a reader that comes takes nothing away from another.
-  bool isUnread(const std::string &RequestId) const;
+  /// Whether an answer of this request is held that has no reader and whose run
+  /// has not failed. Resuming it does not detach another reader.
+  bool isResumable(const std::string &RequestId) const;
 
 private:
   struct Answer {
     std::string RequestId;
-    HeldAnswer Held;
+    HeldAnswer Tokens;
     std::optional<ReaderId> Reader;
-    /// Set when the run ended.
-    std::optional<Ending> End;
-    /// Set whenever the answer has no reader, or is delivered.
+    /// Set when the run has ended.
+    std::optional<RunOutcome> Outcome;
+    /// Set if the answer has no reader or has been delivered.
     std::optional<BootTime> Expires;
-    /// The end was sent to a reader.
+    /// The outcome has been sent to a reader.
     bool Delivered = false;
   };
   using Answers = std::map<RunId, Answer>;
-  struct Step;
+  struct Transition;
 
   Answer *find(RunId Run);
-  void attach(RunId Run, Answer &To, ReaderId Reader,
+  void attach(RunId Run, Answer &Held, ReaderId Reader,
               std::vector<Action> &Actions);
-  void detach(Answer &From);
-  void deliverEnd(Answer &Ended, BootTime Now, std::vector<Action> &Actions);
-  void remove(Answers::iterator Which);
-  /// Removes and cancels the run when it has not ended.
-  void abandon(Answers::iterator Which, std::vector<Action> &Actions);
-  void makeRoom(std::vector<Action> &Actions);
+  void detach(Answer &Held);
+  void deliverOutcome(Answer &Ended, BootTime Now,
+                      std::vector<Action> &Actions);
+  void remove(Answers::iterator Position);
+  /// Removes the answer and cancels its run unless it has ended.
+  void cancelAndRemove(Answers::iterator Position,
+                       std::vector<Action> &Actions);
+  /// Evicts answers and delivered tokens until MaximumBytes is kept.
+  void evictToLimit(std::vector<Action> &Actions);
 
   const StoreLimits m_Limits;
   /// Sum of bytes() over m_Answers.
   size_t m_Bytes = 0;
   /// Answers with Delivered set.
   size_t m_Delivered = 0;
-  /// Ordered by age, as run ids ascend.
+  /// Ordered by age, because run ids ascend.
   Answers m_Answers;
   std::unordered_map<std::string, RunId> m_ByRequest;
-  /// Exactly the runs whose Reader is set.
+  /// Contains exactly the runs whose Reader is set.
   std::unordered_map<ReaderId, RunId> m_ByReader;
 };
 
--- a/Libraries/LibStream/HeldAnswer.h
+++ b/Libraries/LibStream/HeldAnswer.h
@@ -1,7 +1,7 @@
-//===- HeldAnswer.h - Tokens of one answer so far ---------------*- C++ -*-===//
+//===- HeldAnswer.h - Buffered tokens of an answer --------------*- C++ -*-===//
 //
-// The text of one answer with the place of each token, from which any reader
-// can be served at any offset that is still held.
+// The text of an answer with the end offset of each token. Readers can be
+// served from any token index that is still buffered.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 namespace figlift::stream {
 
-/// Consecutive tokens as they are sent to a reader.
+/// Consecutive tokens, as sent to a reader.
 struct TokenRange {
   uint32_t FirstIndex = 0;
   uint32_t Count = 0;
@@ -26,29 +26,30 @@
 public:
   explicit HeldAnswer(uint32_t FirstIndex = 0) : m_Begin(FirstIndex) {}
 
-  /// Index of the oldest token that is held.
+  /// Index of the oldest buffered token.
   uint32_t begin() const { return m_Begin; }
-  /// Index of the next token to come.
+  /// Index of the next token to be appended.
   uint32_t end() const {
     return m_Begin + static_cast<uint32_t>(m_Ends.size());
   }
-  /// Memory that this answer is charged with.
+  /// Memory that counts toward the limit of the store.
   size_t bytes() const {
     return m_Text.size() + m_Ends.size() * sizeof(uint32_t);
   }
 
   void append(std::string_view Text);
-  /// Tokens from \p From, which lies in [begin(), end()], to the end.
-  TokenRange from(uint32_t From) const;
-  /// Forgets tokens before \p Index; returns the bytes that became free.
-  size_t forgetBefore(uint32_t Index);
+  /// Returns the tokens from \p FirstIndex, which must be in [begin(), end()],
+  /// to the end.
+  TokenRange tokensFrom(uint32_t FirstIndex) const;
+  /// Discards the tokens before \p Index; returns the number of freed bytes.
+  size_t discardBefore(uint32_t Index);
 
 private:
-  size_t offsetOf(uint32_t Index) const;
+  size_t textOffsetOf(uint32_t Index) const;
 
   uint32_t m_Begin;
   std::string m_Text;
-  /// m_Ends[i] is where token m_Begin + i ends in m_Text; ascending.
+  /// m_Ends[i] is the end offset of token m_Begin + i in m_Text; ascending.
   std::vector<uint32_t> m_Ends;
 };
 
--- a/Libraries/LibStream/ResumeName.h
+++ b/Libraries/LibStream/ResumeName.h
@@ -1,9 +1,9 @@
-//===- ResumeName.h - Names under which answers are resumed -----*- C++ -*-===//
+//===- ResumeName.h - Names for resuming answers ----------------*- C++ -*-===//
 //
-// An entry resumes an answer of its own by its request id. A caller who comes
-// back through another entry brings an idempotency key instead: the Run names
-// a digest of the key, and a Resume asks for whichever answer has it and is
-// read by nobody.
+// An entry resumes an answer that it requested by the request id. A caller that
+// reconnects through another entry sends its idempotency key instead: the Run
+// request carries a digest of the key, and a Resume request with that digest
+// resumes the answer of the key if it has no reader.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,16 +15,16 @@
 
 namespace figlift::stream {
 
-/// No request id, which is a UUID, begins so.
+/// Distinguishes keys from request ids, which are UUIDs.
 inline constexpr std::string_view KeyNamePrefix = "key/";
 
-/// Name to resume the answer with the key digest \p Digest by.
-inline std::string nameOfKey(std::string_view Digest) {
+/// Resume name of the answer whose idempotency key has the digest \p Digest.
+inline std::string resumeNameOf(std::string_view Digest) {
   return std::string(KeyNamePrefix).append(Digest);
 }
 
-/// Digest in \p Name; nothing when it is a request id.
-inline std::optional<std::string> keyOfName(std::string_view Name) {
+/// The key digest in \p Name, or no value if it is a request id.
+inline std::optional<std::string> keyDigestOf(std::string_view Name) {
   if (!Name.starts_with(KeyNamePrefix))
     return std::nullopt;
   return std::string(Name.substr(KeyNamePrefix.size()));
--- a/Services/figlift-agent/Completions.cpp
+++ b/Services/figlift-agent/Completions.cpp
@@ -168,7 +168,7 @@
   step(stream::TokenProduced{Id, Produced.Index, std::move(Produced.Text)});
 }
 
-stream::Ending
+stream::RunOutcome
 Completions::judge(const Run &Which,
                    const target::CallResult<target::CompletionEnd> &End) {
   if (End) {
@@ -201,7 +201,7 @@
       timeline::kinds::WorkFinished,
       {SubjectType::Request, Found->second.First.RequestId},
       {{"tokens", Found->second.Produced}, {"whole", End.has_value()}});
-  const stream::Ending How = judge(Found->second, End);
+  const stream::RunOutcome How = judge(Found->second, End);
   m_Runs.erase(Found);
   m_Parts.Way.leave(Id);
   step(stream::RunEnded{Id, How});
@@ -232,13 +232,14 @@
 }
 
 std::string Completions::heldAs(const std::string &Name) const {
-  const std::optional<std::string> Key = stream::keyOfName(Name);
+  const std::optional<std::string> Key = stream::keyDigestOf(Name);
   if (!Key)
     return Name;
   // An answer that somebody reads is not given to a second caller: the two
   // would take it from each other again and again.
   const auto Found = m_ByKey.find(*Key);
-  const bool IsFree = Found != m_ByKey.end() && m_Store.isUnread(Found->second);
+  const bool IsFree =
+      Found != m_ByKey.end() && m_Store.isResumable(Found->second);
   return IsFree ? Found->second : Name;
 }
 
@@ -275,24 +276,24 @@
     m_Parts.Out.send(To->second, tokensFrame(What.Tokens));
 }
 
-void Completions::act(const stream::SendEnding &What) {
+void Completions::act(const stream::SendOutcome &What) {
   const auto To = m_Readers.find(What.Reader);
   if (To == m_Readers.end())
     return;
-  if (const auto *Whole = std::get_if<stream::Completed>(&What.How))
+  if (const auto *Whole = std::get_if<stream::Completed>(&What.Outcome))
     m_Parts.Out.finish(To->second, finishedFrame(*Whole));
   else
-    m_Parts.Out.finish(To->second, std::get<Error>(What.How), What.Tokens);
+    m_Parts.Out.finish(To->second, std::get<Error>(What.Outcome), What.Tokens);
 }
 
-void Completions::act(const stream::RefuseResume &What) {
+void Completions::act(const stream::RejectResume &What) {
   if (const auto To = m_Readers.find(What.Reader); To != m_Readers.end())
     m_Parts.Out.finish(
         To->second,
         Error{What.Code, "the answer is not held here", {}, std::nullopt});
 }
 
-void Completions::act(const stream::DismissReader &What) {
+void Completions::act(const stream::CloseReader &What) {
   if (const auto To = m_Readers.find(What.Reader); To != m_Readers.end())
     m_Parts.Out.dismiss(To->second);
 }
--- a/Services/figlift-agent/Completions.h
+++ b/Services/figlift-agent/Completions.h
@@ -59,14 +59,14 @@
   void refused(WorkId Id, const GateRefusal &Why);
   void token(WorkId Id, target::Token Produced);
   void ended(WorkId Id, target::CallResult<target::CompletionEnd> End);
-  stream::Ending judge(const Run &Which,
-                       const target::CallResult<target::CompletionEnd> &End);
+  stream::RunOutcome
+  judge(const Run &Which, const target::CallResult<target::CompletionEnd> &End);
   void expire(WorkId Id);
   void step(const stream::Event &What);
   void act(const stream::SendTokens &What);
-  void act(const stream::SendEnding &What);
-  void act(const stream::RefuseResume &What);
-  void act(const stream::DismissReader &What);
+  void act(const stream::SendOutcome &What);
+  void act(const stream::RejectResume &What);
+  void act(const stream::CloseReader &What);
   void act(const stream::CancelRun &What);
   admission::Work describe(const Run &Which) const;
   /// Request id of the answer that a Resume for \p Name means.
--- a/Services/figlift-entry/CallHeldAnswer.cpp
+++ b/Services/figlift-entry/CallHeldAnswer.cpp
@@ -84,7 +84,7 @@
     m_LastMessage.clear();
     return startAttempt();
   }
-  m_HeldRequestId = stream::nameOfKey(m_Request.ResumeKey);
+  m_HeldRequestId = stream::resumeNameOf(m_Request.ResumeKey);
   std::shared_ptr<TargetLink> Next = std::move(m_Holders.back());
   m_Holders.pop_back();
   resume(std::move(Next));
--- a/Tests/LibStream/TestAnswerStore.cpp
+++ b/Tests/LibStream/TestAnswerStore.cpp
@@ -1,6 +1,6 @@
-//===- TestAnswerStore.cpp - Answers that outlive their readers -----------===//
+//===- TestAnswerStore.cpp - Answers held for resumption ------------------===//
 //
-// Breaks, resumes and limits of held answers, without a network.
+// Lost connections, resumption and limits of held answers, without a network.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,13 +22,17 @@
       {.MaximumBytes = 64, .DetachedTime = 10s, .DeliveredTime = 5s}};
   BootTime Now{};
 
-  std::vector<Action> step(const Event &What) { return Store.step(What, Now); }
-  void produce(uint32_t From, uint32_t To, RunId Which = Run) {
-    for (uint32_t Index = From; Index < To; ++Index)
-      step(TokenProduced{Which, Index, "t" + std::to_string(Index % 10)});
+  std::vector<Action> step(const Event &Input) {
+    return Store.step(Input, Now);
+  }
+  /// Produces the tokens [Begin, End).
+  void produce(uint32_t Begin, uint32_t End, RunId Producer = Run) {
+    for (uint32_t Index = Begin; Index < End; ++Index)
+      step(TokenProduced{Producer, Index, "t" + std::to_string(Index % 10)});
   }
 };
 
+/// The action of \p Actions if it is the only one and a T, else null.
 template <typename T> const T *only(const std::vector<Action> &Actions) {
   return Actions.size() == 1 ? std::get_if<T>(&Actions.front()) : nullptr;
 }
@@ -37,39 +41,41 @@
 TEST_GROUP(AnswerStore), Fixture{};
 
 TEST(AnswerStore, ResumesAtTheOffsetAfterABrokenLink) {
-  // Symptom: an answer stops in the middle, or runs twice. Events: the link
-  // breaks after two tokens, the engine goes on, another entry resumes.
-  // Cause: a run that is bound to the stream which asked for it.
+  // Symptom: an answer is truncated or runs twice.
+  // Sequence: the connection is lost after two tokens, the engine continues,
+  // another entry resumes the answer.
+  // Cause: a run ended with the stream that had requested it.
   step(RunStarted{"r", Run, First, 0});
   produce(0, 2);
   CHECK(step(ReaderLost{First}).empty());
   produce(2, 4);
   const auto Resumed = step(ReaderResumed{"r", Second, 1});
-  const auto *Rest = only<SendTokens>(Resumed);
-  CHECK(Rest != nullptr);
-  LONGS_EQUAL(1, Rest->Tokens.FirstIndex);
-  LONGS_EQUAL(3, Rest->Tokens.Count);
-  STRCMP_EQUAL("t1t2t3", Rest->Tokens.Text.c_str());
+  const auto *Remaining = only<SendTokens>(Resumed);
+  CHECK(Remaining != nullptr);
+  LONGS_EQUAL(1, Remaining->Tokens.FirstIndex);
+  LONGS_EQUAL(3, Remaining->Tokens.Count);
+  STRCMP_EQUAL("t1t2t3", Remaining->Tokens.Text.c_str());
   const auto End = step(RunEnded{Run, Completed{4, "stop", 0, ""}});
-  CHECK(only<SendEnding>(End)->Reader == Second);
+  CHECK(only<SendOutcome>(End)->Reader == Second);
 }
 
-TEST(AnswerStore, IsUnreadWhileItCanBecomeWholeWithoutAReader) {
-  // Symptom: two callers take one answer from each other. Events: both ask
-  // with the same key. Cause: an answer is given away although it is read.
-  CHECK_FALSE(Store.isUnread("r"));
+TEST(AnswerStore, IsResumableWithoutAReaderUnlessTheRunFailed) {
+  // Symptom: two callers repeatedly detach each other from one answer.
+  // Sequence: both send requests with the same idempotency key.
+  // Cause: an answer is passed to a new reader although it has one.
+  CHECK_FALSE(Store.isResumable("r"));
   step(RunStarted{"r", Run, First, 0});
-  CHECK_FALSE(Store.isUnread("r"));
+  CHECK_FALSE(Store.isResumable("r"));
   step(ReaderLost{First});
-  CHECK_TRUE(Store.isUnread("r"));
+  CHECK_TRUE(Store.isResumable("r"));
   step(ReaderResumed{"r", Second, 0});
-  CHECK_FALSE(Store.isUnread("r"));
+  CHECK_FALSE(Store.isResumable("r"));
   step(RunEnded{Run, Completed{0, "stop", 0, ""}});
-  CHECK_TRUE(Store.isUnread("r"));
+  CHECK_TRUE(Store.isResumable("r"));
 
   step(RunStarted{"broken", Run + 1, First, 0});
   step(RunEnded{Run + 1, Error{ResultCode::TargetFailed, "", {}, {}}});
-  CHECK_FALSE(Store.isUnread("broken"));
+  CHECK_FALSE(Store.isResumable("broken"));
 }
 
 TEST(AnswerStore, EndThatCameWithoutAReaderIsDeliveredOnResume) {
@@ -78,20 +84,21 @@
   produce(3, 5);
   CHECK(step(RunEnded{Run, Completed{5, "stop", 0, ""}}).empty());
   const auto Actions = step(ReaderResumed{"r", Second, 5});
-  CHECK(only<SendEnding>(Actions) != nullptr);
-  CHECK(only<RefuseResume>(step(ReaderResumed{"r", 3, 2})) != nullptr);
+  CHECK(only<SendOutcome>(Actions) != nullptr);
+  CHECK(only<RejectResume>(step(ReaderResumed{"r", 3, 2})) != nullptr);
 }
 
 TEST(AnswerStore, DetachedRunIsCancelledAfterItsTime) {
-  // Symptom: the engine works for nobody. Events: the entry dies and no other
-  // one resumes. Cause: a run without a bound on its time without a reader.
+  // Symptom: the engine keeps working on an abandoned request.
+  // Sequence: the entry fails, and no other entry resumes the answer.
+  // Cause: no limit on the time that a run has no reader.
   step(RunStarted{"r", Run, First, 0});
   step(ReaderLost{First});
   Now += 9s;
   CHECK(step(TimePassed{}).empty());
   Now += 1s;
   CHECK(only<CancelRun>(step(TimePassed{})) != nullptr);
-  CHECK(only<RefuseResume>(step(ReaderResumed{"r", Second, 0})) != nullptr);
+  CHECK(only<RejectResume>(step(ReaderResumed{"r", Second, 0})) != nullptr);
   LONGS_EQUAL(0, Store.bytes());
 }
 
@@ -103,11 +110,13 @@
 }
 
 TEST(AnswerStore, LateCancelOfAnOldReaderLeavesTheNewOneAlone) {
-  // Symptom: a resumed answer is cut. Events: an entry resumes on a second
-  // stream, then the reset of the first one arrives. Cause: a cancel that is
-  // taken for the run rather than for the reader that sent it.
+  // Symptom: a resumed answer is truncated.
+  // Sequence: an entry resumes on a second stream, then the reset of the first
+  // stream arrives.
+  // Cause: a cancellation was applied to the run, not to the reader that sent
+  // it.
   step(RunStarted{"r", Run, First, 0});
-  CHECK(only<DismissReader>(step(ReaderResumed{"r", Second, 0})) != nullptr);
+  CHECK(only<CloseReader>(step(ReaderResumed{"r", Second, 0})) != nullptr);
   CHECK(step(ReaderCancelled{First}).empty());
   CHECK(step(ReaderLost{First}).empty());
   const auto Sent = step(TokenProduced{Run, 0, "a"});
@@ -121,21 +130,22 @@
   const auto Actions = step(TokenProduced{Run, 3, "early"});
   LONGS_EQUAL(2, Actions.size());
   CHECK(std::holds_alternative<CancelRun>(Actions[0]));
-  const auto &End = std::get<SendEnding>(Actions[1]);
-  CHECK(std::get<Error>(End.How).Code == ResultCode::TargetFailed);
+  const auto &End = std::get<SendOutcome>(Actions[1]);
+  CHECK(std::get<Error>(End.Outcome).Code == ResultCode::TargetFailed);
 }
 
 TEST(AnswerStore, SecondRunOfARequestReplacesTheFirst) {
   step(RunStarted{"r", Run, First, 0});
   const auto Actions = step(RunStarted{"r", Run + 1, Second, 0});
   LONGS_EQUAL(2, Actions.size());
-  CHECK(std::get<DismissReader>(Actions[0]).Reader == First);
+  CHECK(std::get<CloseReader>(Actions[0]).Reader == First);
   CHECK(std::get<CancelRun>(Actions[1]).Run == Run);
 }
 
-TEST(AnswerStore, MemoryStaysBoundedAndAttachedRunsGoOn) {
-  // Symptom: the agent is killed for its memory. Events: a long answer and a
-  // detached run fill the store. Cause: answers held without a bound.
+TEST(AnswerStore, MemoryStaysBoundedAndAttachedRunsContinue) {
+  // Symptom: the agent runs out of memory.
+  // Sequence: a long answer and a run without a reader fill the store.
+  // Cause: no limit on the memory of held answers.
   step(RunStarted{"detached", 1, 1, 0});
   step(ReaderLost{1});
   produce(0, 5, 1);
