--- a/Services/figlift-agent/Completions.cpp
+++ b/Services/figlift-agent/Completions.cpp
@@ -185,7 +185,7 @@
   step(stream::TokenProduced{Id, Token.Index, std::move(Token.Text)});
 }
 
-stream::Ending
+stream::RunOutcome
 Completions::toEnding(const Run &Completion,
                       const target::CallResult<target::CompletionEnd> &End) {
   if (End) {
@@ -221,10 +221,10 @@
       timeline::kinds::WorkFinished,
       {SubjectType::Request, Found->second.InitialStream.RequestId},
       {{"tokens", Found->second.TokensProduced}, {"whole", End.has_value()}});
-  const stream::Ending Ending = toEnding(Found->second, End);
+  const stream::RunOutcome RunOutcome = toEnding(Found->second, End);
   m_Runs.erase(Found);
   m_Dependencies.Gate.leave(Id);
-  step(stream::RunEnded{Id, Ending});
+  step(stream::RunEnded{Id, RunOutcome});
 }
 
 void Completions::expire(WorkId Id) {
@@ -252,7 +252,7 @@
 }
 
 std::string Completions::findRequestId(const std::string &Name) const {
-  const std::optional<std::string> Key = stream::keyOfName(Name);
+  const std::optional<std::string> Key = stream::keyDigestOf(Name);
   if (!Key)
     return Name;
   // An answer has one reader at a time. An answer that is being read is not
@@ -260,7 +260,7 @@
   // each other.
   const auto Found = m_RequestIdsByKey.find(*Key);
   const bool HasNoReader =
-      Found != m_RequestIdsByKey.end() && m_Store.isUnread(Found->second);
+      Found != m_RequestIdsByKey.end() && m_Store.isResumable(Found->second);
   return HasNoReader ? Found->second : Name;
 }
 
@@ -298,18 +298,18 @@
     m_Dependencies.Frames.send(To->second, tokensFrame(Action.Tokens));
 }
 
-void Completions::perform(const stream::SendEnding &Action) {
+void Completions::perform(const stream::SendOutcome &Action) {
   const auto To = m_Readers.find(Action.Reader);
   if (To == m_Readers.end())
     return;
-  if (const auto *Completed = std::get_if<stream::Completed>(&Action.How))
+  if (const auto *Completed = std::get_if<stream::Completed>(&Action.Outcome))
     m_Dependencies.Frames.finish(To->second, finishedFrame(*Completed));
   else
-    m_Dependencies.Frames.finish(To->second, std::get<Error>(Action.How),
+    m_Dependencies.Frames.finish(To->second, std::get<Error>(Action.Outcome),
                                  Action.Tokens);
 }
 
-void Completions::perform(const stream::RefuseResume &Action) {
+void Completions::perform(const stream::RejectResume &Action) {
   if (const auto To = m_Readers.find(Action.Reader); To != m_Readers.end())
     m_Dependencies.Frames.finish(To->second,
                                  Error{Action.Code,
@@ -318,7 +318,7 @@
                                        std::nullopt});
 }
 
-void Completions::perform(const stream::DismissReader &Action) {
+void Completions::perform(const stream::CloseReader &Action) {
   if (const auto To = m_Readers.find(Action.Reader); To != m_Readers.end())
     m_Dependencies.Frames.dismiss(To->second);
 }
--- a/Services/figlift-agent/Completions.h
+++ b/Services/figlift-agent/Completions.h
@@ -60,14 +60,15 @@
   void refused(WorkId Id, const GateRefusal &Refusal);
   void token(WorkId Id, target::Token Produced);
   void ended(WorkId Id, target::CallResult<target::CompletionEnd> End);
-  stream::Ending toEnding(const Run &Completion,
-                          const target::CallResult<target::CompletionEnd> &End);
+  stream::RunOutcome
+  toEnding(const Run &Completion,
+           const target::CallResult<target::CompletionEnd> &End);
   void expire(WorkId Id);
   void step(const stream::Event &Event);
   void perform(const stream::SendTokens &Action);
-  void perform(const stream::SendEnding &Action);
-  void perform(const stream::RefuseResume &Action);
-  void perform(const stream::DismissReader &Action);
+  void perform(const stream::SendOutcome &Action);
+  void perform(const stream::RejectResume &Action);
+  void perform(const stream::CloseReader &Action);
   void perform(const stream::CancelRun &Action);
   admission::Work describe(const Run &Completion) const;
   /// Request id of the held answer that a Resume for \p Name refers to. \p Name
