--- a/Tests/FigliftGateway/TestDecisionLog.cpp
+++ b/Tests/FigliftGateway/TestDecisionLog.cpp
@@ -1,6 +1,6 @@
-//===- TestDecisionLog.cpp - Bounded lines --------------------------------===//
+//===- TestDecisionLog.cpp - Limits on log lines --------------------------===//
 //
-// Allowances by kind, and an output that takes nothing.
+// Rate limits for each kind of log line, and a full output pipe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,34 +16,35 @@
 
 TEST_GROUP(DecisionLog) {
   BootTime Now{std::chrono::seconds(100)};
-  int Ends[2] = {-1, -1};
+  int Pipe[2] = {-1, -1};
 
-  void setup() override { LONGS_EQUAL(0, pipe(Ends)); }
+  void setup() override { LONGS_EQUAL(0, pipe(Pipe)); }
   void teardown() override {
-    close(Ends[0]);
-    close(Ends[1]);
+    close(Pipe[0]);
+    close(Pipe[1]);
   }
 };
 
-// Load: a flood of refusals. Grounds: they must neither use up the processor
-// nor push out the few lines that say what the process believes.
-TEST(DecisionLog, KeepsAFloodWithinItsAllowance) {
+// Lines about rejected requests under overload must neither exhaust the
+// processor nor displace the few lines that report the state of the process.
+TEST(DecisionLog, LimitsTheRateOfRejectionLines) {
   DecisionLog Log(2);
-  int Written = 0;
-  for (int At = 0; At < 1000; ++At)
-    Written += Log.allows(LineKind::Rejected, Now) ? 1 : 0;
-  LONGS_EQUAL(20, Written);
+  int Allowed = 0;
+  for (int Index = 0; Index < 1000; ++Index)
+    Allowed += Log.allows(LineKind::Rejected, Now) ? 1 : 0;
+  LONGS_EQUAL(20, Allowed);
   LONGS_EQUAL(980, Log.suppressed());
   CHECK(Log.allows(LineKind::State, Now));
   CHECK(Log.allows(LineKind::Rejected, Now + std::chrono::seconds(1)));
 }
 
-// Symptom: requests stand still. Sequence: the reader of the log stops, the
-// pipe fills. Cause: the write waits.
-TEST(DecisionLog, DropsLinesThatNobodyReads) {
-  OutputWriter Output(Ends[1]);
+// Failure: requests stall.
+// Sequence: the reader of the log stops and the pipe fills.
+// Cause: a blocking write.
+TEST(DecisionLog, DropsLinesWhenThePipeIsFull) {
+  OutputWriter Output(Pipe[1]);
   const std::string Line(1000, 'x');
-  for (int At = 0; At < 2000; ++At) {
+  for (int Index = 0; Index < 2000; ++Index) {
     Output.line(Line);
     Output.flush();
   }
@@ -51,11 +52,11 @@
 }
 
 TEST(DecisionLog, WritesWholeLines) {
-  OutputWriter Output(Ends[1]);
+  OutputWriter Output(Pipe[1]);
   Output.line("a");
   Output.line("b");
   Output.flush();
   char Buffer[8] = {};
-  LONGS_EQUAL(4, read(Ends[0], Buffer, sizeof(Buffer)));
+  LONGS_EQUAL(4, read(Pipe[0], Buffer, sizeof(Buffer)));
   STRCMP_EQUAL("a\nb\n", Buffer);
 }
--- a/Tests/FigliftGateway/TestLogPage.cpp
+++ b/Tests/FigliftGateway/TestLogPage.cpp
@@ -1,7 +1,7 @@
 //===- TestLogPage.cpp - docs/LOGS.md against the code --------------------===//
 //
-// Every event and every field that the gateway's sources name stands on the
-// page, and the page names no other event.
+// Every log event and field in the gateway's sources is described in
+// docs/LOGS.md, and the page describes no other event.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,35 +25,35 @@
   return {std::istreambuf_iterator<char>(File), {}};
 }
 
-/// What the first group of \p Pattern matches in \p Text.
+/// Returns the text of the first group of \p Pattern for each match in \p Text.
 std::set<std::string> matches(const std::string &Text, const char *Pattern) {
-  std::set<std::string> Found;
+  std::set<std::string> Matches;
   const std::regex Expression(Pattern);
-  for (std::sregex_iterator At(Text.begin(), Text.end(), Expression), End;
-       At != End; ++At)
-    Found.insert((*At)[1]);
-  return Found;
+  for (std::sregex_iterator Match(Text.begin(), Text.end(), Expression), End;
+       Match != End; ++Match)
+    Matches.insert((*Match)[1]);
+  return Matches;
 }
 
-/// The statements that write lines, from the call to the semicolon.
+/// Returns all statements that write log lines.
 std::string statements() {
   std::string All;
-  for (const auto &Each : std::filesystem::directory_iterator(Sources)) {
-    const std::string Text = read(Each.path());
-    for (size_t At = Text.find("log::log"); At != std::string::npos;
-         At = Text.find("log::log", At + 1))
-      All += Text.substr(At, Text.find(';', At) - At) + ";\n";
+  for (const auto &File : std::filesystem::directory_iterator(Sources)) {
+    const std::string Text = read(File.path());
+    for (size_t Start = Text.find("log::log"); Start != std::string::npos;
+         Start = Text.find("log::log", Start + 1))
+      All += Text.substr(Start, Text.find(';', Start) - Start) + ";\n";
   }
   return All;
 }
 
-/// Empty if \p Part lies within \p Whole; else what is missing.
-std::string missing(const std::set<std::string> &Part,
-                    const std::set<std::string> &Whole) {
+/// Returns the elements of \p Subset that are not in \p Superset.
+std::string missing(const std::set<std::string> &Subset,
+                    const std::set<std::string> &Superset) {
   std::string Names;
-  for (const std::string &Each : Part)
-    if (!Whole.contains(Each))
-      Names += Each + " ";
+  for (const std::string &Name : Subset)
+    if (!Superset.contains(Name))
+      Names += Name + " ";
   return Names;
 }
 
@@ -61,22 +61,22 @@
 
 TEST_GROUP(LogPage){};
 
-TEST(LogPage, NamesEachEventOfTheCodeAndNoOther) {
+TEST(LogPage, DescribesExactlyTheEventsOfTheCode) {
   const auto Written = matches(statements(), "\"([a-z]+(?:-[a-z]+)+)\"|\"\"");
-  const auto Named = matches(read(Page), "`([a-z]+(?:-[a-z]+)*)`");
+  const auto Described = matches(read(Page), "`([a-z]+(?:-[a-z]+)*)`");
   std::set<std::string> Events = Written;
-  // Values of fields that look like events.
+  // Field values that look like event names.
   for (const char *Value : {"read-prompt", ""})
     Events.erase(Value);
-  STRCMP_EQUAL("", missing(Events, Named).c_str());
-  // Rows of the table begin with their events.
+  STRCMP_EQUAL("", missing(Events, Described).c_str());
+  // Each row of the table begins with its event.
   const auto Rows = matches(read(Page), "\n\\| `([a-z]+(?:-[a-z]+)*)`");
   CHECK_TRUE(Rows.size() > 10);
-  const auto Anywhere = matches(statements(), "\"([a-z]+(?:-[a-z]+)*)\"");
-  STRCMP_EQUAL("", missing(Rows, Anywhere).c_str());
+  const auto Words = matches(statements(), "\"([a-z]+(?:-[a-z]+)*)\"");
+  STRCMP_EQUAL("", missing(Rows, Words).c_str());
 }
 
-TEST(LogPage, NamesEachFieldOfTheCode) {
+TEST(LogPage, DescribesEachFieldOfTheCode) {
   const auto Written = matches(statements(), "\\{\"([a-zA-Z]+)\",");
   CHECK_TRUE(Written.size() > 20);
   STRCMP_EQUAL("",
--- a/Tests/FigliftGateway/TestOutputWriter.cpp
+++ b/Tests/FigliftGateway/TestOutputWriter.cpp
@@ -1,6 +1,6 @@
 //===- TestOutputWriter.cpp - Standard output that never blocks -----------===//
 //
-// A pipe that is full, and one that several processes share.
+// Writing to a full pipe, and to a pipe that several processes share.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,47 +16,47 @@
 
 TEST_GROUP(OutputWriter) {
   std::array<int, 2> Pipe{};
-  std::string Read;
+  std::string Received;
 
   void setup() override { CHECK(pipe(Pipe.data()) == 0); }
   void teardown() override {
     close(Pipe[0]);
     close(Pipe[1]);
   }
-  /// Reads \p Count bytes; they must be there.
-  void take(size_t Count) {
+  /// Reads \p Count bytes, which must be available.
+  void readBytes(size_t Count) {
     std::string Bytes(Count, '\0');
-    for (size_t Done = 0; Done < Count;) {
-      const ssize_t Got = read(Pipe[0], Bytes.data() + Done, Count - Done);
-      CHECK(Got > 0);
-      Done += static_cast<size_t>(Got);
+    for (size_t Offset = 0; Offset < Count;) {
+      const ssize_t ReadCount =
+          read(Pipe[0], Bytes.data() + Offset, Count - Offset);
+      CHECK(ReadCount > 0);
+      Offset += static_cast<size_t>(ReadCount);
     }
-    Read += Bytes;
+    Received += Bytes;
   }
 };
 
-// Symptom: of thousands of lines one stands in two pieces, with a line of
-// another process between them.
-// Sequence: the pipe has room for a part of what is written; the part is
-// taken, another process writes, the rest follows.
-// Cause: writes longer than a pipe takes as one.
+// Failure: a log line is split, with a line of another process in between.
+// Sequence: the pipe has room for only part of a write; another process writes
+// before the rest follows.
+// Cause: writes longer than PIPE_BUF, which are not atomic.
 TEST(OutputWriter, LeavesNoPartOfALineInAFullPipe) {
   OutputWriter Output(Pipe[1]);
   const std::string Line(999, 'x');
-  size_t Room = 0;
-  for (; write(Pipe[1], "fill....fill....", 16) == 16; Room += 16)
+  size_t Capacity = 0;
+  for (; write(Pipe[1], "fill....fill....", 16) == 16; Capacity += 16)
     ;
-  for (int Each = 0; Each < 40; ++Each)
+  for (int Index = 0; Index < 40; ++Index)
     Output.line(Line);
-  take(6000);
+  readBytes(6000);
   Output.flush();
-  take(Room - 6000);
-  Read.clear();
-  // What has left ends with the end of a line, and the rest follows whole.
-  const std::string Other = "another process\n";
-  CHECK(write(Pipe[1], Other.data(), Other.size()) == 16);
+  readBytes(Capacity - 6000);
+  Received.clear();
+  // The first flush ends at a line end, and the second one writes the rest.
+  const std::string OtherLine = "another process\n";
+  CHECK(write(Pipe[1], OtherLine.data(), OtherLine.size()) == 16);
   Output.flush();
-  take(40 * 1000 + Other.size());
-  const size_t At = Read.find(Other);
-  LONGS_EQUAL(0, At % 1000);
+  readBytes(40 * 1000 + OtherLine.size());
+  const size_t Position = Received.find(OtherLine);
+  LONGS_EQUAL(0, Position % 1000);
 }
--- a/Tests/StoppingGateway/TestSignalOrder.cpp
+++ b/Tests/StoppingGateway/TestSignalOrder.cpp
@@ -1,7 +1,7 @@
-//===- TestSignalOrder.cpp - Signals that follow each other ---------------===//
+//===- TestSignalOrder.cpp - Order of signals -----------------------------===//
 //
-// Real processes: in a test's own process other threads would take signals,
-// too.
+// Uses separate processes, because in the test's own process other threads
+// could receive the signals.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,8 @@
   void setup() override { std::filesystem::create_directories(Folder); }
   void teardown() override { std::filesystem::remove_all(Folder); }
 
-  /// An address of this test process alone; nobody listens at the store's port.
+  /// An address used by this test process alone. The store's port refuses
+  /// connections.
   std::string address(unsigned Port) const {
     constexpr int Hosts = 250;
     return "127.200." + std::to_string(getpid() / Hosts % Hosts) + "." +
@@ -54,24 +55,25 @@
     std::ofstream(Folder / "new") << Settings.dump();
     std::filesystem::rename(Folder / "new", settingsFile());
   }
-  /// The value of a numeric field of a line with \p Event.
+  /// Returns the numeric field \p Name of the line with \p Event.
   static double field(const std::string &Log, const std::string &Event,
                       const std::string &Name) {
     const size_t Line = Log.find(Event);
-    const size_t At = Log.find(Name, Line);
+    const size_t FieldStart = Log.find(Name, Line);
     return std::stod(
-        Log.substr(Log.find_first_of("0123456789", At + Name.size())));
+        Log.substr(Log.find_first_of("0123456789", FieldStart + Name.size())));
   }
 };
 
-// Failure: streams are cut seconds early by a stop.
-// Sequence: the settings get a longer grace, SIGHUP follows, SIGTERM right
-// behind it. Cause: two threads took one signal each; the gateway saw SIGTERM
-// first and believed the shorter grace, from which the change seemed to come
-// later.
-TEST(SignalOrder, TakesTheNewGraceWhenTerminationFollowsAHangUp) {
+// Failure: a stop interrupts streams seconds too early.
+// Sequence: the settings get a longer grace period, followed by SIGHUP and
+// immediately by SIGTERM.
+// Cause: two threads receive one signal each, and the gateway handles SIGTERM
+// first. It applies the shorter grace period, because the change seems to have
+// come after SIGTERM.
+TEST(SignalOrder, UsesTheNewGraceWhenTerminationFollowsAHangup) {
   constexpr int Rounds = 40;
-  int Longer = 0;
+  int LongerStops = 0;
   for (int Round = 0; Round < Rounds; ++Round) {
     writeGrace(ShortGrace);
     const std::string Log =
@@ -85,7 +87,7 @@
     Process.terminate();
     CHECK(Process.waitForOutput("endsInMs", Limit));
     const double EndsInMs = field(Process.output(), "stopping", "endsInMs");
-    Longer += EndsInMs > ShortGrace * 1000 ? 1 : 0;
+    LongerStops += EndsInMs > ShortGrace * 1000 ? 1 : 0;
   }
-  LONGS_EQUAL(Rounds, Longer);
+  LONGS_EQUAL(Rounds, LongerStops);
 }
