--- a/Tests/FigliftGateway/StandInPlatform.cpp
+++ b/Tests/FigliftGateway/StandInPlatform.cpp
@@ -24,43 +24,44 @@
 
 namespace {
 
-/// Four ports that are free at this moment; held together while they are
-/// chosen, so that they differ.
+/// Returns four ports that are free at this moment. All four are bound at the
+/// same time while they are chosen, so that they differ.
 settings::GatewayListen freePorts() {
   asio::io_context Loop;
-  std::vector<tcp::acceptor> Probes;
-  for (int Each = 0; Each < 4; ++Each)
-    Probes.emplace_back(Loop,
-                        tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  const auto Port = [&](size_t Which) {
-    return Endpoint{"127.0.0.1", Probes[Which].local_endpoint().port()};
+  std::vector<tcp::acceptor> Acceptors;
+  for (int Index = 0; Index < 4; ++Index)
+    Acceptors.emplace_back(Loop,
+                           tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  const auto Port = [&](size_t Index) {
+    return Endpoint{"127.0.0.1", Acceptors[Index].local_endpoint().port()};
   };
   return {Port(0), Port(1), Port(2), Port(3)};
 }
 
 } // namespace
 
-GatewayScene::GatewayScene(double Grace, double Repeats)
+GatewayFixture::GatewayFixture(double Grace, double RetryBase)
     : m_SettingsFile("/tmp/figlift-gateway-" + std::to_string(getpid())),
       m_Output(open("/dev/null", O_WRONLY)) {
   Settings.Process = {"g1", "z"};
   Settings.Store = Store.address();
   Settings.Fleet.Starts = true;
   Settings.Drain.Grace = settings::PlainSeconds(Grace);
-  Settings.Retry.Base = Repeats;
+  Settings.Retry.Base = RetryBase;
   log::Options Quiet;
   Quiet.Threshold = log::Level::Off;
   log::configure(Quiet);
   startOnFreePorts();
   m_Thread = std::thread([this] {
     m_Gateway->run();
-    m_Ended = true;
+    m_Stopped = true;
   });
 }
 
-/// Another process may take a port between its choice and its use: a whole run
-/// of the suite ended so, beside other suites.
-void GatewayScene::startOnFreePorts() {
+/// Tries again with other ports, because another process may bind a port
+/// between its selection and its use, for example when test suites run side by
+/// side.
+void GatewayFixture::startOnFreePorts() {
   constexpr int Tries = 10;
   Result<void> Started = success();
   for (int Try = 0; Try < Tries; ++Try) {
@@ -74,18 +75,19 @@
   FAIL(Started.error().Message.c_str());
 }
 
-GatewayScene::~GatewayScene() {
+GatewayFixture::~GatewayFixture() {
   m_Gateway->interrupt();
   m_Thread.join();
   unlink(m_SettingsFile.c_str());
 }
 
-void GatewayScene::configure(uint64_t Version, const std::string &Without) {
+void GatewayFixture::configure(uint64_t Version,
+                               const std::string &OmittedService) {
   Json Routes = Json::array();
   const auto Add = [&](const std::string &Name, const char *Kind,
                        const char *Service, bool Resumable,
                        int TimeoutMs = 2000) {
-    if (Service == Without)
+    if (Service == OmittedService)
       return;
     Routes.push_back({{"name", Name},
                       {"host", "h"},
@@ -102,15 +104,15 @@
   Add("stream", "streaming", "model", true);
   Add("once", "streaming", "model", false);
   Add("long", "streaming", "model", false, 15000);
-  for (unsigned Each = 1; Each <= MoreRoutes; ++Each)
-    Add("more-" + std::to_string(Each), "safe", "plain", false);
+  for (unsigned Number = 1; Number <= AdditionalRoutes; ++Number)
+    Add("more-" + std::to_string(Number), "safe", "plain", false);
   const Json Engine = {{"slots", 8},           {"kvCapacity", 100000},
                        {"tokenKvBytes", 1000}, {"linkMbps", 10000},
                        {"kvHoldS", 5},         {"stageSwitchS", 3}};
   Json Services = Json::array();
-  if (Without != "plain")
+  if (OmittedService != "plain")
     Services.push_back({{"name", "plain"}, {"maxConnections", 100}});
-  if (Without != "model")
+  if (OmittedService != "model")
     Services.push_back(
         {{"name", "model"}, {"maxConnections", 100}, {"engine", Engine}});
   Store.put(
@@ -119,67 +121,72 @@
           .dump());
 }
 
-Listener &GatewayScene::server(const std::string &Id,
-                               const std::string &Service,
-                               Listener::Behaviour Act,
-                               const std::string &Stage) {
-  m_Servers[Id] = {std::make_unique<Listener>(Loop, std::move(Act)), Service,
-                   Stage};
-  list(Id, "ready");
+Listener &GatewayFixture::addServer(const std::string &Id,
+                                    const std::string &Service,
+                                    Listener::Behaviour Behaviour,
+                                    const std::string &Stage) {
+  m_Servers[Id] = {std::make_unique<Listener>(Loop, std::move(Behaviour)),
+                   Service, Stage};
+  setServerState(Id, "ready");
   return *m_Servers[Id].Server;
 }
 
-void GatewayScene::list(const std::string &Id, const std::string &State) {
-  const Entry &Which = m_Servers[Id];
-  put(Id, Which.Service, Which.Server->address(), Which.Stage, State,
-      Which.Started);
+void GatewayFixture::setServerState(const std::string &Id,
+                                    const std::string &State) {
+  const Entry &Server = m_Servers[Id];
+  writeEntry(Id, Server.Service, Server.Server->address(), Server.Stage, State,
+             Server.StartTime);
 }
 
-void GatewayScene::listMissingEngine(const std::string &Id,
-                                     const std::string &Stage) {
-  put(Id, "model", freePorts().Callers, Stage, "ready", Entry{}.Started);
+void GatewayFixture::listUnreachableEngine(const std::string &Id,
+                                           const std::string &Stage) {
+  writeEntry(Id, "model", freePorts().Callers, Stage, "ready",
+             Entry{}.StartTime);
 }
 
-void GatewayScene::put(const std::string &Id, const std::string &Service,
-                       const Endpoint &Address, const std::string &Stage,
-                       const std::string &State, int64_t Started) {
+void GatewayFixture::writeEntry(const std::string &Id,
+                                const std::string &Service,
+                                const Endpoint &Address,
+                                const std::string &Stage,
+                                const std::string &State, int64_t StartTime) {
   Json Row = {{"service", Service},   {"address", Address.toString()},
               {"zone", "z"},          {"version", "v1"},
               {"slots", 4},           {"state", State},
-              {"coldRemainingMs", 0}, {"sequence", ++m_Heartbeats},
-              {"born", Started}};
+              {"coldRemainingMs", 0}, {"sequence", ++m_LastSequence},
+              {"born", StartTime}};
   if (!Stage.empty())
     Row["stage"] = Stage;
   Store.put("servers", Id, Row.dump());
 }
 
-void GatewayScene::restart(const std::string &Id) {
-  m_Servers[Id].Started += 5000;
-  list(Id, "ready");
+void GatewayFixture::restart(const std::string &Id) {
+  m_Servers[Id].StartTime += 5000;
+  setServerState(Id, "ready");
 }
 
-void GatewayScene::crash(const std::string &Id) {
+void GatewayFixture::crash(const std::string &Id) {
   m_Servers[Id].Server->crash();
 }
 
-void GatewayScene::comeBack(const std::string &Id, const std::string &NewId) {
-  Entry &Ended = m_Servers[Id];
-  Entry &Started = m_Servers[NewId];
-  Started = {std::make_unique<Listener>(Loop, Ended.Server->behaviour(),
-                                        Ended.Server->address().Port),
-             Ended.Service, Ended.Stage, Ended.Started + 5000};
+void GatewayFixture::restartAs(const std::string &Id,
+                               const std::string &NewId) {
+  Entry &Crashed = m_Servers[Id];
+  Entry &Restarted = m_Servers[NewId];
+  Restarted = {std::make_unique<Listener>(Loop, Crashed.Server->behaviour(),
+                                          Crashed.Server->address().Port),
+               Crashed.Service, Crashed.Stage, Crashed.StartTime + 5000};
   Store.remove("servers", Id);
-  list(NewId, "ready");
+  setServerState(NewId, "ready");
 }
 
-std::string GatewayScene::exchange(const Endpoint &Where,
-                                   const std::string &Bytes) {
+std::string GatewayFixture::exchange(const Endpoint &Address,
+                                     const std::string &Bytes) {
   tcp::socket Socket(Loop);
-  Socket.connect({asio::ip::make_address_v4(Where.Address), Where.Port});
+  Socket.connect({asio::ip::make_address_v4(Address.Address), Address.Port});
   asio::write(Socket, asio::buffer(Bytes));
   Socket.non_blocking(true);
   std::string Received;
-  until([&] {
+  waitUntil([&] {
     std::array<char, 4096> Buffer;
     boost::system::error_code Code;
     while (!Code) {
@@ -191,9 +198,9 @@
   return Received;
 }
 
-std::string GatewayScene::ask(const std::string &Method,
-                              const std::string &Path,
-                              const std::string &Fields) {
+std::string GatewayFixture::request(const std::string &Method,
+                                    const std::string &Path,
+                                    const std::string &Fields) {
   return exchange(Settings.Listen.Callers,
                   Method + " " + Path +
                       " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n"
@@ -201,43 +208,44 @@
                       Fields + "\r\n");
 }
 
-void GatewayScene::writeSettings(const std::string &Text) {
+void GatewayFixture::writeSettings(const std::string &Text) {
   std::ofstream(m_SettingsFile, std::ios::binary) << Text;
 }
 
-void GatewayScene::writeGrace(double Grace) {
+void GatewayFixture::writeGrace(double Grace) {
   settings::GatewaySettings Changed = Settings;
   Changed.Drain.Grace = settings::PlainSeconds(Grace);
   writeSettings(settings::printSettings(Changed));
 }
 
-void GatewayScene::terminate() { kill(getpid(), SIGTERM); }
+void GatewayFixture::sendTermination() { kill(getpid(), SIGTERM); }
 
-void GatewayScene::hangUp() { kill(getpid(), SIGHUP); }
+void GatewayFixture::sendHangup() { kill(getpid(), SIGHUP); }
 
-std::string GatewayScene::metrics() {
+std::string GatewayFixture::metrics() {
   return exchange(Settings.Listen.Metrics,
                   "GET /metrics HTTP/1.1\r\nHost: h\r\n"
                   "Connection: close\r\n\r\n");
 }
 
-bool GatewayScene::becomesReady(bool Wanted) {
-  const std::string Question =
+bool GatewayFixture::waitUntilReady(bool Ready) {
+  const std::string Request =
       "GET /v1/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
-  return until([&] {
-    return exchange(Settings.Listen.Ready, Question)
-               .starts_with("HTTP/1.1 200") == Wanted;
+  return waitUntil([&] {
+    return exchange(Settings.Listen.Ready, Request)
+               .starts_with("HTTP/1.1 200") == Ready;
   });
 }
 
-KeptCaller::KeptCaller(GatewayScene &Scene) : m_Socket(Scene.Loop) {
-  const Endpoint &Where = Scene.Settings.Listen.Callers;
-  m_Socket.connect({asio::ip::make_address_v4(Where.Address), Where.Port});
+KeepAliveCaller::KeepAliveCaller(GatewayFixture &Fixture)
+    : m_Socket(Fixture.Loop) {
+  const Endpoint &Address = Fixture.Settings.Listen.Callers;
+  m_Socket.connect({asio::ip::make_address_v4(Address.Address), Address.Port});
   m_Socket.non_blocking(true);
 }
 
-void KeptCaller::send(const std::string &Method, const std::string &Path,
-                      const std::string &Fields) {
+void KeepAliveCaller::send(const std::string &Method, const std::string &Path,
+                           const std::string &Fields) {
   sendBytes(Method + " " + Path +
             " HTTP/1.1\r\nHost: h\r\n"
             "X-Attempt-Id: a1\r\n"
@@ -245,79 +253,79 @@
             Fields + "\r\n");
 }
 
-void KeptCaller::sendBytes(const std::string &Bytes) {
+void KeepAliveCaller::sendBytes(const std::string &Bytes) {
   asio::write(m_Socket, asio::buffer(Bytes));
 }
 
-const std::string &KeptCaller::received() {
+const std::string &KeepAliveCaller::received() {
   std::array<char, 4096> Buffer;
   boost::system::error_code Code;
   while (!Code) {
     const size_t Count = m_Socket.read_some(asio::buffer(Buffer), Code);
     m_Received.append(Buffer.data(), Count);
   }
-  m_Ended = m_Ended || Code != asio::error::would_block;
+  m_Closed = m_Closed || Code != asio::error::would_block;
   return m_Received;
 }
 
 namespace {
-proxy::ResponseHead signedHead(const proxy::Request &What, unsigned Status) {
+proxy::ResponseHead signedHead(const proxy::Request &Request, unsigned Status) {
   proxy::ResponseHead Head;
   Head.Status = Status;
   Head.Headers.add(
       "X-Attempt-Id",
-      std::string(What.Head.Headers.find("X-Attempt-Id").value_or("")));
+      std::string(Request.Head.Headers.find("X-Attempt-Id").value_or("")));
   Head.Headers.add("X-Response-Signature", "s");
   return Head;
 }
 } // namespace
 
-bool has(const std::string &Text, const std::string &Part) {
-  return Text.find(Part) != std::string::npos;
+bool contains(const std::string &Text, const std::string &Substring) {
+  return Text.find(Substring) != std::string::npos;
 }
 
-bool endsWhole(const std::string &Stream) {
+bool isCompleteStream(const std::string &Stream) {
   return Stream.ends_with("\r\n0\r\n\r\n");
 }
 
-bool isTurnedAway(const std::string &Answer) {
-  return has(Answer, "HTTP/1.1 503") && has(Answer, "Retry-After") &&
-         has(Answer, "Connection: close");
+bool isStoppingRejection(const std::string &Answer) {
+  return contains(Answer, "HTTP/1.1 503") && contains(Answer, "Retry-After") &&
+         contains(Answer, "Connection: close");
 }
 
-const std::string Prompt = "X-Token-Count: 4000,8\r\n"
-                           "X-Prompt-Prefix: a1:2000,b2:2000\r\n";
+const std::string PromptHeaders = "X-Token-Count: 4000,8\r\n"
+                                  "X-Prompt-Prefix: a1:2000,b2:2000\r\n";
 
-void answer(const proxy::Request &What, const Caller &To, unsigned Status,
-            const std::string &Body) {
-  To->respond(signedHead(What, Status), Body);
+void respondSigned(const proxy::Request &Request, const Caller &To,
+                   unsigned Status, const std::string &Body) {
+  To->respond(signedHead(Request, Status), Body);
 }
 
-void turnAway(const Caller &To) {
+void rejectUnexecuted(const Caller &To) {
   proxy::ResponseHead Head;
   Head.Status = 503;
   Head.Headers.add("X-Not-Executed", "1");
   To->respond(Head, "");
 }
 
-void beginStream(const proxy::Request &What, const Caller &To) {
-  To->beginStream(signedHead(What, 200));
+void beginStream(const proxy::Request &Request, const Caller &To) {
+  To->beginStream(signedHead(Request, 200));
 }
 
-Listener::Behaviour answersWith(const std::string &Body) {
-  return [Body](const proxy::Request &What, const Caller &To) {
-    answer(What, To, 200, Body);
+Listener::Behaviour respondWith(const std::string &Body) {
+  return [Body](const proxy::Request &Request, const Caller &To) {
+    respondSigned(Request, To, 200, Body);
   };
 }
 
-void readsPrompt(const proxy::Request &, const Caller &To) {
+void completePrefill(const proxy::Request &, const Caller &To) {
   proxy::ResponseHead Head;
   Head.Status = 200;
   To->respond(Head, R"({"kvHandle":"k1","tokens":4000,"version":1})");
 }
 
 namespace {
-/// Writes event \p Number and, after a pause, those behind it.
+/// Writes event \p Number and, after a pause each, the following ones.
 void writeEvents(const std::shared_ptr<asio::steady_timer> &Timer,
                  const Caller &To, unsigned Number, unsigned Events) {
   constexpr std::chrono::milliseconds Pause{20};
@@ -325,17 +333,17 @@
   if (Number == Events)
     return To->endStream();
   Timer->expires_after(Pause);
-  Timer->async_wait([=](const boost::system::error_code &Stopped) {
-    if (!Stopped)
+  Timer->async_wait([=](const boost::system::error_code &Code) {
+    if (!Code)
       writeEvents(Timer, To, Number + 1, Events);
   });
 }
 } // namespace
 
-Listener::Behaviour streamsFor(asio::io_context &Loop,
-                               std::chrono::milliseconds Time) {
-  return [&Loop, Time](const proxy::Request &What, const Caller &To) {
-    beginStream(What, To);
+Listener::Behaviour streamFor(asio::io_context &Loop,
+                              std::chrono::milliseconds Time) {
+  return [&Loop, Time](const proxy::Request &Request, const Caller &To) {
+    beginStream(Request, To);
     const auto Events = static_cast<unsigned>(Time.count() / 20) + 1;
     writeEvents(std::make_shared<asio::steady_timer>(Loop), To, 1, Events);
   };
--- a/Tests/FigliftGateway/StandInPlatform.h
+++ b/Tests/FigliftGateway/StandInPlatform.h
@@ -1,8 +1,8 @@
 //===- StandInPlatform.h - Store, servers and a caller ----------*- C++ -*-===//
 //
-// Small stand-ins of the platform for one gateway, on the loopback: a store,
-// servers whose behaviour a test sets, and a caller. All of them run on the
-// test's loop; the gateway runs on a thread of its own.
+// Stand-ins for the platform around one gateway, on the loopback interface: a
+// store, servers whose behaviour a test sets, and a caller. They run on the
+// test's event loop; the gateway runs on its own thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,53 +20,58 @@
 
 namespace figlift::testing {
 
-/// One gateway before stand-ins.
-class GatewayScene {
+/// One gateway with stand-ins for the store, the servers and the callers.
+class GatewayFixture {
 public:
-  /// \p Grace: from SIGTERM to the kill. \p Repeats: how many sends are free
-  /// in each window of the budget.
-  explicit GatewayScene(double Grace = 8, double Repeats = 50);
-  /// Writes the gateway's settings file; it exists from the first call on.
+  /// \p Grace: seconds from SIGTERM to SIGKILL. \p RetryBase: base of the retry
+  /// budget, the retries allowed in each window regardless of load.
+  explicit GatewayFixture(double Grace = 8, double RetryBase = 50);
+  /// Writes the gateway's settings file, which does not exist before the first
+  /// call.
   void writeSettings(const std::string &Text);
-  /// Writes the gateway's settings with another time from SIGTERM to the kill.
+  /// Writes the gateway's settings with another time from SIGTERM to SIGKILL.
   void writeGrace(double Grace);
   const std::string &settingsFile() const { return m_SettingsFile; }
-  ~GatewayScene();
-
-  /// Writes the configuration: routes /safe/, /unsafe/, /stream/ (resumable),
-  /// /once/ (not) and /long/ (not, with a timeout beyond any grace time here),
-  /// to "plain" and "model". \p Without: this service and its routes are left
-  /// out.
-  void configure(uint64_t Version = 1, const std::string &Without = "");
-  /// A server of \p Service that is listed.
-  Listener &server(const std::string &Id, const std::string &Service,
-                   Listener::Behaviour Act, const std::string &Stage = "");
-  void list(const std::string &Id, const std::string &State);
-  /// An engine is listed at whose address nobody listens.
-  void listMissingEngine(const std::string &Id, const std::string &Stage);
-  /// The server at \p Id's address starts again: the same id, a later start.
+  ~GatewayFixture();
+
+  /// Writes the configuration with the routes /safe/, /unsafe/, /stream/
+  /// (resumable), /once/ (not resumable) and /long/ (not resumable, with a
+  /// timeout longer than any grace period in these tests) to the services
+  /// "plain" and "model". \p OmittedService: service to omit with its routes.
+  void configure(uint64_t Version = 1, const std::string &OmittedService = "");
+  /// Starts a server of \p Service and lists it in the store as ready.
+  Listener &addServer(const std::string &Id, const std::string &Service,
+                      Listener::Behaviour Behaviour,
+                      const std::string &Stage = "");
+  /// Writes the server's entry to the store with \p State.
+  void setServerState(const std::string &Id, const std::string &State);
+  /// Lists an engine whose address refuses connections.
+  void listUnreachableEngine(const std::string &Id, const std::string &Stage);
+  /// Lists the server with the same id and address and a later start time, as
+  /// after a restart.
   void restart(const std::string &Id);
-  void behave(const std::string &Id, Listener::Behaviour Act) {
-    m_Servers[Id].Server->behave(std::move(Act));
+  void setBehaviour(const std::string &Id, Listener::Behaviour Behaviour) {
+    m_Servers[Id].Server->setBehaviour(std::move(Behaviour));
   }
-  /// The server ends, and nobody says so in the store.
+  /// Crashes the server; its entry stays in the store.
   void crash(const std::string &Id);
-  /// It starts again, as \p NewId at the same address.
-  void comeBack(const std::string &Id, const std::string &NewId);
-  /// Sends one request on a connection of its own and gives the whole answer,
-  /// head and body, once the gateway has closed it.
-  std::string ask(const std::string &Method, const std::string &Path,
-                  const std::string &Fields = "");
+  /// Starts a crashed server again at the same address as \p NewId.
+  void restartAs(const std::string &Id, const std::string &NewId);
+  /// Sends one request on a new connection and returns the complete response,
+  /// head and body, after the gateway has closed the connection.
+  std::string request(const std::string &Method, const std::string &Path,
+                      const std::string &Fields = "");
   std::string metrics();
-  /// Sends SIGTERM to this process, which the gateway takes for its own.
-  void terminate();
-  /// Sends SIGHUP, likewise.
-  void hangUp();
-  /// The gateway has left its loop; callers that it did not close are not.
-  bool hasEnded() const { return m_Ended; }
-  /// Waits for the answer of the ready address.
-  bool becomesReady(bool Wanted = true);
-  template <typename Condition> bool until(Condition Done) {
+  /// Sends SIGTERM to the test process, in which the gateway runs.
+  void sendTermination();
+  /// Sends SIGHUP to the test process.
+  void sendHangup();
+  /// Whether the gateway's event loop has ended. Connections that it did not
+  /// close are still open.
+  bool hasStopped() const { return m_Stopped; }
+  /// Waits until the ready address reports \p Ready.
+  bool waitUntilReady(bool Ready = true);
+  template <typename Condition> bool waitUntil(Condition Done) {
     const auto End = std::chrono::steady_clock::now() + std::chrono::seconds(5);
     while (!Done() && std::chrono::steady_clock::now() < End)
       Loop.run_for(std::chrono::milliseconds(2));
@@ -75,9 +80,9 @@
 
   boost::asio::io_context Loop;
   StandInStore Store{Loop};
-  /// Routes of configurations besides the ones above; a request to the last of
-  /// them asks for "/more-N/".
-  unsigned MoreRoutes = 0;
+  /// Number of additional routes in each configuration, named "/more-1/" to
+  /// "/more-N/".
+  unsigned AdditionalRoutes = 0;
   settings::GatewaySettings Settings;
 
 private:
@@ -86,68 +91,70 @@
     std::string Service;
     std::string Stage;
     /// Milliseconds since 1970.
-    int64_t Started = 1790000000000;
+    int64_t StartTime = 1790000000000;
   };
-  void put(const std::string &Id, const std::string &Service,
-           const Endpoint &Address, const std::string &Stage,
-           const std::string &State, int64_t Started);
+  void writeEntry(const std::string &Id, const std::string &Service,
+                  const Endpoint &Address, const std::string &Stage,
+                  const std::string &State, int64_t StartTime);
   void startOnFreePorts();
-  std::string exchange(const Endpoint &Where, const std::string &Bytes);
+  std::string exchange(const Endpoint &Address, const std::string &Bytes);
 
   std::map<std::string, Entry> m_Servers;
-  /// Entries written so far; each one's number.
-  uint64_t m_Heartbeats = 0;
+  /// Entries written so far; the sequence number of the last one.
+  uint64_t m_LastSequence = 0;
   std::string m_SettingsFile;
   gateway::OutputWriter m_Output;
   std::unique_ptr<gateway::Gateway> m_Gateway;
-  std::atomic<bool> m_Ended = false;
+  std::atomic<bool> m_Stopped = false;
   std::thread m_Thread;
 };
 
-/// A caller that keeps its connection for as long as the gateway does.
-class KeptCaller {
+/// A caller that keeps its connection open until the gateway closes it.
+class KeepAliveCaller {
 public:
-  explicit KeptCaller(GatewayScene &Scene);
+  explicit KeepAliveCaller(GatewayFixture &Fixture);
   void send(const std::string &Method, const std::string &Path,
             const std::string &Fields = "");
-  /// Bytes as they are.
+  /// Sends the bytes unchanged.
   void sendBytes(const std::string &Bytes);
-  /// All that has come so far.
+  /// Reads what has arrived and returns everything received so far.
   const std::string &received();
-  /// The gateway has closed its side.
-  bool ended() const { return m_Ended; }
+  /// Whether the gateway has closed the connection.
+  bool isClosed() const { return m_Closed; }
 
 private:
   boost::asio::ip::tcp::socket m_Socket;
   std::string m_Received;
-  bool m_Ended = false;
+  bool m_Closed = false;
 };
 
-bool has(const std::string &Text, const std::string &Part);
-/// \p Stream has its last chunk; without it the answer is not complete.
-bool endsWhole(const std::string &Stream);
-/// \p Answer says that nothing ran, when to come back and to do so elsewhere.
-bool isTurnedAway(const std::string &Answer);
-/// Fields of a request with a prompt that is read apart from its run.
-extern const std::string Prompt;
-
-/// A whole, signed answer to \p What.
-void answer(const proxy::Request &What, const Caller &To, unsigned Status,
-            const std::string &Body);
-/// An answer that says that nothing ran.
-void turnAway(const Caller &To);
+bool contains(const std::string &Text, const std::string &Substring);
+/// Whether \p Stream ends with the last chunk, that is, is complete.
+bool isCompleteStream(const std::string &Stream);
+/// Whether \p Answer is a 503 with Retry-After and Connection: close, which
+/// sends the caller to another gateway.
+bool isStoppingRejection(const std::string &Answer);
+/// Header fields of a request whose prefill and decode run at different
+/// engines.
+extern const std::string PromptHeaders;
+
+/// Sends a complete, signed response to \p Request.
+void respondSigned(const proxy::Request &Request, const Caller &To,
+                   unsigned Status, const std::string &Body);
+/// Sends a 503 that says that the request was not executed.
+void rejectUnexecuted(const Caller &To);
 /// \name Behaviours of servers.
 /// @{
-/// A plain server that answers at once.
-Listener::Behaviour answersWith(const std::string &Body);
-/// An engine that has read a prompt.
-void readsPrompt(const proxy::Request &What, const Caller &To);
-/// An engine whose stream lasts for \p Time, with an event each 20 ms.
-Listener::Behaviour streamsFor(boost::asio::io_context &Loop,
-                               std::chrono::milliseconds Time);
+/// A plain server that responds immediately.
+Listener::Behaviour respondWith(const std::string &Body);
+/// An engine that completes a prefill.
+void completePrefill(const proxy::Request &Request, const Caller &To);
+/// An engine whose stream lasts for \p Time, with an event every 20 ms.
+Listener::Behaviour streamFor(boost::asio::io_context &Loop,
+                              std::chrono::milliseconds Time);
 /// @}
 
-/// The head of a stream; events follow by writeStream.
-void beginStream(const proxy::Request &What, const Caller &To);
+/// Sends the head of a stream; the events follow with writeStream().
+void beginStream(const proxy::Request &Request, const Caller &To);
 
 } // namespace figlift::testing
--- a/Tests/FigliftGateway/StandInStore.cpp
+++ b/Tests/FigliftGateway/StandInStore.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-/// How often a watch looks for changes.
+/// Interval at which a watch checks for changes.
 constexpr milliseconds WatchStep{10};
-/// Between two pieces of an answer that a small link carries.
+/// Interval between two pieces of a response with limited bandwidth.
 constexpr milliseconds PieceInterval{10};
 
-/// The value of \p Name in the query of a request line's target.
+/// Returns the value of \p Name in the query string of \p Target.
 std::string queryValue(const std::string &Target, const std::string &Name) {
   const size_t At = Target.find(Name + "=");
   if (At == std::string::npos)
@@ -40,16 +40,16 @@
 class Listener::Process : public proxy::RequestProcess {
 public:
   explicit Process(Listener &Owner) : m_Owner(Owner) {}
-  void callerGone() override { ++m_Owner.Abandoned; }
+  void callerGone() override { ++m_Owner.DisconnectedCallers; }
 
 private:
   Listener &m_Owner;
 };
 
-Listener::Listener(asio::io_context &Loop, Behaviour Act, uint16_t Port)
+Listener::Listener(asio::io_context &Loop, Behaviour Initial, uint16_t Port)
     : m_Acceptor(Loop, {asio::ip::address_v4::loopback(), Port}),
       m_Address{"127.0.0.1", m_Acceptor.local_endpoint().port()},
-      m_Act(std::move(Act)) {
+      m_Behaviour(std::move(Initial)) {
   accept();
 }
 
@@ -67,32 +67,32 @@
 
 void Listener::crash() {
   m_Acceptor.close();
-  breakConnections();
+  abortConnections();
 }
 
-void Listener::breakConnections() {
-  for (proxy::CallerConnection *Each : std::set(m_Connections))
-    Each->abort();
+void Listener::abortConnections() {
+  for (proxy::CallerConnection *Connection : std::set(m_Connections))
+    Connection->abort();
 }
 
-std::shared_ptr<proxy::RequestProcess> Listener::handle(proxy::Request What,
+std::shared_ptr<proxy::RequestProcess> Listener::handle(proxy::Request Incoming,
                                                         Caller From) {
-  if (What.Head.Target == "/v1/kv-list") {
-    ++CacheListsAsked;
+  if (Incoming.Head.Target == "/v1/kv-list") {
+    ++CacheListRequests;
     proxy::ResponseHead Head;
     Head.Status = 200;
     From->respond(Head, CacheList);
     return std::make_shared<Process>(*this);
   }
-  Requests.push_back(What);
-  m_Act(What, From);
+  Requests.push_back(Incoming);
+  m_Behaviour(Incoming, From);
   return std::make_shared<Process>(*this);
 }
 
 StandInStore::StandInStore(asio::io_context &Loop)
     : m_Loop(Loop),
-      m_Listener(Loop, [this](const auto &What, const Caller &To) {
-        handle(What, To);
+      m_Listener(Loop, [this](const auto &Request, const Caller &To) {
+        handle(Request, To);
       }) {}
 
 void StandInStore::put(const std::string &Table, const std::string &Key,
@@ -105,16 +105,16 @@
 }
 
 void StandInStore::write(const std::string &Table, const std::string &Key,
-                         Row Written) {
-  m_Tables[Table][Key] = Written;
-  m_History.push_back({Table, Key, std::move(Written)});
+                         Row NewRow) {
+  m_Tables[Table][Key] = NewRow;
+  m_History.push_back({Table, Key, std::move(NewRow)});
 }
 
 std::vector<std::string> StandInStore::keys(const std::string &Table) const {
   std::vector<std::string> Names;
-  if (const auto Found = m_Tables.find(Table); Found != m_Tables.end())
-    for (const auto &[Key, Each] : Found->second)
-      if (!Each.Removed)
+  if (const auto Rows = m_Tables.find(Table); Rows != m_Tables.end())
+    for (const auto &[Key, Entry] : Rows->second)
+      if (!Entry.Removed)
         Names.push_back(Key);
   return Names;
 }
@@ -130,18 +130,18 @@
 
 std::string StandInStore::rows(const std::string &Table) {
   Json List = Json::array();
-  for (const auto &[Key, Each] : m_Tables[Table])
-    if (!Each.Removed)
-      List.push_back(rowOf(Table, Key, Each.Value, Each.Version, false));
+  for (const auto &[Key, Entry] : m_Tables[Table])
+    if (!Entry.Removed)
+      List.push_back(rowOf(Table, Key, Entry.Value, Entry.Version, false));
   return body(List);
 }
 
 std::string StandInStore::changes(const std::string &Table, uint64_t After) {
   Json List = Json::array();
-  for (const Write &Each : m_History)
-    if (Each.Table == Table && Each.Written.Version > After)
-      List.push_back(rowOf(Table, Each.Key, Each.Written.Value,
-                           Each.Written.Version, Each.Written.Removed));
+  for (const Write &Change : m_History)
+    if (Change.Table == Table && Change.NewRow.Version > After)
+      List.push_back(rowOf(Table, Change.Key, Change.NewRow.Value,
+                           Change.NewRow.Version, Change.NewRow.Removed));
   return body(List);
 }
 
@@ -149,24 +149,25 @@
   return Json{{"rows", Rows}, {"morePages", false}, {"ver", m_Version}}.dump();
 }
 
-void StandInStore::after(milliseconds Time, std::function<void()> Then) {
+void StandInStore::runAfter(milliseconds Time, std::function<void()> Callback) {
   auto Timer = std::make_shared<asio::steady_timer>(m_Loop);
   Timer->expires_after(Time);
-  Timer->async_wait([Timer, Then = std::move(Then)](const auto &) { Then(); });
+  Timer->async_wait(
+      [Timer, Callback = std::move(Callback)](const auto &) { Callback(); });
 }
 
 void StandInStore::reply(const Caller &To, unsigned Status,
                          const std::string &Body) {
   if (Silent)
     return;
-  if (LosesAnswers > 0 && drand48() < LosesAnswers)
+  if (ResponseLossRate > 0 && drand48() < ResponseLossRate)
     return To->abort();
-  ++Answers;
+  ++ResponseCount;
   if (BytesPerSecond == 0)
     return respond(To, Status, Body);
   To->beginStream(head(Status));
-  trickle(std::make_shared<Trickle>(
-      Trickle{To, Body, 0, std::chrono::steady_clock::now(), false}));
+  sendLimited(std::make_shared<LimitedResponse>(
+      LimitedResponse{To, Body, 0, std::chrono::steady_clock::now(), false}));
 }
 
 proxy::ResponseHead StandInStore::head(unsigned Status) const {
@@ -176,95 +177,99 @@
   return Head;
 }
 
-void StandInStore::comeBackFromCopy() {
-  std::tie(m_Tables, m_Version) = m_Copy;
-  std::erase_if(m_History, [this](const Write &Each) {
-    return Each.Written.Version > m_Version;
+void StandInStore::restoreBackup() {
+  std::tie(m_Tables, m_Version) = m_Backup;
+  std::erase_if(m_History, [this](const Write &Change) {
+    return Change.NewRow.Version > m_Version;
   });
   ++m_Era;
 }
 
-void StandInStore::trickle(const std::shared_ptr<Trickle> &What) {
-  // By the clock: timers of a busy machine are late.
+void StandInStore::sendLimited(
+    const std::shared_ptr<LimitedResponse> &Response) {
+  // Computed from the elapsed time because timers fire late on a busy machine.
   const std::chrono::duration<double> Passed =
-      std::chrono::steady_clock::now() - What->Begun;
-  const auto Due =
-      std::min(What->Body.size(),
+      std::chrono::steady_clock::now() - Response->StartTime;
+  const auto DueBytes =
+      std::min(Response->Body.size(),
                static_cast<size_t>(Passed.count() *
                                    static_cast<double>(BytesPerSecond)));
-  const size_t Middle = What->Body.size() / 2;
-  const bool Stops = Pause > milliseconds(0) && !What->Stopped && Due >= Middle;
-  const size_t End = Stops ? std::max(Middle, What->Sent) : Due;
-  What->To->writeStream(
-      std::string_view(What->Body).substr(What->Sent, End - What->Sent));
-  What->Sent = End;
-  if (End == What->Body.size())
-    return What->To->endStream();
-  if (Stops) {
-    What->Stopped = true;
-    What->Begun += Pause;
+  const size_t Middle = Response->Body.size() / 2;
+  const bool PauseNow = MidResponsePause > milliseconds(0) &&
+                        !Response->Paused && DueBytes >= Middle;
+  const size_t End = PauseNow ? std::max(Middle, Response->Sent) : DueBytes;
+  Response->To->writeStream(std::string_view(Response->Body)
+                                .substr(Response->Sent, End - Response->Sent));
+  Response->Sent = End;
+  if (End == Response->Body.size())
+    return Response->To->endStream();
+  if (PauseNow) {
+    Response->Paused = true;
+    Response->StartTime += MidResponsePause;
   }
-  after(Stops ? Pause : PieceInterval, [this, What] { trickle(What); });
+  runAfter(PauseNow ? MidResponsePause : PieceInterval,
+           [this, Response] { sendLimited(Response); });
 }
 
-void StandInStore::handle(const proxy::Request &What, const Caller &From) {
+void StandInStore::handle(const proxy::Request &Request, const Caller &From) {
   if (Silent)
     return;
   if (Delay == milliseconds(0))
-    return serve(What, From);
-  // Read first and answered late: a newer answer may have come before.
+    return serve(Request, From);
+  // The rows are read now and sent later, so that a newer response may arrive
+  // first.
   const auto Wait =
       std::chrono::duration_cast<milliseconds>(Delay * 2 * drand48());
-  if (What.Head.Target.starts_with("/v1/rows-get")) {
-    const std::string Read = rows(queryValue(What.Head.Target, "table"));
-    return after(Wait, [this, Read, From] { reply(From, 200, Read); });
+  if (Request.Head.Target.starts_with("/v1/rows-get")) {
+    const std::string Read = rows(queryValue(Request.Head.Target, "table"));
+    return runAfter(Wait, [this, Read, From] { reply(From, 200, Read); });
   }
-  after(Wait, [this, What, From] { serve(What, From); });
+  runAfter(Wait, [this, Request, From] { serve(Request, From); });
 }
 
-void StandInStore::serve(const proxy::Request &What, const Caller &From) {
-  const std::string &Target = What.Head.Target;
-  if (Away)
+void StandInStore::serve(const proxy::Request &Request, const Caller &From) {
+  const std::string &Target = Request.Head.Target;
+  if (Unavailable)
     return respond(From, 503, "");
   const std::string Table = queryValue(Target, "table");
   if (Target.starts_with("/v1/rows-get"))
     return reply(From, 200, rows(Table));
-  if (Target.starts_with("/v1/rows-feed") && Forgetful)
+  if (Target.starts_with("/v1/rows-feed") && HistoryExpired)
     return respond(From, 410, "");
   if (Target.starts_with("/v1/rows-feed")) {
     const uint64_t After = std::stoull(queryValue(Target, "after"));
-    // A version that it does not have.
+    // The store does not have this version.
     if (After > m_Version)
       return respond(From, 410, "");
     return watch(From, Table, After,
                  milliseconds(std::stoul(queryValue(Target, "waitMs"))));
   }
-  transact(What, From);
+  transact(Request, From);
 }
 
 void StandInStore::watch(const Caller &From, const std::string &Table,
-                         uint64_t After, milliseconds Left) {
+                         uint64_t After, milliseconds Remaining) {
   bool Changed = false;
-  for (const auto &[Key, Each] : m_Tables[Table])
-    Changed = Changed || Each.Version > After;
-  if (Changed || Left <= milliseconds(0) || Away)
-    return reply(From, Away ? 503 : 200, changes(Table, After));
-  after(WatchStep, [this, From, Table, After, Left] {
-    watch(From, Table, After, Left - WatchStep);
+  for (const auto &[Key, Entry] : m_Tables[Table])
+    Changed = Changed || Entry.Version > After;
+  if (Changed || Remaining <= milliseconds(0) || Unavailable)
+    return reply(From, Unavailable ? 503 : 200, changes(Table, After));
+  runAfter(WatchStep, [this, From, Table, After, Remaining] {
+    watch(From, Table, After, Remaining - WatchStep);
   });
 }
 
-void StandInStore::transact(const proxy::Request &What, const Caller &From) {
-  const Json Body = Json::parse(What.Body);
-  for (const Json &Each : Body["expected"]) {
-    const Row &Now = m_Tables[Each["table"]][Each["key"]];
-    const uint64_t Version = Now.Removed ? 0 : Now.Version;
-    if (Version != Each["ver"].get<uint64_t>())
+void StandInStore::transact(const proxy::Request &Request, const Caller &From) {
+  const Json Body = Json::parse(Request.Body);
+  for (const Json &Item : Body["expected"]) {
+    const Row &Current = m_Tables[Item["table"]][Item["key"]];
+    const uint64_t Version = Current.Removed ? 0 : Current.Version;
+    if (Version != Item["ver"].get<uint64_t>())
       return reply(From, 412, "{}");
   }
-  for (const Json &Each : Body["setKeys"])
-    put(Each["table"], Each["key"],
-        slopes::decodeBase64(Each["value"].get<std::string>()).value());
+  for (const Json &Item : Body["setKeys"])
+    put(Item["table"], Item["key"],
+        slopes::decodeBase64(Item["value"].get<std::string>()).value());
   reply(From, 200, Json{{"ver", m_Version}}.dump());
 }
 
--- a/Tests/FigliftGateway/StandInStore.h
+++ b/Tests/FigliftGateway/StandInStore.h
@@ -1,8 +1,8 @@
 //===- StandInStore.h - Listener and store of the platform ------*- C++ -*-===//
 //
-// A listener whose behaviour a test sets, and on it a stand-in of the
-// platform's store: rows, watches, transactions, and the ways in which it
-// misbehaves. Both run on the test's loop.
+// An HTTP listener whose behaviour a test sets, and a stand-in for the
+// platform's store that is built on it: rows, watches, transactions and
+// configurable faults. Both run on the test's event loop.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,29 +28,33 @@
 
 using Caller = std::shared_ptr<proxy::CallerConnection>;
 
-/// Accepts connections at a free port and hands requests to a function.
+/// Accepts HTTP connections and passes each request to a function.
 class Listener : public proxy::RequestHandler {
 public:
   using Behaviour = std::function<void(const proxy::Request &, Caller)>;
 
-  /// \p Port 0: any free one.
-  Listener(boost::asio::io_context &Loop, Behaviour Act, uint16_t Port = 0);
+  /// \p Port: 0 selects any free port.
+  Listener(boost::asio::io_context &Loop, Behaviour NewBehaviour,
+           uint16_t Port = 0);
 
   Endpoint address() const { return m_Address; }
-  void breakConnections();
-  /// Ends as a killed process does: all connections break, and nobody listens.
+  void abortConnections();
+  /// Behaves like a killed process: closes the listening socket and aborts all
+  /// connections.
   void crash();
-  void behave(Behaviour Act) { m_Act = std::move(Act); }
-  const Behaviour &behaviour() const { return m_Act; }
+  void setBehaviour(Behaviour NewBehaviour) {
+    m_Behaviour = std::move(NewBehaviour);
+  }
+  const Behaviour &behaviour() const { return m_Behaviour; }
   std::vector<proxy::Request> Requests;
-  /// Answer to a question for the parts in its KV cache; such questions are
-  /// counted apart from requests.
+  /// Response to a query for the contents of the KV cache. Such queries are
+  /// counted separately from requests.
   std::string CacheList = R"({"epoch":"a","next":0,"held":[]})";
-  int CacheListsAsked = 0;
-  /// Requests whose caller left before the answer.
-  int Abandoned = 0;
+  int CacheListRequests = 0;
+  /// Requests whose caller disconnected before the response.
+  int DisconnectedCallers = 0;
 
-  std::shared_ptr<proxy::RequestProcess> handle(proxy::Request What,
+  std::shared_ptr<proxy::RequestProcess> handle(proxy::Request Incoming,
                                                 Caller From) override;
   proxy::Rejection rejected(unsigned Status) override {
     return proxy::rejectionOf(Status);
@@ -65,11 +69,11 @@
 
   boost::asio::ip::tcp::acceptor m_Acceptor;
   Endpoint m_Address;
-  Behaviour m_Act;
+  Behaviour m_Behaviour;
   std::set<proxy::CallerConnection *> m_Connections;
 };
 
-/// Rows of the platform's store.
+/// Stand-in for the platform's store.
 class StandInStore {
 public:
   explicit StandInStore(boost::asio::io_context &Loop);
@@ -80,36 +84,38 @@
   void put(const std::string &Table, const std::string &Key,
            const std::string &Value);
   void remove(const std::string &Table, const std::string &Key);
-  /// Empty if there is no such row.
+  /// Returns an empty string if there is no such row.
   std::string value(const std::string &Table, const std::string &Key) {
     return m_Tables[Table][Key].Value;
   }
   std::vector<std::string> keys(const std::string &Table) const;
-  /// Keeps a copy of all rows as they are.
-  void copy() { m_Copy = {m_Tables, m_Version}; }
-  /// All that was written since copy() is gone; versions count on from there,
-  /// in the next era.
-  void comeBackFromCopy();
-  /// \name How it misbehaves, until told otherwise.
+  /// Saves a copy of all rows.
+  void saveBackup() { m_Backup = {m_Tables, m_Version}; }
+  /// Discards everything written since saveBackup(). Versions continue from
+  /// the backup's version, in the next era.
+  void restoreBackup();
+  /// \name Faults, in effect until they are reset.
   /// @{
-  /// Turns every call away.
-  bool Away = false;
-  /// Takes calls and never answers.
+  /// Rejects every call with status 503.
+  bool Unavailable = false;
+  /// Accepts calls and never responds.
   bool Silent = false;
-  /// Answers up to twice this much later, so that answers overtake each other.
+  /// Delays each response by a random time of up to twice this value, so that
+  /// responses overtake each other.
   std::chrono::milliseconds Delay{0};
-  /// Does what it is told and breaks the connection instead of answering, for
-  /// this share of the calls.
-  double LosesAnswers = 0;
-  /// What its answers pass through carries this much; 0 is no bound.
+  /// Fraction of calls that are executed but whose connection is aborted
+  /// instead of a response.
+  double ResponseLossRate = 0;
+  /// Bandwidth of the responses; 0 means unlimited.
   size_t BytesPerSecond = 0;
-  /// A large answer stops for this long in its middle.
-  std::chrono::milliseconds Pause{0};
-  /// Knows no history: watches are told to read anew.
-  bool Forgetful = false;
+  /// Pause in the middle of each response that is limited by BytesPerSecond.
+  std::chrono::milliseconds MidResponsePause{0};
+  /// Rejects watches with status 410, so that clients must read the whole table
+  /// again.
+  bool HistoryExpired = false;
   /// @}
-  /// Answers to reads and watches, begun or whole.
-  int Answers = 0;
+  /// Responses that were started or completed.
+  int ResponseCount = 0;
 
 private:
   struct Row {
@@ -121,35 +127,36 @@
   struct Write {
     std::string Table;
     std::string Key;
-    Row Written;
+    Row NewRow;
   };
 
-  void handle(const proxy::Request &What, const Caller &From);
-  void serve(const proxy::Request &What, const Caller &From);
+  void handle(const proxy::Request &Request, const Caller &From);
+  void serve(const proxy::Request &Request, const Caller &From);
   void reply(const Caller &To, unsigned Status, const std::string &Body);
   proxy::ResponseHead head(unsigned Status) const;
   void respond(const Caller &To, unsigned Status, const std::string &Body) {
     To->respond(head(Status), Body);
   }
-  /// An answer on its way through a small link.
-  struct Trickle {
+  /// A response that is being sent at BytesPerSecond.
+  struct LimitedResponse {
     Caller To;
     std::string Body;
     size_t Sent = 0;
-    std::chrono::steady_clock::time_point Begun;
-    bool Stopped = false;
+    std::chrono::steady_clock::time_point StartTime;
+    bool Paused = false;
   };
-  void trickle(const std::shared_ptr<Trickle> &What);
-  void after(std::chrono::milliseconds Time, std::function<void()> Then);
+  void sendLimited(const std::shared_ptr<LimitedResponse> &Response);
+  void runAfter(std::chrono::milliseconds Time, std::function<void()> Callback);
   void watch(const Caller &From, const std::string &Table, uint64_t After,
-             std::chrono::milliseconds Left);
-  void write(const std::string &Table, const std::string &Key, Row Written);
-  /// The rows that there are.
+             std::chrono::milliseconds Remaining);
+  void write(const std::string &Table, const std::string &Key, Row NewRow);
+  /// Encodes the rows that have not been removed.
   std::string rows(const std::string &Table);
-  /// Each write after a version, in order, those that others followed too.
+  /// Encodes each write after version \p After in order, including writes that
+  /// were overwritten later.
   std::string changes(const std::string &Table, uint64_t After);
   std::string body(const nlohmann::json &Rows) const;
-  void transact(const proxy::Request &What, const Caller &From);
+  void transact(const proxy::Request &Request, const Caller &From);
 
   boost::asio::io_context &m_Loop;
   Listener m_Listener;
@@ -157,7 +164,7 @@
   std::vector<Write> m_History;
   uint64_t m_Version = 0;
   uint64_t m_Era = 1;
-  std::pair<Tables, uint64_t> m_Copy;
+  std::pair<Tables, uint64_t> m_Backup;
 };
 
 } // namespace figlift::testing
--- a/Tests/FigliftGateway/TestGateway.cpp
+++ b/Tests/FigliftGateway/TestGateway.cpp
@@ -1,6 +1,6 @@
-//===- TestGateway.cpp - A gateway before stand-ins -----------------------===//
+//===- TestGateway.cpp - A gateway with stand-in servers ------------------===//
 //
-// What callers and servers see, on real sockets.
+// The gateway's behaviour towards callers and servers, on real sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Ends the connection without an answer.
-void breakOff(const proxy::Request &, const Caller &To) { To->abort(); }
+/// Aborts the connection without a response.
+void abortConnection(const proxy::Request &, const Caller &To) { To->abort(); }
 
-/// An engine that runs a request to its end.
-void streamsOneEvent(const proxy::Request &What, const Caller &To) {
-  beginStream(What, To);
+/// An engine that completes a stream with one event.
+void streamOneEvent(const proxy::Request &Request, const Caller &To) {
+  beginStream(Request, To);
   To->writeStream("id: 1\n\n");
   To->endStream();
 }
@@ -26,138 +26,145 @@
 } // namespace
 
 TEST_GROUP(Gateway) {
-  GatewayScene Scene;
+  GatewayFixture Fixture;
 
-  void serve() {
-    Scene.configure();
-    CHECK(Scene.becomesReady());
+  void startServing() {
+    Fixture.configure();
+    CHECK(Fixture.waitUntilReady());
   }
-  /// Whether a configuration is in force \p Within its writing, just now.
-  bool takes(uint64_t Version, std::chrono::seconds Within) {
-    const auto Written = std::chrono::steady_clock::now();
+  /// Whether the configuration just written becomes active \p Within this time.
+  bool appliesConfiguration(uint64_t Version, std::chrono::seconds Within) {
+    const auto Start = std::chrono::steady_clock::now();
     const std::string Line = "figlift_gateway_configuration_version " +
                              std::to_string(Version) + "\n";
-    return Scene.until([&] { return has(Scene.metrics(), Line); }) &&
-           std::chrono::steady_clock::now() - Written < Within;
+    return Fixture.waitUntil([&] {
+      return contains(Fixture.metrics(), Line);
+    }) && std::chrono::steady_clock::now() - Start < Within;
   }
 };
 
 TEST(Gateway, ForwardsARequestAndItsWholeAnswer) {
-  Listener &Server = Scene.server("s1", "plain", answersWith("body"));
-  serve();
-  const std::string Got = Scene.ask("GET", "/safe/x?y=1", "X-Other: kept\r\n");
-  CHECK(has(Got, "HTTP/1.1 200"));
-  CHECK(has(Got, "X-Response-Signature: s"));
-  CHECK(has(Got, "body"));
-  const proxy::RequestHead &Seen = Server.Requests.at(0).Head;
-  STRCMP_EQUAL("/safe/x?y=1", Seen.Target.c_str());
-  CHECK(Seen.Headers.find("X-Other") == "kept");
-  CHECK(Seen.Headers.find("X-Expect-Instance") == "s1");
+  Listener &Server = Fixture.addServer("s1", "plain", respondWith("body"));
+  startServing();
+  const std::string Response =
+      Fixture.request("GET", "/safe/x?y=1", "X-Other: kept\r\n");
+  CHECK(contains(Response, "HTTP/1.1 200"));
+  CHECK(contains(Response, "X-Response-Signature: s"));
+  CHECK(contains(Response, "body"));
+  const proxy::RequestHead &Forwarded = Server.Requests.at(0).Head;
+  STRCMP_EQUAL("/safe/x?y=1", Forwarded.Target.c_str());
+  CHECK(Forwarded.Headers.find("X-Other") == "kept");
+  CHECK(Forwarded.Headers.find("X-Expect-Instance") == "s1");
 }
 
-// Symptom: callers are told that a route does not exist, right after a start.
-// Cause: no configuration was taken for an empty one.
-TEST(Gateway, RefusesBeforeItHasAConfiguration) {
-  const std::string Got = Scene.ask("GET", "/safe/x");
-  CHECK(has(Got, "HTTP/1.1 503"));
-  CHECK(has(Got, "Retry-After"));
-  CHECK(Scene.becomesReady(false));
+// Failure: right after a start, callers get status 404 for existing routes.
+// Cause: a missing configuration is treated like an empty one.
+TEST(Gateway, RejectsBeforeItHasAConfiguration) {
+  const std::string Response = Fixture.request("GET", "/safe/x");
+  CHECK(contains(Response, "HTTP/1.1 503"));
+  CHECK(contains(Response, "Retry-After"));
+  CHECK(Fixture.waitUntilReady(false));
 }
 
-TEST(Gateway, KnowsNoOtherRoute) {
-  serve();
-  CHECK(has(Scene.ask("GET", "/elsewhere/x"), "HTTP/1.1 404"));
+TEST(Gateway, RejectsUnknownRoutes) {
+  startServing();
+  CHECK(contains(Fixture.request("GET", "/elsewhere/x"), "HTTP/1.1 404"));
 }
 
-// Symptom: two vans are sent. Sequence: the server takes an unsafe request and
-// its connection breaks. Cause: the break was taken for a refusal.
-TEST(Gateway, SendsUnsafeWorkOnceAndDoesNotCallItNotRun) {
-  Listener &One = Scene.server("s1", "plain", breakOff);
-  Listener &Two = Scene.server("s2", "plain", breakOff);
-  serve();
-  CHECK(has(Scene.ask("POST", "/unsafe/x"), "HTTP/1.1 502"));
+// Failure: an unsafe request is executed twice.
+// Sequence: the server accepts the request and its connection is lost.
+// Cause: a lost connection is treated like a rejection.
+TEST(Gateway, SendsUnsafeRequestsOnceAndDoesNotReportThemUnexecuted) {
+  Listener &One = Fixture.addServer("s1", "plain", abortConnection);
+  Listener &Two = Fixture.addServer("s2", "plain", abortConnection);
+  startServing();
+  CHECK(contains(Fixture.request("POST", "/unsafe/x"), "HTTP/1.1 502"));
   LONGS_EQUAL(1, One.Requests.size() + Two.Requests.size());
 }
 
-TEST(Gateway, SendsUnsafeWorkAgainThatWasTurnedAway) {
-  const auto Refuse = [](const proxy::Request &, const Caller &To) {
-    turnAway(To);
+TEST(Gateway, RetriesUnsafeRequestsThatWereNotExecuted) {
+  const auto Reject = [](const proxy::Request &, const Caller &To) {
+    rejectUnexecuted(To);
   };
-  Listener &One = Scene.server("s1", "plain", Refuse);
-  Listener &Two = Scene.server("s2", "plain", Refuse);
-  serve();
-  const std::string Got = Scene.ask("POST", "/unsafe/x");
-  CHECK(has(Got, "HTTP/1.1 503"));
-  CHECK(has(Got, "Retry-After"));
+  Listener &One = Fixture.addServer("s1", "plain", Reject);
+  Listener &Two = Fixture.addServer("s2", "plain", Reject);
+  startServing();
+  const std::string Response = Fixture.request("POST", "/unsafe/x");
+  CHECK(contains(Response, "HTTP/1.1 503"));
+  CHECK(contains(Response, "Retry-After"));
   LONGS_EQUAL(1, One.Requests.size());
   LONGS_EQUAL(1, Two.Requests.size());
 }
 
-TEST(Gateway, RepeatsSafeWorkElsewhere) {
+TEST(Gateway, RetriesSafeRequestsAtAnotherServer) {
   int Calls = 0;
-  const auto FailFirst = [&](const proxy::Request &What, const Caller &To) {
+  const auto FailFirst = [&](const proxy::Request &Request, const Caller &To) {
     if (++Calls == 1)
       To->abort();
     else
-      answer(What, To, 200, "good");
+      respondSigned(Request, To, 200, "good");
   };
-  Scene.server("s1", "plain", FailFirst);
-  Scene.server("s2", "plain", FailFirst);
-  serve();
-  CHECK(has(Scene.ask("GET", "/safe/x"), "good"));
+  Fixture.addServer("s1", "plain", FailFirst);
+  Fixture.addServer("s2", "plain", FailFirst);
+  startServing();
+  CHECK(contains(Fixture.request("GET", "/safe/x"), "good"));
   LONGS_EQUAL(2, Calls);
 }
 
-// Symptom: a caller gets another request's answer. Sequence: a late answer of
-// an earlier request comes where the next one's is expected. Cause: the echoed
-// id was not compared.
-TEST(Gateway, DeliversNoAnswerToAnotherRequest) {
-  Scene.server("s1", "plain", [](const proxy::Request &, const Caller &To) {
-    proxy::ResponseHead Head;
-    Head.Status = 200;
-    Head.Headers.add("X-Attempt-Id", "other");
-    Head.Headers.add("X-Response-Signature", "s");
-    To->respond(Head, "other's");
-  });
-  serve();
-  const std::string Got = Scene.ask("POST", "/unsafe/x");
-  CHECK(has(Got, "HTTP/1.1 502"));
-  CHECK(!has(Got, "other's"));
+// Failure: a caller gets the response of another request.
+// Sequence: a late response of an earlier request arrives where the next one is
+// expected.
+// Cause: the echoed attempt id is not compared.
+TEST(Gateway, DeliversNoResponseOfAnotherRequest) {
+  Fixture.addServer("s1", "plain",
+                    [](const proxy::Request &, const Caller &To) {
+                      proxy::ResponseHead Head;
+                      Head.Status = 200;
+                      Head.Headers.add("X-Attempt-Id", "other");
+                      Head.Headers.add("X-Response-Signature", "s");
+                      To->respond(Head, "other's");
+                    });
+  startServing();
+  const std::string Response = Fixture.request("POST", "/unsafe/x");
+  CHECK(contains(Response, "HTTP/1.1 502"));
+  CHECK(!contains(Response, "other's"));
 }
 
 TEST(Gateway, DeliversNoSuccessWithoutASignature) {
-  Scene.server("s1", "plain", [](const proxy::Request &, const Caller &To) {
-    proxy::ResponseHead Head;
-    Head.Status = 200;
-    Head.Headers.add("X-Attempt-Id", "a1");
-    To->respond(Head, "unsigned");
-  });
-  serve();
-  CHECK(has(Scene.ask("POST", "/unsafe/x"), "HTTP/1.1 502"));
+  Fixture.addServer("s1", "plain",
+                    [](const proxy::Request &, const Caller &To) {
+                      proxy::ResponseHead Head;
+                      Head.Status = 200;
+                      Head.Headers.add("X-Attempt-Id", "a1");
+                      To->respond(Head, "unsigned");
+                    });
+  startServing();
+  CHECK(contains(Fixture.request("POST", "/unsafe/x"), "HTTP/1.1 502"));
 }
 
-TEST(Gateway, PassesAServersOwnFailureOn) {
-  Scene.server("s1", "plain", [](const proxy::Request &What, const Caller &To) {
-    answer(What, To, 500, "sorry");
-  });
-  serve();
-  const std::string Got = Scene.ask("POST", "/unsafe/x");
-  CHECK(has(Got, "HTTP/1.1 500"));
-  CHECK(has(Got, "sorry"));
+TEST(Gateway, ForwardsErrorsOfServers) {
+  Fixture.addServer("s1", "plain",
+                    [](const proxy::Request &Request, const Caller &To) {
+                      respondSigned(Request, To, 500, "sorry");
+                    });
+  startServing();
+  const std::string Response = Fixture.request("POST", "/unsafe/x");
+  CHECK(contains(Response, "HTTP/1.1 500"));
+  CHECK(contains(Response, "sorry"));
 }
 
-// Symptom: a stream has a gap or a piece twice after a server was lost.
-// Sequence: the first server stops within its second event.
+// Failure: a stream has a gap or a duplicate after the loss of a server.
+// Sequence: the first server fails in the middle of its second event.
 TEST(Gateway, ContinuesAStreamAfterItsLastWholeEvent) {
-  std::vector<std::string> After;
-  const auto Act = [&](const proxy::Request &What, const Caller &To) {
-    After.emplace_back(
-        What.Head.Headers.find("Last-Event-Id").value_or("none"));
-    beginStream(What, To);
-    if (After.size() == 1) {
+  std::vector<std::string> LastEventIds;
+  const auto Behaviour = [&](const proxy::Request &Request, const Caller &To) {
+    LastEventIds.emplace_back(
+        Request.Head.Headers.find("Last-Event-Id").value_or("none"));
+    beginStream(Request, To);
+    if (LastEventIds.size() == 1) {
       To->writeStream("id: 1\ndata: a\n\nid: 2\nda");
-      // The bytes have to leave before the connection does.
-      auto Timer = std::make_shared<boost::asio::steady_timer>(Scene.Loop);
+      // The bytes must be sent before the connection is aborted.
+      auto Timer = std::make_shared<boost::asio::steady_timer>(Fixture.Loop);
       Timer->expires_after(std::chrono::milliseconds(20));
       Timer->async_wait([Timer, To](const auto &) { To->abort(); });
       return;
@@ -165,300 +172,323 @@
     To->writeStream("id: 2\ndata: b\n\n");
     To->endStream();
   };
-  Scene.server("e1", "model", Act, "decode");
-  Scene.server("e2", "model", Act, "decode");
-  serve();
-  const std::string Got = Scene.ask("POST", "/stream/x");
-  CHECK(has(Got, "id: 1\ndata: a\n\n"));
-  CHECK(has(Got, "id: 2\ndata: b\n\n"));
-  CHECK(!has(Got, "id: 2\nda\r"));
-  LONGS_EQUAL(2, After.size());
-  STRCMP_EQUAL("1", After[1].c_str());
+  Fixture.addServer("e1", "model", Behaviour, "decode");
+  Fixture.addServer("e2", "model", Behaviour, "decode");
+  startServing();
+  const std::string Response = Fixture.request("POST", "/stream/x");
+  CHECK(contains(Response, "id: 1\ndata: a\n\n"));
+  CHECK(contains(Response, "id: 2\ndata: b\n\n"));
+  CHECK(!contains(Response, "id: 2\nda\r"));
+  LONGS_EQUAL(2, LastEventIds.size());
+  STRCMP_EQUAL("1", LastEventIds[1].c_str());
 }
 
-TEST(Gateway, CutsAStreamThatMayNotRunAgain) {
-  Listener &One = Scene.server(
+TEST(Gateway, AbortsAStreamThatIsNotResumable) {
+  Listener &One = Fixture.addServer(
       "e1", "model",
-      [&](const proxy::Request &What, const Caller &To) {
-        beginStream(What, To);
+      [&](const proxy::Request &Request, const Caller &To) {
+        beginStream(Request, To);
         To->writeStream("id: 1\n\n");
-        auto Timer = std::make_shared<boost::asio::steady_timer>(Scene.Loop);
+        auto Timer = std::make_shared<boost::asio::steady_timer>(Fixture.Loop);
         Timer->expires_after(std::chrono::milliseconds(20));
         Timer->async_wait([Timer, To](const auto &) { To->abort(); });
       },
       "decode");
-  serve();
-  const std::string Got = Scene.ask("POST", "/once/x");
-  CHECK(has(Got, "id: 1\n\n"));
-  CHECK(!has(Got, "0\r\n\r\n"));
+  startServing();
+  const std::string Response = Fixture.request("POST", "/once/x");
+  CHECK(contains(Response, "id: 1\n\n"));
+  CHECK(!contains(Response, "0\r\n\r\n"));
   LONGS_EQUAL(1, One.Requests.size());
 }
 
-TEST(Gateway, ReadsAPromptAtOneEngineAndRunsItAtAnother) {
-  Listener &Reader = Scene.server("e1", "model", readsPrompt, "prefill");
-  Listener &Runner = Scene.server("e2", "model", streamsOneEvent, "decode");
-  serve();
-  CHECK(has(Scene.ask("POST", "/stream/x", Prompt), "id: 1"));
-  CHECK(Reader.Requests.at(0).Head.Headers.find("X-Stage") == "prefill");
-  const auto Source = Runner.Requests.at(0).Head.Headers.find("X-Kv-Source");
-  CHECK(Source == Reader.address().toString() + "/k1");
+TEST(Gateway, PrefillsAtOneEngineAndDecodesAtAnother) {
+  Listener &PrefillEngine =
+      Fixture.addServer("e1", "model", completePrefill, "prefill");
+  Listener &DecodeEngine =
+      Fixture.addServer("e2", "model", streamOneEvent, "decode");
+  startServing();
+  CHECK(contains(Fixture.request("POST", "/stream/x", PromptHeaders), "id: 1"));
+  CHECK(PrefillEngine.Requests.at(0).Head.Headers.find("X-Stage") == "prefill");
+  const auto Source =
+      DecodeEngine.Requests.at(0).Head.Headers.find("X-Kv-Source");
+  CHECK(Source == PrefillEngine.address().toString() + "/k1");
 }
 
-// Symptom: a run is turned away by the engine that is to fetch its KV cache.
-// Sequence: an engine is asked to read a prompt, starts again under its id, and
-// its answer of before arrives late.
-// Cause: the answer of the earlier start was taken for one of the present.
-TEST(Gateway, UsesNoKvCacheOfAnEarlierStart) {
-  Caller Waiting;
-  Listener &Reader = Scene.server(
+// Failure: the decode engine rejects a request because it cannot fetch the KV
+// cache.
+// Sequence: the prefill engine restarts with the same id, and a prefill
+// response from before the restart arrives late.
+// Cause: the response is attributed to the restarted engine.
+TEST(Gateway, UsesNoKvCacheFromBeforeARestart) {
+  Caller PendingCaller;
+  Listener &PrefillEngine = Fixture.addServer(
       "e1", "model",
-      [&](const proxy::Request &, const Caller &To) { Waiting = To; },
+      [&](const proxy::Request &, const Caller &To) { PendingCaller = To; },
       "prefill");
-  Listener &Runner = Scene.server("e2", "model", streamsOneEvent, "decode");
-  serve();
-  boost::asio::ip::tcp::socket Asking(Scene.Loop);
-  const Endpoint Where = Scene.Settings.Listen.Callers;
-  Asking.connect({boost::asio::ip::make_address_v4(Where.Address), Where.Port});
-  Asking.write_some(boost::asio::buffer(
-      "POST /stream/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n" + Prompt +
-      "\r\n"));
-  CHECK(Scene.until([&] { return Reader.Requests.size() == 1; }));
-  Scene.restart("e1");
-  CHECK(Scene.until([&] { return Reader.CacheListsAsked == 2; }));
-  readsPrompt(Reader.Requests.at(0), Waiting);
-  CHECK(Scene.until([&] { return Runner.Requests.size() == 1; }));
-  CHECK(!Runner.Requests.at(0).Head.Headers.find("X-Kv-Source"));
+  Listener &DecodeEngine =
+      Fixture.addServer("e2", "model", streamOneEvent, "decode");
+  startServing();
+  boost::asio::ip::tcp::socket Socket(Fixture.Loop);
+  const Endpoint Address = Fixture.Settings.Listen.Callers;
+  Socket.connect(
+      {boost::asio::ip::make_address_v4(Address.Address), Address.Port});
+  Socket.write_some(boost::asio::buffer(
+      "POST /stream/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n" +
+      PromptHeaders + "\r\n"));
+  CHECK(Fixture.waitUntil([&] { return PrefillEngine.Requests.size() == 1; }));
+  Fixture.restart("e1");
+  CHECK(
+      Fixture.waitUntil([&] { return PrefillEngine.CacheListRequests == 2; }));
+  completePrefill(PrefillEngine.Requests.at(0), PendingCaller);
+  CHECK(Fixture.waitUntil([&] { return DecodeEngine.Requests.size() == 1; }));
+  CHECK(!DecodeEngine.Requests.at(0).Head.Headers.find("X-Kv-Source"));
 }
 
-// Symptom: after a loss of all gateways callers are refused for seconds while
-// the engines are idle.
-// Sequence: the gateways start again before engines that keep most prompts.
-// Cause: what engines keep was known only from what a gateway had sent itself
-// or heard of; nobody was left who could tell.
-TEST(Gateway, AsksEnginesWhatTheyKeepWhenItStarts) {
-  Listener &Reader = Scene.server("e1", "model", readsPrompt, "prefill");
-  Listener &Runner = Scene.server("e2", "model", streamsOneEvent, "decode");
-  Runner.CacheList = R"({"epoch":"a","next":4,"held":[["","a1",20000,"m"]]})";
-  Reader.CacheList = "no list";
-  serve();
-  CHECK(Scene.until([&] {
-    return Reader.CacheListsAsked == 1 && Runner.CacheListsAsked == 1;
+// Failure: after a restart of all gateways, callers are rejected for seconds
+// while the engines are idle.
+// Sequence: all gateways restart while the engines hold most prompts in their
+// KV caches.
+// Cause: a gateway knows the cached prompts only from its own requests and from
+// its peers, and no peer has kept that state.
+TEST(Gateway, QueriesTheKvCachesOfEnginesWhenItStarts) {
+  Listener &PrefillEngine =
+      Fixture.addServer("e1", "model", completePrefill, "prefill");
+  Listener &DecodeEngine =
+      Fixture.addServer("e2", "model", streamOneEvent, "decode");
+  DecodeEngine.CacheList =
+      R"({"epoch":"a","next":4,"held":[["","a1",20000,"m"]]})";
+  PrefillEngine.CacheList = "no list";
+  startServing();
+  CHECK(Fixture.waitUntil([&] {
+    return PrefillEngine.CacheListRequests == 1 &&
+           DecodeEngine.CacheListRequests == 1;
   }));
-  CHECK(has(Scene.ask("POST", "/stream/x",
-                      "X-Token-Count: 40000,8\r\n"
-                      "X-Prompt-Prefix: a1:20000,b2:20000\r\n"),
-            "id: 1"));
-  CHECK(Reader.Requests.at(0).Head.Headers.find("Kv-Fetch") ==
-        Runner.address().toString());
+  CHECK(contains(Fixture.request("POST", "/stream/x",
+                                 "X-Token-Count: 40000,8\r\n"
+                                 "X-Prompt-Prefix: a1:20000,b2:20000\r\n"),
+                 "id: 1"));
+  CHECK(PrefillEngine.Requests.at(0).Head.Headers.find("Kv-Fetch") ==
+        DecodeEngine.address().toString());
 }
 
-// Symptom: an engine works for a caller who has left.
-TEST(Gateway, CancelsWorkWhoseCallerHasLeft) {
-  Listener &Server = Scene.server(
+// Failure: an engine continues to work for a caller that has disconnected.
+TEST(Gateway, CancelsRequestsOfDisconnectedCallers) {
+  Listener &Server = Fixture.addServer(
       "s1", "plain", [](const proxy::Request &, const Caller &) {});
-  serve();
+  startServing();
   {
-    boost::asio::ip::tcp::socket Caller(Scene.Loop);
-    const Endpoint Where = Scene.Settings.Listen.Callers;
+    boost::asio::ip::tcp::socket Caller(Fixture.Loop);
+    const Endpoint Address = Fixture.Settings.Listen.Callers;
     Caller.connect(
-        {boost::asio::ip::make_address_v4(Where.Address), Where.Port});
+        {boost::asio::ip::make_address_v4(Address.Address), Address.Port});
     const std::string Bytes = "GET /safe/x HTTP/1.1\r\nHost: h\r\n\r\n";
     Caller.write_some(boost::asio::buffer(Bytes));
-    CHECK(Scene.until([&] { return Server.Requests.size() == 1; }));
+    CHECK(Fixture.waitUntil([&] { return Server.Requests.size() == 1; }));
   }
-  CHECK(Scene.until([&] { return Server.Abandoned == 1; }));
+  CHECK(Fixture.waitUntil([&] { return Server.DisconnectedCallers == 1; }));
 }
 
-// Symptom: a leaving server gets requests until it is gone.
-TEST(Gateway, SendsNothingToALeavingServer) {
-  Listener &One = Scene.server("s1", "plain", answersWith("one"));
-  Scene.server("s2", "plain", answersWith("two"));
-  serve();
-  Scene.list("s1", "draining");
-  CHECK(Scene.until([&] {
+// Failure: a draining server gets requests until it is removed.
+TEST(Gateway, SendsNothingToADrainingServer) {
+  Listener &One = Fixture.addServer("s1", "plain", respondWith("one"));
+  Fixture.addServer("s2", "plain", respondWith("two"));
+  startServing();
+  Fixture.setServerState("s1", "draining");
+  CHECK(Fixture.waitUntil([&] {
     const size_t Before = One.Requests.size();
-    for (int At = 0; At < 4; ++At)
-      Scene.ask("GET", "/safe/x");
+    for (int Count = 0; Count < 4; ++Count)
+      Fixture.request("GET", "/safe/x");
     return One.Requests.size() == Before;
   }));
   const size_t Before = One.Requests.size();
-  for (int At = 0; At < 10; ++At)
-    CHECK(has(Scene.ask("GET", "/safe/x"), "two"));
+  for (int Count = 0; Count < 10; ++Count)
+    CHECK(contains(Fixture.request("GET", "/safe/x"), "two"));
   LONGS_EQUAL(Before, One.Requests.size());
 }
 
-// Symptom: a quarter of all prompts wait for an engine that answers nothing.
-// Sequence: something else than a server writes into the list of servers: a
-// whole entry with a word for the state that no server uses, one without a
-// state, one that is no text, and one over the entry of a server.
-// Cause: entries were read for what they have, not refused for what they lack.
+// Failure: a quarter of all prompts wait for an engine that never responds.
+// Sequence: another writer puts entries into the table of servers: a complete
+// entry with an unknown state, an entry without a state, an entry that is not
+// text, and an entry that overwrites that of a server.
+// Cause: incomplete entries are accepted instead of rejected.
 TEST(Gateway, SendsNothingToEntriesOfOtherWriters) {
-  Scene.server("s1", "plain", answersWith("one"));
-  Listener &Unlisted = Scene.server("s2", "plain", answersWith("two"));
-  Scene.list("s2", "retired");
-  Scene.Store.put("servers", "s3",
-                  R"({"service":"plain","address":)" +
-                      std::string(R"("127.0.0.1:1"})"));
-  Scene.Store.put("servers", "s4", "\xff\xfe{");
-  serve();
-  for (int At = 0; At < 20; ++At)
-    CHECK(has(Scene.ask("GET", "/safe/x"), "one"));
+  Fixture.addServer("s1", "plain", respondWith("one"));
+  Listener &Unlisted = Fixture.addServer("s2", "plain", respondWith("two"));
+  Fixture.setServerState("s2", "retired");
+  Fixture.Store.put("servers", "s3",
+                    R"({"service":"plain","address":)" +
+                        std::string(R"("127.0.0.1:1"})"));
+  Fixture.Store.put("servers", "s4", "\xff\xfe{");
+  startServing();
+  for (int Count = 0; Count < 20; ++Count)
+    CHECK(contains(Fixture.request("GET", "/safe/x"), "one"));
   LONGS_EQUAL(0, Unlisted.Requests.size());
-  CHECK(has(Scene.metrics(), "server_entries_refused_total 3"));
+  CHECK(contains(Fixture.metrics(), "server_entries_refused_total 3"));
 }
 
-// Symptom: requests to a server that has started again fail or wait, as if it
-// still had the work of its earlier start.
-// Sequence: the server crashes under two requests and starts again under its
-// id before its entry has lapsed.
-// Cause: connections and load were kept by id alone.
-TEST(Gateway, StartsAnewWithAServerThatHasStartedAgain) {
-  Scene.server("s1", "plain", answersWith("one"));
-  serve();
-  CHECK(has(Scene.ask("GET", "/safe/x"), "one"));
-  Scene.restart("s1");
-  CHECK(Scene.until(
-      [&] { return has(Scene.metrics(), "connections_opened_total 0"); }));
-  CHECK(has(Scene.ask("GET", "/safe/x"), "one"));
+// Failure: requests to a restarted server fail or wait, as if it still had the
+// work from before the restart.
+// Sequence: the server crashes while it executes two requests and restarts with
+// the same id before its entry has expired.
+// Cause: connections and load are keyed by the server's id alone.
+TEST(Gateway, ResetsTheStateOfARestartedServer) {
+  Fixture.addServer("s1", "plain", respondWith("one"));
+  startServing();
+  CHECK(contains(Fixture.request("GET", "/safe/x"), "one"));
+  Fixture.restart("s1");
+  CHECK(Fixture.waitUntil([&] {
+    return contains(Fixture.metrics(), "connections_opened_total 0");
+  }));
+  CHECK(contains(Fixture.request("GET", "/safe/x"), "one"));
 }
 
-// Symptom: a route that was changed is served as before, now and then.
-// Sequence: an old row is read after a newer one, from a store that lags.
-TEST(Gateway, NeverGoesBackToAnOlderConfiguration) {
-  Scene.server("s1", "plain", answersWith("one"));
-  Scene.configure(5);
-  CHECK(Scene.becomesReady());
-  Scene.Store.put("op", "config", R"({"version":3,"routes":[],"services":[]})");
-  for (int At = 0; At < 20; ++At)
-    CHECK(has(Scene.ask("GET", "/safe/x"), "one"));
+// Failure: a changed route is occasionally served as before the change.
+// Sequence: an old row is read after a newer one from a store that lags behind.
+TEST(Gateway, NeverRevertsToAnOlderConfiguration) {
+  Fixture.addServer("s1", "plain", respondWith("one"));
+  Fixture.configure(5);
+  CHECK(Fixture.waitUntilReady());
+  Fixture.Store.put("op", "config",
+                    R"({"version":3,"routes":[],"services":[]})");
+  for (int Count = 0; Count < 20; ++Count)
+    CHECK(contains(Fixture.request("GET", "/safe/x"), "one"));
 }
 
-// Symptom: requests wait or fail while the store is away. Cause: a request
-// asked the store.
-// Symptom: requests go on by routes that a change has moved, or find none that
-// it has added, at gateways with a small link, for the rest of the day.
-// Sequence: the configuration grows until the link needs longer for it than the
-// time allowed for a call to the store; each read is broken off, begun anew
-// from its first byte, and fills the link.
-// Cause: the time bounded the whole answer, not the store's silence.
-// Proof: the store had answered each of these reads; bytes went on coming at
-// the rate of the link, and the processor was idle.
-TEST(Gateway, TakesAConfigurationThatOutgrowsItsLink) {
-  Scene.server("a", "plain", answersWith("one"));
-  serve();
-  // Some 0.9 MB, at 5 Mbit/s.
-  Scene.MoreRoutes = 4400;
-  Scene.Store.BytesPerSecond = 625'000;
-  Scene.configure(2);
-  CHECK(takes(2, std::chrono::seconds(3)));
-  CHECK(has(Scene.ask("GET", "/more-4400/x"), "one"));
+// Failure: gateways with a slow link to the store keep an outdated
+// configuration indefinitely.
+// Sequence: the configuration grows until its transfer takes longer than the
+// timeout of a store call. Each read is aborted, starts again from the first
+// byte and saturates the link, although the store responds and bytes arrive at
+// the rate of the link.
+// Cause: the timeout limits the whole response instead of the time without
+// progress.
+TEST(Gateway, AppliesALargeConfigurationOverASlowLink) {
+  Fixture.addServer("a", "plain", respondWith("one"));
+  startServing();
+  // About 0.9 MB at 5 Mbit/s.
+  Fixture.AdditionalRoutes = 4400;
+  Fixture.Store.BytesPerSecond = 625'000;
+  Fixture.configure(2);
+  CHECK(appliesConfiguration(2, std::chrono::seconds(3)));
+  CHECK(contains(Fixture.request("GET", "/more-4400/x"), "one"));
 }
 
-// Failure: of configurations in quick succession an earlier one stays in force.
-TEST(Gateway, TakesTheLastOfConfigurationsThatComeTogether) {
-  serve();
+// Failure: when configurations follow each other quickly, an earlier one stays
+// active.
+TEST(Gateway, AppliesTheLastOfSeveralConfigurations) {
+  startServing();
   for (uint64_t Version = 2; Version <= 5; ++Version)
-    Scene.configure(Version);
-  CHECK(takes(5, std::chrono::seconds(2)));
+    Fixture.configure(Version);
+  CHECK(appliesConfiguration(5, std::chrono::seconds(2)));
 }
 
-// Failure: a configuration never arrives over a link that stops now and then.
-TEST(Gateway, TakesAConfigurationOverALinkThatStops) {
-  Scene.server("a", "plain", answersWith("one"));
-  serve();
-  Scene.MoreRoutes = 500;
-  Scene.Store.BytesPerSecond = 1'250'000;
-  Scene.Store.Pause = std::chrono::milliseconds(1300);
-  Scene.configure(2);
-  CHECK(takes(2, std::chrono::seconds(6)));
+// Failure: a configuration never arrives over a link that pauses occasionally.
+TEST(Gateway, AppliesAConfigurationOverALinkThatPauses) {
+  Fixture.addServer("a", "plain", respondWith("one"));
+  startServing();
+  Fixture.AdditionalRoutes = 500;
+  Fixture.Store.BytesPerSecond = 1'250'000;
+  Fixture.Store.MidResponsePause = std::chrono::milliseconds(1300);
+  Fixture.configure(2);
+  CHECK(appliesConfiguration(2, std::chrono::seconds(6)));
 }
 
-TEST(Gateway, ServesWhileTheStoreIsAway) {
-  Scene.server("s1", "plain", answersWith("one"));
-  serve();
-  Scene.Store.Away = true;
-  for (int At = 0; At < 20; ++At)
-    CHECK(has(Scene.ask("GET", "/safe/x"), "one"));
-  CHECK(Scene.becomesReady());
+// Failure: requests wait or fail during an outage of the store.
+// Cause: a request depends on a call to the store.
+TEST(Gateway, ServesWhileTheStoreIsUnavailable) {
+  Fixture.addServer("s1", "plain", respondWith("one"));
+  startServing();
+  Fixture.Store.Unavailable = true;
+  for (int Count = 0; Count < 20; ++Count)
+    CHECK(contains(Fixture.request("GET", "/safe/x"), "one"));
+  CHECK(Fixture.waitUntilReady());
 }
 
-// Symptom: a change of the settings has no effect until the next start.
-// Sequence: the platform replaces the file and sends no signal. Cause: the file
-// was read on a signal alone.
-TEST(Gateway, TakesSettingsThatChangeWithoutASignal) {
-  serve();
-  Scene.writeSettings("not settings");
-  const std::string Changed = settings::printSettings(Scene.Settings);
-  Scene.writeSettings(Changed);
-  CHECK(Scene.until(
-      [&] { return has(Scene.metrics(), "figlift_gateway_reloads_total 1"); }));
+// Failure: changed settings have no effect until the next start.
+// Sequence: the platform replaces the file and sends no signal.
+// Cause: the file is read only on a signal.
+TEST(Gateway, AppliesSettingsThatChangeWithoutASignal) {
+  startServing();
+  Fixture.writeSettings("not settings");
+  const std::string Changed = settings::printSettings(Fixture.Settings);
+  Fixture.writeSettings(Changed);
+  CHECK(Fixture.waitUntil([&] {
+    return contains(Fixture.metrics(), "figlift_gateway_reloads_total 1");
+  }));
 }
 
-// Symptom: a process ends by itself, with the number of a signal, while its
-// settings are changed. Sequence: SIGHUP comes several times in a row. Cause:
-// between two waits the signal was not taken, and its usual effect is the end.
-TEST(Gateway, OutlivesHangUpsInSeries) {
-  serve();
-  for (int Each = 0; Each < 50; ++Each) {
-    Scene.hangUp();
-    Scene.Loop.run_for(std::chrono::milliseconds(1));
+// Failure: SIGHUP terminates the process while its settings are changed.
+// Sequence: SIGHUP is sent several times in a row.
+// Cause: between two waits the signal has no handler, and its default action
+// terminates the process.
+TEST(Gateway, SurvivesRepeatedHangups) {
+  startServing();
+  for (int Count = 0; Count < 50; ++Count) {
+    Fixture.sendHangup();
+    Fixture.Loop.run_for(std::chrono::milliseconds(1));
   }
-  CHECK(Scene.becomesReady());
+  CHECK(Fixture.waitUntilReady());
 }
 
 TEST(Gateway, ServesItsMetrics) {
-  serve();
-  CHECK(has(Scene.metrics(), "figlift_gateway_configuration_version 1"));
+  startServing();
+  CHECK(contains(Fixture.metrics(), "figlift_gateway_configuration_version 1"));
 }
 
-/// A gateway that has no repeats to spend.
-TEST_GROUP(GatewayWithoutRepeats) { GatewayScene Scene{8, 0}; };
+/// A gateway without a retry budget.
+TEST_GROUP(GatewayWithoutRetries) { GatewayFixture Fixture{8, 0}; };
 
-// Symptom: under a burst engines read prompts twice.
-// Sequence: a prompt has been read, and the engine that is to run it is full.
-// Cause: the request was planned anew, though what was read is still there.
-TEST(Gateway, RunsElsewhereWhatWasReadForARunThatWasRejected) {
-  Listener &Reader = Scene.server("e1", "model", readsPrompt, "prefill");
+// Failure: during a burst of requests, engines prefill prompts twice.
+// Sequence: the prefill has completed, and the decode engine is full.
+// Cause: the whole request is planned again, though the result of the prefill
+// is still available.
+TEST(Gateway, ReusesThePrefillWhenADecodeIsRejected) {
+  Listener &PrefillEngine =
+      Fixture.addServer("e1", "model", completePrefill, "prefill");
   unsigned Rejections = 0;
-  const auto FullAtFirst = [&](const proxy::Request &What, const Caller &To) {
+  const auto FullAtFirst = [&](const proxy::Request &Request,
+                               const Caller &To) {
     if (Rejections++ == 0)
-      turnAway(To);
+      rejectUnexecuted(To);
     else
-      streamsOneEvent(What, To);
+      streamOneEvent(Request, To);
   };
-  Listener &One = Scene.server("e2", "model", FullAtFirst, "decode");
-  Listener &Other = Scene.server("e3", "model", FullAtFirst, "decode");
-  serve();
-  CHECK(has(Scene.ask("POST", "/stream/x", Prompt), "id: 1"));
-  LONGS_EQUAL(1, Reader.Requests.size());
+  Listener &One = Fixture.addServer("e2", "model", FullAtFirst, "decode");
+  Listener &Other = Fixture.addServer("e3", "model", FullAtFirst, "decode");
+  startServing();
+  CHECK(contains(Fixture.request("POST", "/stream/x", PromptHeaders), "id: 1"));
+  LONGS_EQUAL(1, PrefillEngine.Requests.size());
   LONGS_EQUAL(1, One.Requests.size());
   LONGS_EQUAL(1, Other.Requests.size());
-  for (const Listener *Each : {&One, &Other})
-    CHECK(Each->Requests.at(0).Head.Headers.find("X-Kv-Source").has_value());
+  for (const Listener *Engine : {&One, &Other})
+    CHECK(Engine->Requests.at(0).Head.Headers.find("X-Kv-Source").has_value());
 }
 
-// Symptom: engines get more repeats than the fleet's budget allows.
-// Sequence: a prompt has been read; no connection to the engine that is to run
-// it can be had; the request is planned anew, and its prompt is read once more.
-// Cause: what reached no server was repeated without asking the budget, though
-// the repeat begins with a read, and that arrives.
-TEST(GatewayWithoutRepeats, RunsElsewhereWhatWasReadForARunThatWasNotSent) {
-  Scene.server("e1", "model", readsPrompt, "prefill");
-  Scene.listMissingEngine("e2", "decode");
-  Listener &Runner = Scene.server("e3", "model", streamsOneEvent, "decode");
-  Scene.configure();
-  CHECK(Scene.becomesReady());
-  CHECK(Scene.until(
-      [&] { return has(Scene.metrics(), "figlift_gateway_targets 3"); }));
-  // The runners take turns, so that the missing one is chosen, too.
-  for (int Each = 0; Each < 4; ++Each) {
-    // Too large to be read where it runs.
+// Failure: engines get more retries than the fleet's retry budget allows.
+// Sequence: the prefill has completed and the connection to the decode engine
+// fails. The request is planned again, and its prompt is prefilled once more.
+// Cause: a request that reached no server is retried without the budget, though
+// the retry begins with a prefill that does reach an engine.
+TEST(GatewayWithoutRetries, ReusesThePrefillWhenADecodeIsNotSent) {
+  Fixture.addServer("e1", "model", completePrefill, "prefill");
+  Fixture.listUnreachableEngine("e2", "decode");
+  Listener &DecodeEngine =
+      Fixture.addServer("e3", "model", streamOneEvent, "decode");
+  Fixture.configure();
+  CHECK(Fixture.waitUntilReady());
+  CHECK(Fixture.waitUntil([&] {
+    return contains(Fixture.metrics(), "figlift_gateway_targets 3");
+  }));
+  // The decode engines are chosen alternately, so that the unreachable one is
+  // chosen, too.
+  for (int Number = 0; Number < 4; ++Number) {
+    // Too large for a prefill at the decode engine.
     const std::string Fields =
-        "X-Token-Count: 40000,8\r\nX-Prompt-Prefix: " + std::to_string(Each) +
+        "X-Token-Count: 40000,8\r\nX-Prompt-Prefix: " + std::to_string(Number) +
         "a1:20000,b2:20000\r\n";
-    CHECK(has(Scene.ask("POST", "/stream/x", Fields), "id: 1"));
+    CHECK(contains(Fixture.request("POST", "/stream/x", Fields), "id: 1"));
   }
-  LONGS_EQUAL(4, Runner.Requests.size());
-  for (const proxy::Request &Each : Runner.Requests)
-    CHECK(Each.Head.Headers.find("X-Kv-Source").has_value());
+  LONGS_EQUAL(4, DecodeEngine.Requests.size());
+  for (const proxy::Request &Request : DecodeEngine.Requests)
+    CHECK(Request.Head.Headers.find("X-Kv-Source").has_value());
 }
--- a/Tests/FigliftGateway/TestServerCrashes.cpp
+++ b/Tests/FigliftGateway/TestServerCrashes.cpp
@@ -1,6 +1,6 @@
-//===- TestServerCrashes.cpp - A gateway whose servers end ----------------===//
+//===- TestServerCrashes.cpp - Detection of crashed servers ---------------===//
 //
-// What a gateway takes for the end of a server, and what it does not.
+// Which events a gateway counts as the crash of a server, and which not.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,60 +12,65 @@
 using namespace figlift::testing;
 
 namespace {
-const std::string Crashes = "figlift_gateway_server_crashes_total ";
+const std::string CrashMetric = "figlift_gateway_server_crashes_total ";
 } // namespace
 
-TEST_GROUP(ServerCrashes) { GatewayScene Scene; };
+TEST_GROUP(ServerCrashes) { GatewayFixture Fixture; };
 
-TEST(ServerCrashes, AreToldWhenAServerRefusesConnections) {
-  Scene.server("s1", "plain", [&](const proxy::Request &, const Caller &) {
-    Scene.crash("s1");
+TEST(ServerCrashes, AreDetectedByRefusedConnections) {
+  Fixture.addServer("s1", "plain", [&](const proxy::Request &, const Caller &) {
+    Fixture.crash("s1");
   });
-  Scene.configure();
-  CHECK(Scene.becomesReady());
-  CHECK(has(Scene.ask("POST", "/unsafe/x"), "HTTP/1.1 502"));
-  CHECK(Scene.until([&] { return has(Scene.metrics(), Crashes + "1"); }));
+  Fixture.configure();
+  CHECK(Fixture.waitUntilReady());
+  CHECK(contains(Fixture.request("POST", "/unsafe/x"), "HTTP/1.1 502"));
+  CHECK(Fixture.waitUntil(
+      [&] { return contains(Fixture.metrics(), CrashMetric + "1"); }));
 }
 
-// Failure: where something else takes a server's connections, no crash of it is
-// known.
-TEST(ServerCrashes, AreToldWhenTheListDropsAServerThatBrokeOff) {
-  const auto BreaksOff = [&](const proxy::Request &, const Caller &To) {
+// Failure: a crash is not detected when another process accepts connections at
+// the server's address.
+TEST(ServerCrashes, AreDetectedByRemovalAfterALostConnection) {
+  const auto AbortConnection = [&](const proxy::Request &, const Caller &To) {
     To->abort();
   };
-  Scene.server("s1", "plain", BreaksOff);
-  Scene.configure();
-  CHECK(Scene.becomesReady());
-  Scene.ask("POST", "/unsafe/x");
-  Scene.Store.remove("servers", "s1");
-  CHECK(Scene.until([&] { return has(Scene.metrics(), Crashes + "1"); }));
+  Fixture.addServer("s1", "plain", AbortConnection);
+  Fixture.configure();
+  CHECK(Fixture.waitUntilReady());
+  Fixture.request("POST", "/unsafe/x");
+  Fixture.Store.remove("servers", "s1");
+  CHECK(Fixture.waitUntil(
+      [&] { return contains(Fixture.metrics(), CrashMetric + "1"); }));
 }
 
-// Failure: a server that leaves by plan is taken for one that crashed.
-TEST(ServerCrashes, AreNotTakenFromServersThatLeave) {
-  Scene.server("s1", "plain",
-               [&](const proxy::Request &, const Caller &To) { To->abort(); });
-  Scene.configure();
-  CHECK(Scene.becomesReady());
-  Scene.ask("POST", "/unsafe/x");
-  Scene.list("s1", "draining");
-  Scene.Loop.run_for(std::chrono::milliseconds(200));
-  Scene.Store.remove("servers", "s1");
-  CHECK(Scene.until(
-      [&] { return has(Scene.metrics(), "figlift_gateway_targets 0"); }));
-  CHECK(has(Scene.metrics(), Crashes + "0"));
+// Failure: a server that shuts down as planned is counted as crashed.
+TEST(ServerCrashes, AreNotCountedForDrainingServers) {
+  Fixture.addServer(
+      "s1", "plain",
+      [&](const proxy::Request &, const Caller &To) { To->abort(); });
+  Fixture.configure();
+  CHECK(Fixture.waitUntilReady());
+  Fixture.request("POST", "/unsafe/x");
+  Fixture.setServerState("s1", "draining");
+  Fixture.Loop.run_for(std::chrono::milliseconds(200));
+  Fixture.Store.remove("servers", "s1");
+  CHECK(Fixture.waitUntil([&] {
+    return contains(Fixture.metrics(), "figlift_gateway_targets 0");
+  }));
+  CHECK(contains(Fixture.metrics(), CrashMetric + "0"));
 }
 
-// Failure: a server that breaks off an answer now and then is taken for one
-// that has ended.
-TEST(ServerCrashes, AreNotTakenFromAnswersThatBreakOff) {
-  Scene.server("s1", "plain",
-               [&](const proxy::Request &, const Caller &To) { To->abort(); });
-  Scene.configure();
-  CHECK(Scene.becomesReady());
-  for (int Each = 0; Each < 5; ++Each)
-    CHECK(has(Scene.ask("POST", "/unsafe/x"), "HTTP/1.1 502"));
-  // Longer than both looks at the server take.
-  Scene.Loop.run_for(std::chrono::milliseconds(300));
-  CHECK(has(Scene.metrics(), Crashes + "0"));
+// Failure: a server that occasionally aborts a connection before its response
+// is counted as crashed.
+TEST(ServerCrashes, AreNotCountedForLostConnections) {
+  Fixture.addServer(
+      "s1", "plain",
+      [&](const proxy::Request &, const Caller &To) { To->abort(); });
+  Fixture.configure();
+  CHECK(Fixture.waitUntilReady());
+  for (int Attempt = 0; Attempt < 5; ++Attempt)
+    CHECK(contains(Fixture.request("POST", "/unsafe/x"), "HTTP/1.1 502"));
+  // Longer than both probes of the server take.
+  Fixture.Loop.run_for(std::chrono::milliseconds(300));
+  CHECK(contains(Fixture.metrics(), CrashMetric + "0"));
 }
--- a/Tests/FigliftGateway/TestServerLimits.cpp
+++ b/Tests/FigliftGateway/TestServerLimits.cpp
@@ -1,6 +1,6 @@
-//===- TestServerLimits.cpp - A gateway before servers with limits --------===//
+//===- TestServerLimits.cpp - Rate limits announced by servers ------------===//
 //
-// Servers that name how many requests a second they take.
+// Servers that announce how many requests per second they accept.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Answers at once, and names \p Limit.
-Listener::Behaviour names(const std::string &Limit) {
+/// Responds immediately and announces \p Limit.
+Listener::Behaviour announceLimit(const std::string &Limit) {
   return [Limit](const proxy::Request &, const Caller &To) {
     proxy::ResponseHead Head;
     Head.Status = 200;
@@ -28,68 +28,71 @@
 } // namespace
 
 TEST_GROUP(ServerLimits) {
-  GatewayScene Scene;
+  GatewayFixture Fixture;
 
-  void serve() {
-    Scene.configure();
-    CHECK(Scene.becomesReady());
+  void startServing() {
+    Fixture.configure();
+    CHECK(Fixture.waitUntilReady());
   }
-  /// Sends some 50 requests a second for \p Time; how many got a good answer.
-  unsigned ask(std::chrono::milliseconds Time) {
-    unsigned Good = 0;
+  /// Sends about 50 requests per second for \p Time and returns the number of
+  /// successful responses.
+  unsigned sendRequests(std::chrono::milliseconds Time) {
+    unsigned Successes = 0;
     const auto End = std::chrono::steady_clock::now() + Time;
     while (std::chrono::steady_clock::now() < End) {
-      Good += has(Scene.ask("GET", "/safe/x"), "good") ? 1 : 0;
-      Scene.Loop.run_for(std::chrono::milliseconds(15));
+      Successes += contains(Fixture.request("GET", "/safe/x"), "good") ? 1 : 0;
+      Fixture.Loop.run_for(std::chrono::milliseconds(15));
     }
-    return Good;
+    return Successes;
   }
 };
 
-// Failure: a server in need gets more than the limit that it names.
-// Seen: 167 requests in 4 s where 26 a second were named, from gateways that
-// had passed the limit on for three seconds.
-// How: a server named a limit; the mix brought it as much as before.
-// Cause: no gateway read it.
+// Failure: an overloaded server gets more requests than the limit that it
+// announces, for example 167 requests in 4 s at a limit of 26 per second that
+// the gateways have already forwarded for 3 s.
+// Cause: no gateway reads the limit, so routing sends the server as much as
+// before.
 TEST(ServerLimits, AreKept) {
-  Listener &Limited = Scene.server("s1", "plain", names("5.0"));
-  serve();
-  // Left to its measured speed, nearly all would go on going there.
-  ask(std::chrono::milliseconds(500));
-  Listener &Other = Scene.server("s2", "plain", answersWith("good"));
-  CHECK(Scene.until(
-      [&] { return has(Scene.metrics(), "figlift_gateway_targets 2"); }));
+  Listener &Limited = Fixture.addServer("s1", "plain", announceLimit("5.0"));
+  startServing();
+  // By its measured speed, the server would still get nearly all requests.
+  sendRequests(std::chrono::milliseconds(500));
+  Listener &Other = Fixture.addServer("s2", "plain", respondWith("good"));
+  CHECK(Fixture.waitUntil([&] {
+    return contains(Fixture.metrics(), "figlift_gateway_targets 2");
+  }));
   const size_t Before = Limited.Requests.size();
-  const unsigned Good = ask(std::chrono::milliseconds(2000));
-  // A tenth beyond the limit, and one that was due.
+  const unsigned Successes = sendRequests(std::chrono::milliseconds(2000));
+  // Ten requests in two seconds, a tenth more, and one that was already due.
   CHECK(Limited.Requests.size() - Before <= 12);
-  CHECK(Good > 60);
+  CHECK(Successes > 60);
   CHECK(Other.Requests.size() > 50);
 }
 
-// Failure: a server that is well again is left with what it took in need.
+// Failure: a recovered server stays limited to its rate under overload.
 TEST(ServerLimits, AreLifted) {
-  Listener &Server = Scene.server("s1", "plain", names("0"));
-  serve();
-  ask(std::chrono::milliseconds(300));
-  CHECK(has(Scene.metrics(), "figlift_gateway_limited_servers 1"));
+  Listener &Server = Fixture.addServer("s1", "plain", announceLimit("0"));
+  startServing();
+  sendRequests(std::chrono::milliseconds(300));
+  CHECK(contains(Fixture.metrics(), "figlift_gateway_limited_servers 1"));
   const size_t Before = Server.Requests.size();
-  CHECK(has(Scene.ask("GET", "/safe/x"), "HTTP/1.1 503"));
+  CHECK(contains(Fixture.request("GET", "/safe/x"), "HTTP/1.1 503"));
   LONGS_EQUAL(Before, Server.Requests.size());
-  Server.behave(answersWith("good"));
-  // It is asked at least every four seconds.
-  CHECK(Scene.until([&] { return has(Scene.ask("GET", "/safe/x"), "good"); }));
-  CHECK(has(Scene.metrics(), "figlift_gateway_limited_servers 0"));
-  CHECK(ask(std::chrono::milliseconds(300)) > 8);
+  Server.setBehaviour(respondWith("good"));
+  // The gateway sends a request to a limited server at least every 4 s.
+  CHECK(Fixture.waitUntil(
+      [&] { return contains(Fixture.request("GET", "/safe/x"), "good"); }));
+  CHECK(contains(Fixture.metrics(), "figlift_gateway_limited_servers 0"));
+  CHECK(sendRequests(std::chrono::milliseconds(300)) > 8);
 }
 
-// Failure: what is no limit is taken for one.
-TEST(ServerLimits, AreNotTakenFromWhatCannotBeRead) {
-  Listener &Server = Scene.server("s1", "plain", names("-1"));
-  serve();
+// Failure: an invalid header value is applied as a limit.
+TEST(ServerLimits, AreNotTakenFromInvalidValues) {
+  Listener &Server = Fixture.addServer("s1", "plain", announceLimit("-1"));
+  startServing();
   for (const char *Text : {"-1", "five", "1e300", "", "nan"}) {
-    Server.behave(names(Text));
-    CHECK(has(Scene.ask("GET", "/safe/x"), "good"));
-    CHECK(has(Scene.metrics(), "figlift_gateway_limited_servers 0"));
+    Server.setBehaviour(announceLimit(Text));
+    CHECK(contains(Fixture.request("GET", "/safe/x"), "good"));
+    CHECK(contains(Fixture.metrics(), "figlift_gateway_limited_servers 0"));
   }
 }
--- a/Tests/FigliftGateway/TestStoreFromCopy.cpp
+++ b/Tests/FigliftGateway/TestStoreFromCopy.cpp
@@ -1,8 +1,7 @@
-//===- TestStoreFromCopy.cpp - The store comes back from a copy -----------===//
+//===- TestStoreFromCopy.cpp - The store is restored from a backup --------===//
 //
-// What was written since the copy is gone, and versions are given out again. A
-// gateway of a small deployment keeps up with the store all the same, and with
-// its peers.
+// A restored store has lost what was written since the backup and assigns the
+// same versions again. A gateway must still follow the store and its peers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,119 +14,127 @@
 using std::chrono::milliseconds;
 
 TEST_GROUP(StoreFromCopy) {
-  GatewayScene Scene;
+  GatewayFixture Fixture;
 
   void setup() override {
-    Scene.server("a", "plain", answersWith("one"));
-    Scene.configure();
-    CHECK(Scene.becomesReady());
+    Fixture.addServer("a", "plain", respondWith("one"));
+    Fixture.configure();
+    CHECK(Fixture.waitUntilReady());
   }
   bool hasMetric(const std::string &Line) {
-    return has(Scene.metrics(), Line + "\n");
+    return contains(Fixture.metrics(), Line + "\n");
   }
-  /// A copy is made; then so much is written that its versions are far behind.
-  void copyAndGoOn() {
-    Scene.Store.copy();
-    for (int Each = 0; Each < 100; ++Each)
-      Scene.Store.put("elsewhere", "row", "");
-    Scene.server("late", "plain", answersWith("late"));
-    CHECK(Scene.until([&] { return hasMetric("figlift_gateway_targets 2"); }));
+  /// Saves a backup and then writes so much that its version is far behind.
+  void saveBackupAndWriteMore() {
+    Fixture.Store.saveBackup();
+    for (int Count = 0; Count < 100; ++Count)
+      Fixture.Store.put("elsewhere", "row", "");
+    Fixture.addServer("late", "plain", respondWith("late"));
+    CHECK(Fixture.waitUntil(
+        [&] { return hasMetric("figlift_gateway_targets 2"); }));
   }
-  /// The bound for configurations and leaving servers is two seconds.
-  template <typename Condition> bool soon(Condition Done) {
-    const auto Begun = std::chrono::steady_clock::now();
-    return Scene.until(Done) &&
-           std::chrono::steady_clock::now() - Begun < milliseconds(2000);
+  /// Whether \p Done becomes true within two seconds, the limit for applying
+  /// configurations and removals of servers.
+  template <typename Condition> bool becomesTrueInTime(Condition Done) {
+    const auto Start = std::chrono::steady_clock::now();
+    return Fixture.waitUntil(Done) &&
+           std::chrono::steady_clock::now() - Start < milliseconds(2000);
   }
 };
 
-// Failure: a change is not in force until versions have caught up.
-TEST(StoreFromCopy, PutsTheNextConfigurationIntoForceInTime) {
-  copyAndGoOn();
-  Scene.Store.comeBackFromCopy();
-  Scene.configure(2);
-  CHECK(soon(
+// Failure: a change is not applied until the store's versions have caught up.
+TEST(StoreFromCopy, AppliesTheNextConfigurationInTime) {
+  saveBackupAndWriteMore();
+  Fixture.Store.restoreBackup();
+  Fixture.configure(2);
+  CHECK(becomesTrueInTime(
       [&] { return hasMetric("figlift_gateway_configuration_version 2"); }));
 }
 
-// Failure: requests go to a server that has left.
+// Failure: requests are routed to a draining server.
 TEST(StoreFromCopy, FollowsTheListOfServers) {
-  copyAndGoOn();
-  Scene.Store.comeBackFromCopy();
-  // It registers again, and leaves.
-  Scene.list("late", "ready");
-  Scene.Loop.run_for(milliseconds(300));
+  saveBackupAndWriteMore();
+  Fixture.Store.restoreBackup();
+  // Server "late" registers again, and "a" is draining.
+  Fixture.setServerState("late", "ready");
+  Fixture.Loop.run_for(milliseconds(300));
   CHECK(hasMetric("figlift_gateway_targets 2"));
-  Scene.list("a", "draining");
-  CHECK(soon([&] { return has(Scene.ask("GET", "/safe/x"), "late"); }));
+  Fixture.setServerState("a", "draining");
+  CHECK(becomesTrueInTime(
+      [&] { return contains(Fixture.request("GET", "/safe/x"), "late"); }));
 }
 
-// Failure: a configuration in force is replaced by an older one.
-TEST(StoreFromCopy, NeverGoesBackToAnOlderConfiguration) {
-  Scene.Store.copy();
-  Scene.configure(2);
-  CHECK(Scene.until(
+// Failure: the active configuration is replaced by an older one.
+TEST(StoreFromCopy, NeverRevertsToAnOlderConfiguration) {
+  Fixture.Store.saveBackup();
+  Fixture.configure(2);
+  CHECK(Fixture.waitUntil(
       [&] { return hasMetric("figlift_gateway_configuration_version 2"); }));
-  Scene.Store.comeBackFromCopy();
-  Scene.Store.put("elsewhere", "row", "");
-  Scene.Loop.run_for(milliseconds(1500));
+  Fixture.Store.restoreBackup();
+  Fixture.Store.put("elsewhere", "row", "");
+  Fixture.Loop.run_for(milliseconds(1500));
   CHECK(hasMetric("figlift_gateway_configuration_version 2"));
 }
 
-// Failure: servers whose entries the copy lacks get no more requests, though
-// they run and register again.
+// Failure: servers that are missing in the backup get no more requests, though
+// they are running and register again.
 TEST(StoreFromCopy, KeepsServersThatRegisterAgain) {
-  copyAndGoOn();
-  Scene.Store.comeBackFromCopy();
-  Scene.Loop.run_for(milliseconds(1000));
+  saveBackupAndWriteMore();
+  Fixture.Store.restoreBackup();
+  Fixture.Loop.run_for(milliseconds(1000));
   CHECK(hasMetric("figlift_gateway_targets 2"));
-  // One that does not come back is gone soon after.
-  CHECK(Scene.until([&] { return hasMetric("figlift_gateway_targets 1"); }));
+  // A server that does not register again is removed soon after.
+  CHECK(Fixture.waitUntil(
+      [&] { return hasMetric("figlift_gateway_targets 1"); }));
 }
 
-// Failure: requests go to a server that had left before, as the copy lists it.
-TEST(StoreFromCopy, BringsNoServerBackThatWasGone) {
-  Scene.server("late", "plain", answersWith("late"));
-  CHECK(Scene.until([&] { return hasMetric("figlift_gateway_targets 2"); }));
-  Scene.Store.copy();
-  Scene.Store.remove("servers", "late");
-  CHECK(Scene.until([&] { return hasMetric("figlift_gateway_targets 1"); }));
-  Scene.Store.comeBackFromCopy();
-  Scene.Loop.run_for(milliseconds(1500));
+// Failure: requests are routed to a server that had been removed, because the
+// backup lists it.
+TEST(StoreFromCopy, DoesNotRestoreRemovedServers) {
+  Fixture.addServer("late", "plain", respondWith("late"));
+  CHECK(Fixture.waitUntil(
+      [&] { return hasMetric("figlift_gateway_targets 2"); }));
+  Fixture.Store.saveBackup();
+  Fixture.Store.remove("servers", "late");
+  CHECK(Fixture.waitUntil(
+      [&] { return hasMetric("figlift_gateway_targets 1"); }));
+  Fixture.Store.restoreBackup();
+  Fixture.Loop.run_for(milliseconds(1500));
   CHECK(hasMetric("figlift_gateway_store_era 2"));
   CHECK(hasMetric("figlift_gateway_targets 1"));
-  // One that runs all the same says so by its next heartbeat.
-  Scene.list("late", "ready");
-  CHECK(soon([&] { return hasMetric("figlift_gateway_targets 2"); }));
+  // A server that is running after all registers with its next heartbeat.
+  Fixture.setServerState("late", "ready");
+  CHECK(becomesTrueInTime(
+      [&] { return hasMetric("figlift_gateway_targets 2"); }));
 }
 
-// Failure: the store is asked without a pause, as its history is not the one
-// that is asked for.
-TEST(StoreFromCopy, IsNotAskedWithoutAPause) {
-  copyAndGoOn();
-  Scene.Store.comeBackFromCopy();
-  Scene.Loop.run_for(milliseconds(500));
-  const int Before = Scene.Store.Answers;
-  Scene.Loop.run_for(milliseconds(2000));
-  // Two tables, each at most each half a second and after each change.
-  CHECK(Scene.Store.Answers - Before <= 20);
+// Failure: the gateway queries the store without a pause, because the store
+// rejects the requested version.
+TEST(StoreFromCopy, IsNotPolledContinuously) {
+  saveBackupAndWriteMore();
+  Fixture.Store.restoreBackup();
+  Fixture.Loop.run_for(milliseconds(500));
+  const int Before = Fixture.Store.ResponseCount;
+  Fixture.Loop.run_for(milliseconds(2000));
+  // Two tables, each read at most every 0.5 s and after each change.
+  CHECK(Fixture.Store.ResponseCount - Before <= 20);
 }
 
-// Failure: gateways that run and those that start believe nothing of each
-// other, as the copy lacks the secret and another one is made.
-TEST(StoreFromCopy, GetsTheSecretAndTheRowOfItsGatewaysAgain) {
-  CHECK(Scene.until([&] {
-    return !Scene.Store.value("figlift-gateways", "#secret").empty();
+// Failure: running and newly started gateways reject each other's datagrams,
+// because the backup lacks the secret and a new one is created.
+TEST(StoreFromCopy, GetsTheSecretAndTheRowsOfGatewaysAgain) {
+  CHECK(Fixture.waitUntil([&] {
+    return !Fixture.Store.value("figlift-gateways", "#secret").empty();
   }));
-  const std::string Secret = Scene.Store.value("figlift-gateways", "#secret");
-  const std::string Row = Scene.Store.value("figlift-gateways", "g1");
+  const std::string Secret = Fixture.Store.value("figlift-gateways", "#secret");
+  const std::string Row = Fixture.Store.value("figlift-gateways", "g1");
   CHECK(!Row.empty());
-  Scene.Store.remove("figlift-gateways", "#secret");
-  Scene.Store.remove("figlift-gateways", "g1");
-  Scene.Store.copy();
-  Scene.Store.comeBackFromCopy();
-  CHECK(soon([&] {
-    return Scene.Store.value("figlift-gateways", "#secret") == Secret &&
-           Scene.Store.value("figlift-gateways", "g1") == Row;
+  Fixture.Store.remove("figlift-gateways", "#secret");
+  Fixture.Store.remove("figlift-gateways", "g1");
+  Fixture.Store.saveBackup();
+  Fixture.Store.restoreBackup();
+  CHECK(becomesTrueInTime([&] {
+    return Fixture.Store.value("figlift-gateways", "#secret") == Secret &&
+           Fixture.Store.value("figlift-gateways", "g1") == Row;
   }));
 }
--- a/Tests/Platform/TestStoreClient.cpp
+++ b/Tests/Platform/TestStoreClient.cpp
@@ -61,7 +61,7 @@
 
 // Guards against waiting forever for a store that stalls within its response.
 TEST(StoreClient, TimesOutWhenAResponseStalls) {
-  Store.Pause = milliseconds(10'000);
+  Store.MidResponsePause = milliseconds(10'000);
   const auto Start = std::chrono::steady_clock::now();
   Client.readAll("t", "",
                  [this](auto Result) { setResponse(std::move(Result)); });
--- a/Tests/Soak/Disturber.cpp
+++ b/Tests/Soak/Disturber.cpp
@@ -174,21 +174,21 @@
   // It comes back from a copy of this moment.
   const bool Forgets = m_CopyRandom() % 3 == 0;
   if (Forgets)
-    Store.copy();
+    Store.saveBackup();
   m_History.push_back(fmt::format("store fault {}{}", Kind,
                                   Forgets ? ", back from a copy" : ""));
-  Store.Away = Kind == 0;
+  Store.Unavailable = Kind == 0;
   Store.Silent = Kind == 1;
   Store.Delay = Kind == 2 ? milliseconds(draw(50, 600)) : milliseconds(0);
-  Store.LosesAnswers = Kind == 3 ? 0.4 : 0;
-  Store.Forgetful = Kind == 4;
+  Store.ResponseLossRate = Kind == 3 ? 0.4 : 0;
+  Store.HistoryExpired = Kind == 4;
   const auto Mend = [this, &Store, Forgets] {
-    Store.Away = Store.Silent = Store.Forgetful = false;
+    Store.Unavailable = Store.Silent = Store.HistoryExpired = false;
     Store.Delay = milliseconds(0);
-    Store.LosesAnswers = 0;
+    Store.ResponseLossRate = 0;
     if (!Forgets)
       return;
-    Store.comeBackFromCopy();
+    Store.restoreBackup();
     m_Fleet.writeAgain();
   };
   open("store", PromiseBook::Everything, later(Now, 300, 5000), Mend);
--- a/Tests/Soak/SoakServer.cpp
+++ b/Tests/Soak/SoakServer.cpp
@@ -90,7 +90,7 @@
     return;
   m_Book.crashed(field(Under, "X-Attempt-Id"), BootClock::now());
   m_Book.disturbed(PromiseBook::Servers, BootClock::now());
-  m_Listener.breakConnections();
+  m_Listener.abortConnections();
   Crashed();
 }
 
--- a/Tests/StoppingGateway/TestChangedGrace.cpp
+++ b/Tests/StoppingGateway/TestChangedGrace.cpp
@@ -1,8 +1,9 @@
 //===- TestChangedGrace.cpp - Signals and settings around SIGTERM ---------===//
 //
-// The kill comes by the settings that the platform used last, which a process
-// does not learn at that moment. It ends by the earliest kill that may be due,
-// and gives its last answers before that.
+// The platform sends SIGKILL after the grace period of the settings that it
+// read last, and the process cannot know which settings these are. It stops
+// before the earliest possible SIGKILL and sends its last responses before
+// that.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,191 +21,207 @@
 
 namespace {
 
-/// Ends within the five seconds of GatewayScene::until, with room for a
-/// machine under load.
-constexpr double Short = 2;
-/// Does not.
-constexpr double Long = 60;
+/// Ends within the 5 s of GatewayFixture::waitUntil(), with a margin for a busy
+/// machine.
+constexpr double ShortGrace = 2;
+/// Ends after the 5 s of GatewayFixture::waitUntil().
+constexpr double LongGrace = 60;
 
-/// A stream that cannot end, if it is taken, before a stop by Short does.
-constexpr auto OutlastsShort = "X-Deadline-Ms: 4000\r\n";
+/// Deadline of a stream that, if accepted, outlasts a stop with ShortGrace.
+constexpr auto OutlastingDeadline = "X-Deadline-Ms: 4000\r\n";
 
 } // namespace
 
-/// A gateway with a caller who waits for a server that keeps silent.
+/// A gateway with a caller that waits for a server that does not respond.
 TEST_GROUP(ChangedGrace) {
-  std::unique_ptr<GatewayScene> Scene;
-  std::unique_ptr<KeptCaller> Waiting;
-
-  void startWith(double Grace) {
-    Scene = std::make_unique<GatewayScene>(Grace);
-    Scene->configure();
-    CHECK(Scene->becomesReady());
-    Listener &Silent = Scene->server(
+  std::unique_ptr<GatewayFixture> Fixture;
+  std::unique_ptr<KeepAliveCaller> PendingCaller;
+
+  void startWithGrace(double Grace) {
+    Fixture = std::make_unique<GatewayFixture>(Grace);
+    Fixture->configure();
+    CHECK(Fixture->waitUntilReady());
+    Listener &Silent = Fixture->addServer(
         "e1", "model", [](const proxy::Request &, const Caller &) {}, "decode");
-    CHECK(Scene->until(
-        [&] { return has(Scene->metrics(), "figlift_gateway_targets 1"); }));
-    Waiting = std::make_unique<KeptCaller>(*Scene);
-    Waiting->send("POST", "/long/x");
-    CHECK(Scene->until([&] { return Silent.Requests.size() == 1; }));
+    CHECK(Fixture->waitUntil([&] {
+      return contains(Fixture->metrics(), "figlift_gateway_targets 1");
+    }));
+    PendingCaller = std::make_unique<KeepAliveCaller>(*Fixture);
+    PendingCaller->send("POST", "/long/x");
+    CHECK(Fixture->waitUntil([&] { return Silent.Requests.size() == 1; }));
   }
-  void hangUpInSeries() {
-    for (int Each = 0; Each < 20; ++Each) {
-      Scene->hangUp();
-      Scene->Loop.run_for(milliseconds(1));
+  void sendHangups() {
+    for (int Count = 0; Count < 20; ++Count) {
+      Fixture->sendHangup();
+      Fixture->Loop.run_for(milliseconds(1));
     }
   }
-  bool reloaded(int Times) {
-    return Scene->until([&] {
-      return has(Scene->metrics(),
-                 "figlift_gateway_reloads_total " + std::to_string(Times));
+  bool waitForReloads(int Reloads) {
+    return Fixture->waitUntil([&] {
+      return contains(Fixture->metrics(), "figlift_gateway_reloads_total " +
+                                              std::to_string(Reloads));
     });
   }
-  /// The caller has its final answer, and the process ends by Short.
-  void checkEnds() {
-    CHECK(Scene->until([&] { return Waiting->received(), Waiting->ended(); }));
-    CHECK(has(Waiting->received(), "HTTP/1.1 504"));
-    CHECK(Waiting->received().ends_with("\r\n\r\n"));
-    CHECK(Scene->until([&] { return Scene->hasEnded(); }));
+  /// Checks that the caller gets its final response and that the gateway stops
+  /// within ShortGrace.
+  void checkStops() {
+    CHECK(Fixture->waitUntil(
+        [&] { return PendingCaller->received(), PendingCaller->isClosed(); }));
+    CHECK(contains(PendingCaller->received(), "HTTP/1.1 504"));
+    CHECK(PendingCaller->received().ends_with("\r\n\r\n"));
+    CHECK(Fixture->waitUntil([&] { return Fixture->hasStopped(); }));
   }
   void teardown() override {
-    Waiting.reset();
-    Scene.reset();
+    PendingCaller.reset();
+    Fixture.reset();
   }
 };
 
-// Symptom: callers get no last answer: the kill comes first.
-// Sequence: the settings get a shorter grace, with a series of SIGHUP before
-// SIGTERM and another one after it.
-// Cause: the time was taken from the settings that the process started with.
-TEST(ChangedGrace, EndsByAShorterOneThatCameBefore) {
-  startWith(Long);
-  Scene->writeGrace(Short);
-  hangUpInSeries();
-  Scene->terminate();
-  hangUpInSeries();
-  checkEnds();
+// Failure: callers get no final response, because SIGKILL comes first.
+// Sequence: the settings get a shorter grace period, with a series of SIGHUP
+// before SIGTERM and another series after it.
+// Cause: the grace period is that of the settings at the start of the process.
+TEST(ChangedGrace, UsesAShorterOneFromBeforeTermination) {
+  startWithGrace(LongGrace);
+  Fixture->writeGrace(ShortGrace);
+  sendHangups();
+  Fixture->sendTermination();
+  sendHangups();
+  checkStops();
 }
 
-// The same, when SIGTERM came first.
-TEST(ChangedGrace, EndsByAShorterOneThatComesWhileItStops) {
-  startWith(Long);
-  Scene->terminate();
-  CHECK(Scene->becomesReady(false));
-  Scene->writeGrace(Short);
-  hangUpInSeries();
-  CHECK(isTurnedAway(Scene->ask("POST", "/long/x", OutlastsShort)));
-  checkEnds();
+// The same, when SIGTERM comes first.
+TEST(ChangedGrace, UsesAShorterOneThatArrivesWhileStopping) {
+  startWithGrace(LongGrace);
+  Fixture->sendTermination();
+  CHECK(Fixture->waitUntilReady(false));
+  Fixture->writeGrace(ShortGrace);
+  sendHangups();
+  CHECK(isStoppingRejection(
+      Fixture->request("POST", "/long/x", OutlastingDeadline)));
+  checkStops();
 }
 
-// Symptom: as above, and streams are taken that the kill cuts.
-// Sequence: the settings get a longer grace right after SIGTERM; the kill is
-// due by the shorter one.
-// Cause: the newest settings were believed.
-TEST(ChangedGrace, EndsByTheOldOneWhenALongerOneComesWhileItStops) {
-  startWith(Short);
-  Scene->terminate();
-  CHECK(Scene->becomesReady(false));
-  Scene->writeGrace(Long);
-  hangUpInSeries();
-  CHECK(isTurnedAway(Scene->ask("POST", "/long/x", OutlastsShort)));
-  checkEnds();
+// Failure: as above, and streams are accepted that SIGKILL interrupts.
+// Sequence: the settings get a longer grace period right after SIGTERM, and
+// SIGKILL is sent after the shorter one.
+// Cause: the newest settings are applied.
+TEST(ChangedGrace, KeepsTheShorterOneWhenALongerOneArrivesWhileStopping) {
+  startWithGrace(ShortGrace);
+  Fixture->sendTermination();
+  CHECK(Fixture->waitUntilReady(false));
+  Fixture->writeGrace(LongGrace);
+  sendHangups();
+  CHECK(isStoppingRejection(
+      Fixture->request("POST", "/long/x", OutlastingDeadline)));
+  checkStops();
 }
 
-// Symptom: as above. Sequence: the file changes without a signal, to a shorter
-// grace, right before SIGTERM. Cause: the file is looked at once a second.
-TEST(ChangedGrace, EndsByAShorterOneThatItHasNotSeen) {
-  startWith(Long);
-  Scene->writeGrace(Short);
-  Scene->terminate();
-  checkEnds();
+// Failure: as above.
+// Sequence: the file changes to a shorter grace period without a signal, right
+// before SIGTERM.
+// Cause: the file is checked once per second.
+TEST(ChangedGrace, UsesAShorterOneThatWasNotReadYet) {
+  startWithGrace(LongGrace);
+  Fixture->writeGrace(ShortGrace);
+  Fixture->sendTermination();
+  checkStops();
 }
 
-// Symptom: as above. Sequence: the same, with a longer grace: the platform may
-// have read its settings before that change.
-// Cause: the change that is read because of SIGTERM replaced the grace that was
-// in force when it came, so the earlier kill was not known any more.
-TEST(ChangedGrace, EndsByTheOldOneWhenALongerOneWasNotSeen) {
-  startWith(Short);
-  // Seen at one look, so that the next look is a second away.
-  Scene->writeGrace(Short + 0.1);
-  CHECK(reloaded(1));
-  Scene->writeGrace(Long);
-  Scene->terminate();
-  CHECK(Scene->becomesReady(false));
-  CHECK(isTurnedAway(Scene->ask("POST", "/long/x", OutlastsShort)));
-  checkEnds();
+// Failure: as above.
+// Sequence: the same with a longer grace period. The platform may have read its
+// settings before the change.
+// Cause: the settings that are read because of SIGTERM replace the grace period
+// that was active when SIGTERM came, so that the earlier SIGKILL is no longer
+// taken into account.
+TEST(ChangedGrace, KeepsTheShorterOneWhenALongerOneWasNotReadYet) {
+  startWithGrace(ShortGrace);
+  // One check of the file sees this change, so that the next check is 1 s away.
+  Fixture->writeGrace(ShortGrace + 0.1);
+  CHECK(waitForReloads(1));
+  Fixture->writeGrace(LongGrace);
+  Fixture->sendTermination();
+  CHECK(Fixture->waitUntilReady(false));
+  CHECK(isStoppingRejection(
+      Fixture->request("POST", "/long/x", OutlastingDeadline)));
+  checkStops();
 }
 
-// Symptom: the time that a stopping process has begins anew, or it ends at
-// once. Cause: a second SIGTERM was taken for the first, or for the kill.
-TEST(ChangedGrace, StopsOnceHoweverOftenItIsTold) {
-  startWith(Short);
-  Scene->server("s1", "plain", answersWith("one"));
-  CHECK(Scene->until(
-      [&] { return has(Scene->metrics(), "figlift_gateway_targets 2"); }));
-  const auto Told = BootClock::now();
-  Scene->terminate();
-  CHECK(Scene->becomesReady(false));
-  for (int Each = 0; Each < 3; ++Each)
-    Scene->terminate();
-  CHECK(has(Scene->ask("GET", "/safe/x"), "one"));
-  // Again and again until its end: none of them moves it.
-  CHECK(Scene->until([&] {
-    Scene->terminate();
-    return Scene->hasEnded();
+// Failure: the time left to a stopping process starts again, or the process
+// ends immediately.
+// Cause: a second SIGTERM is treated like the first one or like SIGKILL.
+TEST(ChangedGrace, IgnoresRepeatedTerminationSignals) {
+  startWithGrace(ShortGrace);
+  Fixture->addServer("s1", "plain", respondWith("one"));
+  CHECK(Fixture->waitUntil([&] {
+    return contains(Fixture->metrics(), "figlift_gateway_targets 2");
   }));
-  CHECK(BootClock::now() - Told < 2 * std::chrono::seconds(2));
-  checkEnds();
+  const auto Start = BootClock::now();
+  Fixture->sendTermination();
+  CHECK(Fixture->waitUntilReady(false));
+  for (int Count = 0; Count < 3; ++Count)
+    Fixture->sendTermination();
+  CHECK(contains(Fixture->request("GET", "/safe/x"), "one"));
+  // Sends SIGTERM repeatedly until the gateway stops; none of these signals
+  // changes the time of the stop.
+  CHECK(Fixture->waitUntil([&] {
+    Fixture->sendTermination();
+    return Fixture->hasStopped();
+  }));
+  CHECK(BootClock::now() - Start < 2 * std::chrono::seconds(2));
+  checkStops();
 }
 
-// Symptom: a stream is taken and cut by the kill.
-// Sequence: a process stands still; SIGTERM comes meanwhile. When it goes on, a
-// tick is due and the signal is waiting.
-// Cause: the tick ran first, and the time of the newest tick was taken for the
-// earliest at which SIGTERM may have come.
-TEST(ChangedGrace, CountsTheTimeForWhichItStoodStill) {
-  constexpr milliseconds StandsStill{1500};
-  startWith(Short);
-  // Seen at one look, so that the next look is a second away.
-  Scene->writeGrace(Short + 0.1);
-  CHECK(reloaded(1));
-  // A settings file that cannot be read for a while holds the process up.
-  const std::string Settings = settings::printSettings(Scene->Settings);
-  const char *File = Scene->settingsFile().c_str();
+// Failure: a stream is accepted and interrupted by SIGKILL.
+// Sequence: the process is stalled while SIGTERM arrives. When it resumes, a
+// timer tick is due and the signal is pending.
+// Cause: the tick runs first, and the time of the latest tick is used as the
+// earliest time at which SIGTERM may have arrived.
+TEST(ChangedGrace, IncludesTheTimeOfAStall) {
+  constexpr milliseconds StallTime{1500};
+  startWithGrace(ShortGrace);
+  // One check of the file sees this change, so that the next check is 1 s away.
+  Fixture->writeGrace(ShortGrace + 0.1);
+  CHECK(waitForReloads(1));
+  // A settings file that is a FIFO without data stalls the process.
+  const std::string Settings = settings::printSettings(Fixture->Settings);
+  const char *File = Fixture->settingsFile().c_str();
   LONGS_EQUAL(0, unlink(File));
   LONGS_EQUAL(0, mkfifo(File, 0600));
-  Scene->hangUp();
+  Fixture->sendHangup();
   int Writer = -1;
-  // Opens once there is a reader. A second writer would hold it up for good.
-  CHECK(Scene->until([&] {
+  // Opens once there is a reader. A second writer would stall the process
+  // forever.
+  CHECK(Fixture->waitUntil([&] {
     if (Writer < 0)
       Writer = open(File, O_WRONLY | O_NONBLOCK | O_CLOEXEC);
     return Writer >= 0;
   }));
   LONGS_EQUAL(0, unlink(File));
-  Scene->terminate();
-  Scene->Loop.run_for(StandsStill);
+  Fixture->sendTermination();
+  Fixture->Loop.run_for(StallTime);
   LONGS_EQUAL(Settings.size(), write(Writer, Settings.data(), Settings.size()));
   close(Writer);
-  CHECK(Scene->becomesReady(false));
-  // Of the two seconds it has less than a tenth of one left.
-  CHECK(isTurnedAway(Scene->ask("POST", "/long/x", "X-Deadline-Ms: 600\r\n")));
-  checkEnds();
+  CHECK(Fixture->waitUntilReady(false));
+  // Less than 0.1 s of the two seconds is left.
+  CHECK(isStoppingRejection(
+      Fixture->request("POST", "/long/x", "X-Deadline-Ms: 600\r\n")));
+  checkStops();
 }
 
-// Symptom: a process that stops right after its start does not end in time, or
-// callers are not told to go elsewhere.
-// Sequence: SIGTERM before the first configuration, which comes after it.
+// Failure: a process that is stopped right after its start does not end in time
+// or does not send callers to other gateways.
+// Sequence: SIGTERM arrives before the first configuration.
 TEST(ChangedGrace, StopsBeforeItHasAConfiguration) {
-  Scene = std::make_unique<GatewayScene>(Short);
-  Listener &Server = Scene->server("s1", "plain", answersWith("one"));
-  Scene->terminate();
-  // Its answer shows that SIGTERM was noticed.
-  CHECK(
-      Scene->until([&] { return isTurnedAway(Scene->ask("GET", "/safe/x")); }));
+  Fixture = std::make_unique<GatewayFixture>(ShortGrace);
+  Listener &Server = Fixture->addServer("s1", "plain", respondWith("one"));
+  Fixture->sendTermination();
+  // This response shows that SIGTERM has been handled.
+  CHECK(Fixture->waitUntil(
+      [&] { return isStoppingRejection(Fixture->request("GET", "/safe/x")); }));
   LONGS_EQUAL(0, Server.Requests.size());
-  Scene->configure();
-  CHECK(Scene->until([&] { return has(Scene->ask("GET", "/safe/x"), "one"); }));
-  CHECK(Scene->until([&] { return Scene->hasEnded(); }));
+  Fixture->configure();
+  CHECK(Fixture->waitUntil(
+      [&] { return contains(Fixture->request("GET", "/safe/x"), "one"); }));
+  CHECK(Fixture->waitUntil([&] { return Fixture->hasStopped(); }));
 }
