--- a/Tests/StoppingGateway/TestRemovedServices.cpp
+++ b/Tests/StoppingGateway/TestRemovedServices.cpp
@@ -186,10 +186,10 @@
 };
 
 // Failure: the process crashes, or a request gets no response, when a service
-// is removed from the configuration. Sequence: during a prefill, a
-// configuration without the route and the service becomes active. The decode is
-// planned after that. Cause: the service is looked up in the active
-// configuration.
+// is removed from the configuration.
+// Sequence: during a prefill, a configuration without the route and the service
+// becomes active. The decode is planned after that.
+// Cause: the service is looked up in the active configuration.
 TEST(RemovedServices, DecodesAfterThePrefill) {
   decodesAfterThePrefill(!WithStop);
 }
--- a/Tests/StoppingGateway/TestRetriesWhileStopping.cpp
+++ b/Tests/StoppingGateway/TestRetriesWhileStopping.cpp
@@ -100,8 +100,8 @@
 
 // Failure: a caller gets an error although its server would have responded.
 // Sequence: a server responds later than expected while the gateway is
-// stopping, and the request may no longer start at another server. Cause: the
-// first attempt is canceled before this is checked.
+// stopping, and the request may no longer start at another server.
+// Cause: the first attempt is canceled before this is checked.
 TEST(RetriesWhileStopping, WaitsForASlowServerWhenNoRetryMayStart) {
   const auto SlowStream =
       respondAfter(SlowResponseTime, streamFor(Fixture.Loop, milliseconds(20)));
--- a/Tests/StoppingGateway/TestStoppingGateway.cpp
+++ b/Tests/StoppingGateway/TestStoppingGateway.cpp
@@ -69,10 +69,11 @@
 
 // Failure: a stream is interrupted by a planned stop.
 // Sequence: a gateway that has just started gets SIGTERM. A caller then
-// requests a stream that lasts longer than the remaining time. Cause: the
-// stream is admitted by the mean duration of the route's streams, which is zero
-// until the first one has ended. For 14 interrupted streams this mean was 0
-// to 1.7 s, while streams of that route last 3.4 s on average and up to 10 s.
+// requests a stream that lasts longer than the remaining time.
+// Cause: the stream is admitted by the mean duration of the route's streams,
+// which is zero until the first one has ended. For 14 interrupted streams this
+// mean was 0 to 1.7 s, while streams of that route last 3.4 s on average and up
+// to 10 s.
 TEST(StoppingGateway, AcceptsNoStreamThatMayOutlastIt) {
   Listener &Engine = Fixture.addServer(
       "e1", "model", streamFor(Fixture.Loop, LongStream), "decode");
@@ -191,9 +192,11 @@
 }
 
 // Failure: a caller sends its next request on a connection that is being
-// closed. Sequence: a request is at a server when SIGTERM arrives and is
-// answered after it, at the latest when the process ends. Cause: only requests
-// that arrive after SIGTERM mark their connection to be closed.
+// closed.
+// Sequence: a request is at a server when SIGTERM arrives and is answered after
+// it, at the latest when the process ends.
+// Cause: only requests that arrive after SIGTERM mark their connection to be
+// closed.
 TEST(StoppingGateway, AnnouncesTheCloseInEachResponse) {
   Listener &Server = Fixture.addServer(
       "s1", "plain", [](const proxy::Request &, const Caller &) {});
--- a/Tests/WholeAnswers/StreamBurst.cpp
+++ b/Tests/WholeAnswers/StreamBurst.cpp
@@ -1,4 +1,4 @@
-//===- StreamBurst.cpp - Many streams at once -----------------------------===//
+//===- StreamBurst.cpp - Concurrent streams -------------------------------===//
 //
 // See StreamBurst.h.
 //
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds StreamLimit{60};
+constexpr std::chrono::seconds StreamTimeout{60};
 
 std::string printable(std::string Text) {
   std::ranges::replace_if(
@@ -24,37 +24,37 @@
 
 } // namespace
 
-StreamBurst::StreamBurst(Fleet &Under, unsigned Count, unsigned Tokens,
-                         const std::vector<std::string> &Entries, Keys With)
-    : m_Fleet(Under), m_Tokens(Tokens), m_Answers(Count) {
+StreamBurst::StreamBurst(Fleet &TargetFleet, unsigned Count, unsigned Tokens,
+                         const std::vector<std::string> &Entries, KeyMode Mode)
+    : m_Fleet(TargetFleet), m_Tokens(Tokens), m_Answers(Count) {
   for (unsigned Index = 0; Index < Count; ++Index) {
     m_Prompts.push_back("burst " + freshKey());
-    m_Keys.push_back(With == Keys::Fresh ? freshKey() : "");
+    m_Keys.push_back(Mode == KeyMode::Fresh ? freshKey() : "");
   }
   start(Entries);
 }
 
 void StreamBurst::start(const std::vector<std::string> &Entries) {
-  m_Running = 0;
+  m_Started = 0;
   for (size_t Index = 0; Index < m_Answers.size(); ++Index) {
     const std::string Entry = m_Fleet.callers(Entries[Index % Entries.size()]);
-    Headers Extra{{"X-Figlift-Deadline", "60s"}};
+    Headers RequestHeaders{{"X-Figlift-Deadline", "60s"}};
     if (!m_Keys[Index].empty())
-      Extra["Idempotency-Key"] = m_Keys[Index];
-    m_Threads.emplace_back([this, Index, Entry, Extra] {
-      bool Begun = false;
+      RequestHeaders["Idempotency-Key"] = m_Keys[Index];
+    m_Threads.emplace_back([this, Index, Entry, RequestHeaders] {
+      bool HasStarted = false;
       m_Answers[Index] =
           call(Entry, "POST", "/v1/completions",
-               completionBody("desk", m_Prompts[Index], m_Tokens), Extra,
-               StreamLimit, [&](size_t) {
-                 if (!std::exchange(Begun, true))
-                   ++m_Running;
+               completionBody("desk", m_Prompts[Index], m_Tokens),
+               RequestHeaders, StreamTimeout, [&](size_t) {
+                 if (!std::exchange(HasStarted, true))
+                   ++m_Started;
                });
     });
   }
 }
 
-void StreamBurst::callAgain(const std::string &Entry) {
+void StreamBurst::repeatRequests(const std::string &Entry) {
   join();
   start({Entry});
 }
@@ -65,25 +65,25 @@
   m_Threads.clear();
 }
 
-bool StreamBurst::waitUntilAllRun(std::chrono::milliseconds Limit) {
-  return waitUntil(Limit, [this] { return m_Running == m_Threads.size(); });
+bool StreamBurst::waitUntilAllStarted(std::chrono::milliseconds Limit) {
+  return waitUntil(Limit, [this] { return m_Started == m_Threads.size(); });
 }
 
 std::string StreamBurst::problems() {
   join();
   std::string Text;
   for (size_t Index = 0; Index < m_Answers.size(); ++Index) {
-    const Answer &Got = m_Answers[Index];
-    const std::string Wanted = expectedText(m_Prompts[Index], m_Tokens);
-    if (Got.Status == 200 && Got.streamedToTheEnd() &&
-        Got.streamedText() == Wanted)
+    const Answer &Response = m_Answers[Index];
+    const std::string Expected = expectedText(m_Prompts[Index], m_Tokens);
+    if (Response.Status == 200 && Response.streamedToTheEnd() &&
+        Response.streamedText() == Expected)
       continue;
-    const size_t Tail = std::min<size_t>(Got.Body.size(), 300);
+    const size_t Tail = std::min<size_t>(Response.Body.size(), 300);
     Text += "stream " + std::to_string(Index) + ": status " +
-            std::to_string(Got.Status) + ", " +
-            std::to_string(Got.streamedText().size()) + " of " +
-            std::to_string(Wanted.size()) + " bytes of text, ends: " +
-            printable(Got.Body.substr(Got.Body.size() - Tail)) + "\n";
+            std::to_string(Response.Status) + ", " +
+            std::to_string(Response.streamedText().size()) + " of " +
+            std::to_string(Expected.size()) + " bytes of text, ends: " +
+            printable(Response.Body.substr(Response.Body.size() - Tail)) + "\n";
   }
   return Text;
 }
--- a/Tests/WholeAnswers/StreamBurst.h
+++ b/Tests/WholeAnswers/StreamBurst.h
@@ -1,7 +1,7 @@
-//===- StreamBurst.h - Many streams at once ---------------------*- C++ -*-===//
+//===- StreamBurst.h - Concurrent streams -----------------------*- C++ -*-===//
 //
-// Starts many streams with different prompts through all entries and keeps
-// their answers, so that a fault can be made while every one of them runs.
+// Starts many streams with different prompts and collects their responses, so
+// that a test can inject a fault while all of them are running.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,20 +18,20 @@
 
 class StreamBurst {
 public:
-  enum class Keys { None, Fresh };
+  enum class KeyMode { None, Fresh };
 
-  /// Through all of \p Entries in turn.
-  StreamBurst(Fleet &Under, unsigned Count, unsigned Tokens,
-              const std::vector<std::string> &Entries, Keys With);
+  /// Distributes the streams over \p Entries in turn.
+  StreamBurst(Fleet &TargetFleet, unsigned Count, unsigned Tokens,
+              const std::vector<std::string> &Entries, KeyMode Mode);
   ~StreamBurst() { join(); }
 
-  /// Waits until every caller has the first part of its answer.
-  bool waitUntilAllRun(std::chrono::milliseconds Limit);
-  /// After all ends: sends the same requests, with their idempotency keys,
-  /// through \p Entry.
-  void callAgain(const std::string &Entry);
-  /// Waits for all ends. Empty when every caller got the whole right answer,
-  /// else a line for each that did not.
+  /// Waits until every caller has received the first part of its response.
+  bool waitUntilAllStarted(std::chrono::milliseconds Limit);
+  /// Waits until all requests have ended and sends them again with the same
+  /// idempotency keys through \p Entry.
+  void repeatRequests(const std::string &Entry);
+  /// Waits until all requests have ended. Returns a line for each response that
+  /// is incomplete or wrong.
   std::string problems();
 
 private:
@@ -43,7 +43,7 @@
   std::vector<std::string> m_Prompts;
   std::vector<std::string> m_Keys;
   std::vector<Answer> m_Answers;
-  std::atomic<unsigned> m_Running{0};
+  std::atomic<unsigned> m_Started{0};
   std::vector<std::thread> m_Threads;
 };
 
--- a/Tests/WholeAnswers/TestComingBack.cpp
+++ b/Tests/WholeAnswers/TestCallerReconnects.cpp
@@ -1,8 +1,8 @@
-//===- TestComingBack.cpp - Callers whose entry died ----------------------===//
+//===- TestCallerReconnects.cpp - Callers whose entry was killed ----------===//
 //
-// Callers come back through another entry with the same idempotency key. The
-// answer is whole in any case; it is not computed again when an agent still
-// holds it.
+// Callers repeat their requests through another entry with the same idempotency
+// key. The response is always complete, and it is not computed again if an
+// agent still holds it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 constexpr unsigned Tokens = 300;
 constexpr seconds Limit{20};
 
-FleetOptions comingBackFleet() {
+FleetOptions reconnectFleet() {
   FleetOptions Options = smallFleet();
   Options.Targets.pop_back();
   for (const char *Id : {"lm-desk-3", "lm-desk-4"}) {
@@ -36,36 +36,37 @@
 
 } // namespace
 
-TEST_GROUP(ComingBack) {
-  Fleet m_Fleet{comingBackFleet()};
+TEST_GROUP(CallerReconnects) {
+  Fleet m_Fleet{reconnectFleet()};
 
   void setup() override {
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
   }
 
-  /// Streams run through entry-1 when it is killed.
-  void killEntryUnder(StreamBurst & Burst) {
-    CHECK_TRUE(Burst.waitUntilAllRun(Limit));
+  /// Kills entry-1 after all streams have started.
+  void killEntryDuring(StreamBurst & Burst) {
+    CHECK_TRUE(Burst.waitUntilAllStarted(Limit));
     m_Fleet.process("entry-1").kill();
     CHECK_TRUE(m_Fleet.process("entry-1").waitForExit(Limit).has_value());
   }
-  bool isLostToAgents() {
+  bool isLossDetectedByAgents() {
     for (const char *Id : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-4"})
       if (m_Fleet.getJson(m_Fleet.admin(Id), "/status")["entries"] != 1)
         return false;
     return true;
   }
-  /// Answers that the living entry took over, by its metrics.
-  unsigned takenOver() {
+  /// Number of responses that entry-2 has taken over, according to its metrics.
+  unsigned takenOverResponses() {
     const std::string Name = "\nentry_answers_taken_over_total ";
     const std::string Text =
         call(m_Fleet.callers("entry-2"), "GET", "/metrics").Body;
-    const size_t At = Text.find(Name);
-    return At == std::string::npos ? 0
-                                   : static_cast<unsigned>(std::stod(
-                                         Text.substr(At + Name.size())));
+    const size_t Position = Text.find(Name);
+    return Position == std::string::npos
+               ? 0
+               : static_cast<unsigned>(
+                     std::stod(Text.substr(Position + Name.size())));
   }
-  size_t runs() {
+  size_t executions() {
     size_t Sum = 0;
     for (const char *Id : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-4"})
       Sum += m_Fleet.book(Id)["requests"].size();
@@ -73,41 +74,44 @@
   }
 };
 
-// Symptom: an answer is computed twice, or a part of it is missing. Sequence:
-// an entry is killed in mid-stream; the agents notice; every caller comes back
-// through the other entry. Cause: the answer is held under an id that only the
-// dead entry knew.
-TEST(ComingBack, GetsTheHeldAnswerThroughAnotherEntry) {
+// Failure: a response is computed twice or is incomplete.
+// Sequence: an entry is killed during streams. After the agents have detected
+// the loss, every caller repeats its request through the other entry.
+// Cause: the response is held under an id that only the killed entry knows.
+TEST(CallerReconnects, GetTheHeldResponseThroughAnotherEntry) {
   StreamBurst Burst(m_Fleet, Streams, Tokens, {"entry-1"},
-                    StreamBurst::Keys::Fresh);
-  killEntryUnder(Burst);
-  CHECK_TRUE(waitUntil(Limit, [&] { return isLostToAgents(); }));
-  Burst.callAgain("entry-2");
+                    StreamBurst::KeyMode::Fresh);
+  killEntryDuring(Burst);
+  CHECK_TRUE(waitUntil(Limit, [&] { return isLossDetectedByAgents(); }));
+  Burst.repeatRequests("entry-2");
   CHECK_EQUAL(std::string(), Burst.problems());
-  CHECK_EQUAL(Streams, takenOver());
-  CHECK_EQUAL(Streams, runs());
+  CHECK_EQUAL(Streams, takenOverResponses());
+  CHECK_EQUAL(Streams, executions());
 }
 
-// Symptom: as above. Sequence: the callers come back at once, before the
-// agents may have noticed, and the entry is started again meanwhile. Cause: a
-// race between the broken link and the question for the answer.
-TEST(ComingBack, GetsAWholeAnswerAtOnce) {
+// Failure: as above.
+// Sequence: the callers repeat their requests immediately, possibly before the
+// agents have detected the loss of the entry.
+// Cause: a race between the lost connection and the request for the response.
+TEST(CallerReconnects, GetACompleteResponseImmediately) {
   StreamBurst Burst(m_Fleet, Streams, Tokens, {"entry-1"},
-                    StreamBurst::Keys::Fresh);
-  killEntryUnder(Burst);
-  Burst.callAgain("entry-2");
+                    StreamBurst::KeyMode::Fresh);
+  killEntryDuring(Burst);
+  Burst.repeatRequests("entry-2");
   CHECK_EQUAL(std::string(), Burst.problems());
-  UT_PRINT(("taken over: " + std::to_string(takenOver()) + " of " +
+  UT_PRINT(("taken over: " + std::to_string(takenOverResponses()) + " of " +
             std::to_string(Streams))
                .c_str());
 }
 
-// Symptom: a caller gets another's answer, or two take one answer from each
-// other. Sequence: one key is used at once for two requests, and twice for the
-// same one, through both entries. Cause: answers held under the key alone.
-TEST(ComingBack, KeepsEqualKeysApart) {
-  const Headers WithKey{{"Idempotency-Key", freshKey()},
-                        {"X-Request-Id", "same"}};
+// Failure: a caller gets the response of another request, or two callers each
+// get part of one response.
+// Sequence: one key is used concurrently for two requests, and several times
+// for each of them, through both entries.
+// Cause: responses are held under the key alone.
+TEST(CallerReconnects, KeepEqualKeysSeparate) {
+  const Headers KeyHeaders{{"Idempotency-Key", freshKey()},
+                           {"X-Request-Id", "same"}};
   const std::vector<std::pair<std::string, std::string>> Calls{
       {"entry-1", "one"}, {"entry-2", "two"}, {"entry-1", "one"},
       {"entry-2", "one"}, {"entry-1", "two"}, {"entry-2", "two"}};
@@ -118,7 +122,7 @@
       const auto &[Entry, Prompt] = Calls[Index];
       Answers[Index] =
           call(m_Fleet.callers(Entry), "POST", "/v1/completions",
-               completionBody("desk", Prompt, Tokens), WithKey, Limit);
+               completionBody("desk", Prompt, Tokens), KeyHeaders, Limit);
     });
   for (std::thread &Thread : Threads)
     Thread.join();
--- a/Tests/WholeAnswers/TestStreamFaults.cpp
+++ b/Tests/WholeAnswers/TestStreamFaults.cpp
@@ -1,8 +1,8 @@
-//===- TestStreamFaults.cpp - Whole answers under faults ------------------===//
+//===- TestStreamFaults.cpp - Complete responses under faults -------------===//
 //
-// Many streams run through two entries to two engines while a link, an
-// engine, an agent or an entry fails. Every caller must get exactly the text
-// that is due to its own prompt.
+// Many streams run through two entries to two engines while a link, an engine,
+// an agent or an entry fails. Every caller must get exactly the text for its
+// own prompt.
 //
 //===----------------------------------------------------------------------===//
 
@@ -48,80 +48,88 @@
     for (const std::string &Entry : m_Fleet.entries()) {
       const std::string Text =
           "\n" + call(m_Fleet.callers(Entry), "GET", "/metrics").Body;
-      const size_t At = Text.find("\n" + Name + " ");
-      if (At != std::string::npos)
-        Sum += std::stod(Text.substr(At + Name.size() + 2));
+      const size_t Position = Text.find("\n" + Name + " ");
+      if (Position != std::string::npos)
+        Sum += std::stod(Text.substr(Position + Name.size() + 2));
     }
     return Sum;
   }
 
-  size_t runsAtFirst() { return m_Fleet.book("lm-desk-1")["requests"].size(); }
+  size_t requestsAtFirstTarget() {
+    return m_Fleet.book("lm-desk-1")["requests"].size();
+  }
 
-  /// Starts streams of which several run at the first target. An entry keeps
-  /// away from a target that has failed, and prefers one with known speeds
-  /// while it has room; a fault at the other would meet no stream.
+  /// Starts streams until several of them run at the first target. An entry
+  /// avoids a target that has failed and prefers a target with known speeds
+  /// while it has capacity, so that the first target may get no stream at all
+  /// and a fault there would have no effect.
   std::unique_ptr<StreamBurst> startBurst(unsigned Length) {
     std::unique_ptr<StreamBurst> Burst;
     const bool IsSpread = waitUntil(Limit, [&] {
-      const size_t Before = runsAtFirst();
-      Burst = std::make_unique<StreamBurst>(
-          m_Fleet, Streams, Length, m_Fleet.entries(), StreamBurst::Keys::None);
-      return Burst->waitUntilAllRun(Limit) &&
-             runsAtFirst() >= Before + Streams / 8;
+      const size_t Before = requestsAtFirstTarget();
+      Burst = std::make_unique<StreamBurst>(m_Fleet, Streams, Length,
+                                            m_Fleet.entries(),
+                                            StreamBurst::KeyMode::None);
+      return Burst->waitUntilAllStarted(Limit) &&
+             requestsAtFirstTarget() >= Before + Streams / 8;
     });
     CHECK_TRUE(IsSpread);
     return Burst;
   }
 
-  /// Streams run, \p Break happens, every answer is whole; \p Mend follows.
+  /// Starts streams, calls \p InjectFault, and after the last response calls \p
+  /// RemoveFault and checks that every response is complete.
   template <typename Fault, typename Repair>
-  void prove(const std::string &Name, Fault Break, Repair Mend,
-             unsigned Length = Tokens) {
+  void checkFault(const std::string &Name, Fault InjectFault,
+                  Repair RemoveFault, unsigned Length = Tokens) {
     const auto Burst = startBurst(Length);
-    Break();
+    InjectFault();
     const std::string Problems = Burst->problems();
     UT_PRINT((Name + ": resumes " +
               std::to_string(metric("entry_resumes_total")) +
               " continuations " +
               std::to_string(metric("entry_continuations_total")))
                  .c_str());
-    Mend();
+    RemoveFault();
     CHECK_EQUAL_TEXT(std::string(), Problems, Name.c_str());
   }
 
-  bool serving(const std::string &Target) {
+  bool isServing(const std::string &Target) {
     nlohmann::json State = m_Fleet.getJson(m_Fleet.admin(Target), "/status");
     return State.is_object() && State.value("state", "") == "serving" &&
            State.value("entries", 0u) == m_Fleet.entries().size();
   }
 
-  /// A fault of a link lasts until all answers have come.
-  void proveLink(const std::string &Link, const std::string &Mode,
-                 milliseconds Delay = {}) {
-    prove(
+  /// Applies a fault to a link until all responses have arrived.
+  void checkLinkFault(const std::string &Link, const std::string &Mode,
+                      milliseconds Delay = {}) {
+    checkFault(
         Link + " " + Mode, [&] { m_Fleet.link(Link, Mode, Delay); },
         [&] { m_Fleet.link(Link, "pass"); });
-    CHECK_TRUE(waitUntil(Limit, [&] { return serving("lm-desk-1"); }));
+    CHECK_TRUE(waitUntil(Limit, [&] { return isServing("lm-desk-1"); }));
   }
 };
 
-// Symptom: answers that stop, or go on with a hole, or with another prompt's
-// text. Sequence: the link between entries and an agent breaks, stalls or
-// loses one direction while streams run. Cause: frames are lost or come late,
-// and the rest must be fetched from the token that is missing.
+// Failure: responses end early, have a gap, or continue with the text of
+// another prompt.
+// Sequence: the link between the entries and an agent is cut, stalls or loses
+// one direction during streams.
+// Cause: frames are lost or late, and the response is not resumed at the first
+// missing token.
 TEST(StreamFaults, SurviveAFaultyLinkToTheAgent) {
-  proveLink("agent:lm-desk-1", "cut");
-  proveLink("agent:lm-desk-1", "freeze");
-  proveLink("agent:lm-desk-1", "drop-up");
-  proveLink("agent:lm-desk-1", "drop-down");
-  proveLink("agent:lm-desk-1", "delay", milliseconds(300));
+  checkLinkFault("agent:lm-desk-1", "cut");
+  checkLinkFault("agent:lm-desk-1", "freeze");
+  checkLinkFault("agent:lm-desk-1", "drop-up");
+  checkLinkFault("agent:lm-desk-1", "drop-down");
+  checkLinkFault("agent:lm-desk-1", "delay", milliseconds(300));
 }
 
-// Symptom: work is done twice. Sequence: the link to an agent breaks for a
-// moment in mid-stream and is there again. Cause: the answer is continued on
-// another engine although its agent holds it.
+// Failure: a response is computed twice.
+// Sequence: the link to an agent is cut for a moment during streams.
+// Cause: the response is continued at another engine although the agent holds
+// it.
 TEST(StreamFaults, ResumeAfterAMomentaryCut) {
-  prove(
+  checkFault(
       "momentary cut",
       [&] {
         m_Fleet.link("agent:lm-desk-1", "cut");
@@ -131,21 +139,23 @@
   CHECK_TRUE(metric("entry_resumes_total") > 0);
 }
 
-// Symptom: answers that end early. Sequence: the agent loses its engine's
-// answer in mid-stream. Cause: what the engine still produces cannot be had;
-// another engine has to continue after the delivered tokens.
+// Failure: responses end early.
+// Sequence: the agent loses the connection to its engine during streams.
+// Cause: further tokens of the engine cannot be read, so another engine has to
+// continue after the delivered tokens.
 TEST(StreamFaults, SurviveAFaultyLinkToTheEngine) {
-  proveLink("target:lm-desk-1", "cut");
-  proveLink("target:lm-desk-1", "freeze");
-  proveLink("target:lm-desk-1", "drop-down");
-  proveLink("target:lm-desk-1", "delay", milliseconds(300));
+  checkLinkFault("target:lm-desk-1", "cut");
+  checkLinkFault("target:lm-desk-1", "freeze");
+  checkLinkFault("target:lm-desk-1", "drop-down");
+  checkLinkFault("target:lm-desk-1", "delay", milliseconds(300));
 }
 
-// Symptom: answers that end early. Sequence: an engine crashes while it
-// decodes, and comes back empty. Cause: its sequences are lost; the other
-// engine continues each after the tokens that its caller has.
+// Failure: responses end early.
+// Sequence: an engine crashes during decode and restarts without state.
+// Cause: its sequences are lost, so the other engine has to continue each after
+// the tokens that the caller has received.
 TEST(StreamFaults, ContinueOnAnotherEngineAfterACrash) {
-  prove(
+  checkFault(
       "engine crash",
       [&] {
         call(m_Fleet.target("lm-desk-1"), "POST", "/control/crash",
@@ -155,24 +165,27 @@
   CHECK_TRUE(metric("entry_continuations_total") > 0);
 }
 
-// Symptom: answers that end early. Sequence: the agent is killed in mid-stream
-// and started again. Cause: held answers die with it, while its engine goes on
-// with sequences that nobody reads.
+// Failure: responses end early.
+// Sequence: an agent is killed during streams and restarted.
+// Cause: the responses that it holds are lost, while its engine continues with
+// sequences that are no longer read.
 TEST(StreamFaults, ContinueElsewhereWhenAnAgentIsKilled) {
-  prove(
+  checkFault(
       "agent kill", [&] { m_Fleet.process("lm-desk-1").kill(); },
       [&] {
         CHECK_TRUE(m_Fleet.process("lm-desk-1").waitForExit(Limit));
         m_Fleet.restart("lm-desk-1");
       });
-  CHECK_TRUE(waitUntil(Limit, [&] { return serving("lm-desk-1"); }));
+  CHECK_TRUE(waitUntil(Limit, [&] { return isServing("lm-desk-1"); }));
 }
 
-// Symptom: one answer's text in another. Sequence: an agent stands still past
-// the heartbeat's limit, the answers go on elsewhere, and it wakes up with
-// frames of the old attempts. Cause: late frames of attempts given up.
+// Failure: a response contains text of another one.
+// Sequence: an agent is stalled for longer than the heartbeat timeout, the
+// responses continue at another engine, and the agent resumes with frames of
+// the old attempts.
+// Cause: late frames of abandoned attempts are accepted.
 TEST(StreamFaults, IgnoreFramesOfAnAgentThatWakesUpLate) {
-  prove(
+  checkFault(
       "agent pause",
       [&] {
         m_Fleet.process("lm-desk-1").pause();
@@ -181,14 +194,16 @@
         m_Fleet.process("lm-desk-1").resume();
       },
       [] {});
-  CHECK_TRUE(waitUntil(Limit, [&] { return serving("lm-desk-1"); }));
+  CHECK_TRUE(waitUntil(Limit, [&] { return isServing("lm-desk-1"); }));
 }
 
-// Symptom: answers that end early. Sequence: an entry stands still for longer
-// than the heartbeat's limit and goes on. Cause: its links are given up by the
-// agents meanwhile; the answers are held there and resumed.
+// Failure: responses end early.
+// Sequence: an entry is stalled for longer than the heartbeat timeout and then
+// resumes.
+// Cause: the agents have closed its links, so the entry has to resume the
+// responses that the agents hold.
 TEST(StreamFaults, ResumeAfterAnEntryStoodStill) {
-  prove(
+  checkFault(
       "entry pause",
       [&] {
         m_Fleet.process("entry-1").pause();
@@ -203,11 +218,12 @@
   CHECK_TRUE(metric("entry_resumes_total") > 0);
 }
 
-// Symptom: as above, all at once. Sequence: one engine crashes, the link to
-// the other's agent is cut for a moment, then delays. Cause: the attempts of a
-// request fail one after another.
+// Failure: as above, with several faults at once.
+// Sequence: one engine crashes, and the link to the other engine's agent is cut
+// for a moment and then delayed.
+// Cause: several attempts of a request fail one after another.
 TEST(StreamFaults, SurviveSeveralFaultsAtOnce) {
-  prove(
+  checkFault(
       "several",
       [&] {
         call(m_Fleet.target("lm-desk-1"), "POST", "/control/crash",
