--- a/Tests/Leaving/LeavingFleet.cpp
+++ b/Tests/Leaving/LeavingFleet.cpp
@@ -1,4 +1,4 @@
-//===- LeavingFleet.cpp - A fleet that a target leaves under load ---------===//
+//===- LeavingFleet.cpp - Fleet for draining under load -------------------===//
 //
 // See LeavingFleet.h.
 //
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-/// Calls that the other targets serve while nothing may come to the one that
-/// leaves.
-static constexpr size_t CallsWithoutNews = 40;
+/// Calls that the other targets must complete without a new request at the
+/// draining target.
+static constexpr size_t CallsWithoutNewRequest = 40;
 
 FleetOptions leavingFleet() {
   FleetOptions Options = smallFleet();
   TargetOptions Engine = Options.Targets[0];
-  // Long streams last under a second, so that many calls fit into a test.
+  // Long streams last less than 1 s, so that a test completes many calls.
   Engine.StandInFlags = {"--decode-step", "4ms", "--prefill-rate", "100000"};
   const TargetOptions Service = Options.Targets[2];
   Options.Targets.clear();
@@ -37,43 +37,45 @@
   return Options;
 }
 
-size_t taken(const Fleet &Of, const std::string &Target) {
-  const json Book = Of.book(Target);
-  if (Book.contains("requests"))
-    return Book["requests"].size();
-  return Book.value("received", size_t(0));
+size_t receivedRequests(const Fleet &TargetFleet, const std::string &Target) {
+  const json Report = TargetFleet.book(Target);
+  if (Report.contains("requests"))
+    return Report["requests"].size();
+  return Report.value("received", size_t(0));
 }
 
-size_t cut(const Fleet &Of, const std::string &Target) {
+size_t interruptedRequests(const Fleet &TargetFleet,
+                           const std::string &Target) {
   size_t Count = 0;
-  const json Book = Of.book(Target);
-  for (const json &Each : Book.value("requests", json::array()))
-    Count += Each["outcome"] != "finished" && Each["outcome"] != "running";
+  const json Report = TargetFleet.book(Target);
+  for (const json &Request : Report.value("requests", json::array()))
+    Count +=
+        Request["outcome"] != "finished" && Request["outcome"] != "running";
   return Count;
 }
 
-std::optional<milliseconds> lastNewWork(const Fleet &Of, MixedCallers &Load,
-                                        const std::string &Target,
-                                        steady_clock::time_point Told,
-                                        size_t Before) {
-  const auto End = Told + 2 * Limit;
-  auto Last = Told;
+std::optional<milliseconds>
+timeToLastRequest(const Fleet &TargetFleet, MixedCallers &Load,
+                  const std::string &Target,
+                  steady_clock::time_point NoticeTime, size_t Before) {
+  const auto End = NoticeTime + 2 * Limit;
+  auto LastChange = NoticeTime;
   while (steady_clock::now() < End) {
-    // Looked at often, so that the time of the last new request is known.
-    size_t Now = Before;
-    bool Quiet = false;
-    for (size_t Calls = 0; Calls < CallsWithoutNews; Calls += 10) {
+    // Checked every ten calls, to bound the time of the last new request.
+    size_t Received = Before;
+    bool Unchanged = false;
+    for (size_t Calls = 0; Calls < CallsWithoutNewRequest; Calls += 10) {
       if (!Load.waitForMore(10, Limit))
         return std::nullopt;
-      Now = taken(Of, Target);
-      Quiet = Now == Before;
-      if (!Quiet)
+      Received = receivedRequests(TargetFleet, Target);
+      Unchanged = Received == Before;
+      if (!Unchanged)
         break;
     }
-    if (Quiet)
-      return std::chrono::duration_cast<milliseconds>(Last - Told);
-    Before = Now;
-    Last = steady_clock::now();
+    if (Unchanged)
+      return std::chrono::duration_cast<milliseconds>(LastChange - NoticeTime);
+    Before = Received;
+    LastChange = steady_clock::now();
   }
   return std::nullopt;
 }
--- a/Tests/Leaving/LeavingFleet.h
+++ b/Tests/Leaving/LeavingFleet.h
@@ -1,7 +1,7 @@
-//===- LeavingFleet.h - A fleet that a target leaves under load -*- C++ -*-===//
+//===- LeavingFleet.h - Fleet for draining under load -----------*- C++ -*-===//
 //
-// Four engines and two services under a mixed load, and the check that a
-// target which was told to leave is given nothing more.
+// Four engines and two services under a mixed load, and a check that a target
+// gets no new requests after it has been told to drain.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,21 +18,23 @@
 inline constexpr std::chrono::seconds Limit{20};
 inline constexpr std::chrono::milliseconds ListLag{500};
 
-/// Streams of up to half a second.
+/// Streams last up to 0.5 s.
 inline constexpr CallerMix LeavingMix{.LongTokens = 80};
 
 FleetOptions leavingFleet();
 
-/// Requests that a target's stand-in has taken, of whatever outcome.
-size_t taken(const Fleet &Of, const std::string &Target);
-/// Requests of an engine whose answer was cut or cancelled.
-size_t cut(const Fleet &Of, const std::string &Target);
-
-/// How long after \p Told the target was given its last new request at most,
-/// seen over a time in which the others served many; empty when it is still
-/// given work at the limit. \p Before: what it had taken when it was told.
-std::optional<std::chrono::milliseconds>
-lastNewWork(const Fleet &Of, MixedCallers &Load, const std::string &Target,
-            std::chrono::steady_clock::time_point Told, size_t Before);
+/// Number of requests that the target's stand-in has received, with any
+/// outcome.
+size_t receivedRequests(const Fleet &TargetFleet, const std::string &Target);
+/// Number of an engine's requests whose response was interrupted or canceled.
+size_t interruptedRequests(const Fleet &TargetFleet, const std::string &Target);
+
+/// Waits until the target gets no new requests while the other targets complete
+/// many. Returns an upper bound of the time from \p NoticeTime to its last new
+/// request, or nothing if it still gets requests after the limit. \p Before:
+/// requests that it had received at \p NoticeTime.
+std::optional<std::chrono::milliseconds> timeToLastRequest(
+    const Fleet &TargetFleet, MixedCallers &Load, const std::string &Target,
+    std::chrono::steady_clock::time_point NoticeTime, size_t Before);
 
 } // namespace figlift::test
--- a/Tests/Leaving/TestOutage.cpp
+++ b/Tests/Leaving/TestOutage.cpp
@@ -1,7 +1,7 @@
 //===- TestOutage.cpp - A long outage of the platform ---------------------===//
 //
-// Requests go on, planned stops stay graceful, an operator can still empty a
-// machine; afterwards everything catches up.
+// During an outage of the platform, requests continue, planned stops are
+// graceful, and an operator can drain a target. Afterwards the fleet recovers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +22,11 @@
 
 namespace {
 
-/// Many times the timeouts below, as a long outage is to the usual ones.
+/// A large multiple of the timeouts below, like a long outage in production.
 constexpr auto OutageTime = 8s;
 constexpr size_t CallsMeasured = 100;
 
-FleetOptions hurriedFleet() {
+FleetOptions shortTimeoutFleet() {
   FleetOptions Options = leavingFleet();
   const json Platform = {{"timeout", "200ms"},
                          {"pollInterval", "200ms"},
@@ -42,61 +42,61 @@
 } // namespace
 
 TEST_GROUP(Outage) {
-  Fleet m_Fleet{hurriedFleet()};
+  Fleet m_Fleet{shortTimeoutFleet()};
 
   void setup() override {
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
   }
 
-  /// Right answers each second, over many calls.
+  /// Correct responses per second over many calls.
   double goodput(MixedCallers & Load) {
     const auto Begin = steady_clock::now();
     CHECK_TRUE(Load.waitForMore(CallsMeasured, 3 * Limit));
-    const std::chrono::duration<double> Took = steady_clock::now() - Begin;
-    return CallsMeasured / Took.count();
+    const std::chrono::duration<double> Elapsed = steady_clock::now() - Begin;
+    return CallsMeasured / Elapsed.count();
   }
 
   std::string stateOf(const std::string &Target) {
     const json Status =
         m_Fleet.getJson(m_Fleet.callers("entry-1"), "/operator/v1/status");
-    for (const json &Each : Status.value("targets", json::array()))
-      if (Each["id"] == Target)
-        return Each["state"];
+    for (const json &Row : Status.value("targets", json::array()))
+      if (Row["id"] == Target)
+        return Row["state"];
     return "";
   }
-  bool reaches(const std::string &Target, const std::string &State) {
+  bool reachesState(const std::string &Target, const std::string &State) {
     return waitUntil(Limit, [&] { return stateOf(Target) == State; });
   }
 };
 
-TEST(Outage, KeepsServingAndStopsGracefullyAndCatchesUp) {
-  // Symptom: requests stop, or a planned stop cuts some, as long as the store
-  // is down; or leftovers of the outage stay after it. Sequence: the platform
-  // is down for many timeouts under load; a target's agent and an entry are
-  // stopped meanwhile. Cause: a step of a request or a stop that needs the
-  // store.
+TEST(Outage, KeepsServingStopsGracefullyAndRecovers) {
+  // Failure: while the store is down, requests stop or a planned stop
+  // interrupts some of them, or effects of the outage remain after it.
+  // Sequence: the platform is down for many timeouts under load, while a
+  // target's agent and an entry are stopped.
+  // Cause: a step of a request or of a stop depends on the store.
   MixedCallers Load(m_Fleet, LeavingMix);
   CHECK_TRUE(Load.waitForMore(50, Limit));
   const double Before = goodput(Load);
   m_Fleet.platformFault("down");
   const auto End = steady_clock::now() + OutageTime;
   double During = goodput(Load);
-  for (const char *Leaving : {"lm-desk-4", "entry-2"}) {
-    m_Fleet.process(Leaving).terminate();
+  for (const char *Stopped : {"lm-desk-4", "entry-2"}) {
+    m_Fleet.process(Stopped).terminate();
     CHECK_EQUAL_TEXT(
-        0, m_Fleet.process(Leaving).waitForExit(2 * Limit).value_or(-1),
-        Leaving);
+        0, m_Fleet.process(Stopped).waitForExit(2 * Limit).value_or(-1),
+        Stopped);
   }
   do
     During = std::min(During, goodput(Load));
   while (steady_clock::now() < End);
   m_Fleet.platformFault("none");
-  for (const char *Back : {"lm-desk-4", "entry-2"})
-    m_Fleet.restart(Back);
-  CHECK_TRUE(reaches("lm-desk-4", "serving"));
+  for (const char *Restarted : {"lm-desk-4", "entry-2"})
+    m_Fleet.restart(Restarted);
+  CHECK_TRUE(reachesState("lm-desk-4", "serving"));
   const double After = goodput(Load);
-  for (const char *Wish : {"drain", "undrain"}) {
-    auto [Code, Output] = m_Fleet.control({Wish, "lm-desk-4", "--wait=20s"});
+  for (const char *Command : {"drain", "undrain"}) {
+    auto [Code, Output] = m_Fleet.control({Command, "lm-desk-4", "--wait=20s"});
     CHECK_EQUAL_TEXT(0, Code, Output.c_str());
   }
   const CallerTally Tally = Load.stop();
@@ -110,79 +110,83 @@
 }
 
 TEST(Outage, LetsAnOperatorEmptyAMachineAllTheSame) {
-  // Symptom: in an outage a machine can't be emptied; or it stays empty for
-  // ever after it. Sequence: drain while the table is down; the table returns;
-  // drain again, then undrain. Cause: a wish that only the table can carry,
-  // or one that no later record takes back.
+  // Failure: a target cannot be drained during an outage, or it stays drained
+  // forever after it.
+  // Sequence: drain while the store is down, then drain and undrain after the
+  // store has been restored.
+  // Cause: the desired state is stored only in the table, or no later record
+  // overrides it.
   MixedCallers Load(m_Fleet, LeavingMix);
-  const bool Begun = Load.waitForMore(30, Limit);
-  CHECK_TEXT(Begun, m_Fleet.logs().c_str());
+  const bool Started = Load.waitForMore(30, Limit);
+  CHECK_TEXT(Started, m_Fleet.logs().c_str());
   m_Fleet.platformFault("down");
-  const size_t Before = taken(m_Fleet, "lm-desk-1");
-  const auto Told = steady_clock::now();
+  const size_t Before = receivedRequests(m_Fleet, "lm-desk-1");
+  const auto NoticeTime = steady_clock::now();
   auto [Code, Output] = m_Fleet.control({"drain", "lm-desk-1"});
   CHECK_EQUAL_TEXT(5, Code, Output.c_str());
   CHECK_TEXT(Output.find("asked to drain all the same") != std::string::npos,
              Output.c_str());
-  CHECK_TRUE(lastNewWork(m_Fleet, Load, "lm-desk-1", Told, Before).has_value());
-  CHECK_TRUE(reaches("lm-desk-1", "drained"));
-  // The operator thinks better of it, twice.
+  CHECK_TRUE(timeToLastRequest(m_Fleet, Load, "lm-desk-1", NoticeTime, Before)
+                 .has_value());
+  CHECK_TRUE(reachesState("lm-desk-1", "drained"));
+  // The operator undrains and drains again.
   m_Fleet.control({"undrain", "lm-desk-1"});
-  CHECK_TRUE(reaches("lm-desk-1", "serving"));
+  CHECK_TRUE(reachesState("lm-desk-1", "serving"));
   m_Fleet.control({"drain", "lm-desk-1"});
-  CHECK_TRUE(reaches("lm-desk-1", "drained"));
+  CHECK_TRUE(reachesState("lm-desk-1", "drained"));
   m_Fleet.platformFault("none");
-  for (const char *Wish : {"drain", "undrain"}) {
-    auto [Recorded, Text] = m_Fleet.control({Wish, "lm-desk-1", "--wait=20s"});
+  for (const char *Command : {"drain", "undrain"}) {
+    auto [Recorded, Text] =
+        m_Fleet.control({Command, "lm-desk-1", "--wait=20s"});
     CHECK_EQUAL_TEXT(0, Recorded, Text.c_str());
   }
-  CHECK_TRUE(reaches("lm-desk-1", "serving"));
+  CHECK_TRUE(reachesState("lm-desk-1", "serving"));
   const CallerTally Tally = Load.stop();
   CHECK_TEXT(Tally.Faults.empty(), Tally.text().c_str());
 }
 
-// Failure: completions that may be repeated end with an unknown outcome, as
-// agents stand still in turn and their links are given up.
-TEST(Outage, LosesNoCompletionWhenAgentsStandStill) {
+// Failure: retryable completions end with an unknown outcome when agents stall
+// in turn and their links are closed.
+TEST(Outage, LosesNoCompletionWhenAgentsStall) {
   MixedCallers Load(m_Fleet, LeavingMix);
   CHECK_TRUE(Load.waitForMore(30, Limit));
   m_Fleet.platformFault("down");
-  for (const char *Each : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-1",
-                           "lm-desk-2", "lm-desk-3"}) {
-    m_Fleet.process(Each).pause();
+  for (const char *Agent : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-1",
+                            "lm-desk-2", "lm-desk-3"}) {
+    m_Fleet.process(Agent).pause();
     CHECK_TRUE(Load.waitForMore(60, Limit));
-    CHECK_TRUE(waitUntil(Limit, [&] { return stateOf(Each) != "serving"; }));
-    m_Fleet.process(Each).resume();
-    CHECK_TRUE(reaches(Each, "serving"));
+    CHECK_TRUE(waitUntil(Limit, [&] { return stateOf(Agent) != "serving"; }));
+    m_Fleet.process(Agent).resume();
+    CHECK_TRUE(reachesState(Agent, "serving"));
   }
   m_Fleet.platformFault("none");
   const CallerTally Tally = Load.stop();
   CHECK_TEXT(Tally.Faults.empty(), Tally.text().c_str());
 }
 
-// Failure: completions that may be repeated end with an unknown outcome, with
-// nearly all of their time left.
-// Sequence: all agents stand still, one after the other, and go on. Cause: the
-// attempts of a request went from one link that was about to be given up to the
-// next, and were used up within a second.
-TEST(Outage, LosesNoCompletionWhenAllAgentsStandStill) {
-  const std::array Engines = {"lm-desk-1", "lm-desk-2", "lm-desk-3",
-                              "lm-desk-4"};
-  const auto Passes = [](milliseconds Time) {
+// Failure: retryable completions end with an unknown outcome long before their
+// deadline.
+// Sequence: all agents stall one after the other and resume.
+// Cause: each attempt of a request is sent over a link that is about to be
+// closed, so that all attempts are used up within 1 s.
+TEST(Outage, LosesNoCompletionWhenAllAgentsStall) {
+  const std::array Agents = {"lm-desk-1", "lm-desk-2", "lm-desk-3",
+                             "lm-desk-4"};
+  const auto WaitFor = [](milliseconds Time) {
     const auto End = steady_clock::now() + Time;
     return waitUntil(Limit, [&] { return steady_clock::now() >= End; });
   };
   MixedCallers Load(m_Fleet, LeavingMix);
   CHECK_TRUE(Load.waitForMore(30, Limit));
   m_Fleet.platformFault("down");
-  for (int Times = 0; Times < 4; ++Times) {
-    for (const char *Each : Engines) {
-      m_Fleet.process(Each).pause();
-      CHECK_TRUE(Passes(300ms));
+  for (int Round = 0; Round < 4; ++Round) {
+    for (const char *Agent : Agents) {
+      m_Fleet.process(Agent).pause();
+      CHECK_TRUE(WaitFor(300ms));
     }
-    CHECK_TRUE(Passes(2200ms));
-    for (const char *Each : Engines)
-      m_Fleet.process(Each).resume();
+    CHECK_TRUE(WaitFor(2200ms));
+    for (const char *Agent : Agents)
+      m_Fleet.process(Agent).resume();
     CHECK_TRUE(Load.waitForMore(30, Limit));
   }
   m_Fleet.platformFault("none");
