--- a/Tests/PlannedChanges/TestGracefulStops.cpp
+++ b/Tests/PlannedChanges/TestGracefulStops.cpp
@@ -1,7 +1,7 @@
 //===- TestGracefulStops.cpp - Every planned stop is graceful -------------===//
 //
-// SIGTERM to an entry and an agent in every phase of their lives: exit status
-// 0 in bounded time, and no request lost.
+// SIGTERM to entries and agents in every phase of their execution. They must
+// exit with status 0 within a time limit and lose no request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// With nothing to wait for.
+/// For a stop without requests in flight.
 constexpr seconds StopLimit{15};
 constexpr seconds Limit{20};
 constexpr unsigned LongTokens = 400;
@@ -43,7 +43,7 @@
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
   }
 
-  void stops(const std::string &Name, const char *Phase) {
+  void checkStop(const std::string &Name, const char *Phase) {
     m_Fleet.process(Name).terminate();
     const std::optional<int> Code =
         m_Fleet.process(Name).waitForExit(StopLimit);
@@ -54,86 +54,89 @@
   }
 };
 
-// Symptom: a process that hangs, crashes or exits with an error when it is
-// stopped. Sequence: the platform's store goes down, every process is stopped,
-// started again without a configuration, and stopped again at once. Cause: a
-// stop that waits for the store, or for parts that never began.
+// Failure: a process hangs, crashes or exits with an error when it is stopped.
+// Sequence: the platform's store goes down. Every process is stopped, restarted
+// without a configuration, and stopped again immediately.
+// Cause: the stop waits for the store or for components that have not started.
 TEST(GracefulStops, WithTheStoreDownAndBeforeAConfiguration) {
   m_Fleet.platformFault("down");
   for (const std::string &Name : m_All)
-    stops(Name, "with the store down");
+    checkStop(Name, "with the store down");
   for (const std::string &Name : m_All)
     m_Fleet.restart(Name);
   for (const std::string &Name : m_All)
-    stops(Name, "before it has a configuration");
+    checkStop(Name, "before it has a configuration");
   m_Fleet.platformFault("none");
   for (const std::string &Name : m_All) {
     m_Fleet.restart(Name);
-    stops(Name, "just started");
+    checkStop(Name, "just started");
   }
 }
 
-// Symptom: as above. Sequence: a store that answers late; a store that takes
-// requests and never answers. Cause: a stop that waits for an answer.
+// Failure: as above.
+// Sequence: the store responds late, or accepts requests and never responds.
+// Cause: the stop waits for a response.
 TEST(GracefulStops, WithASlowOrSilentStore) {
   m_Fleet.platformFault("slow", std::chrono::milliseconds(400));
-  stops("entry-1", "with a slow store");
-  stops("lm-desk-1", "with a slow store");
+  checkStop("entry-1", "with a slow store");
+  checkStop("lm-desk-1", "with a slow store");
   m_Fleet.platformFault("none");
   m_Fleet.link("platform:entry-2", "freeze");
   m_Fleet.link("platform:lm-desk-2", "freeze");
   m_Fleet.link("platform:booking-core-1", "freeze");
-  stops("entry-2", "with a silent store");
-  stops("lm-desk-2", "with a silent store");
-  stops("booking-core-1", "with a silent store");
+  checkStop("entry-2", "with a silent store");
+  checkStop("lm-desk-2", "with a silent store");
+  checkStop("booking-core-1", "with a silent store");
 }
 
-// Symptom: as above. Sequence: an agent starts while its target cannot be
-// reached, and is stopped while it still recovers. Cause: a stop that waits
-// for the recovery.
+// Failure: as above.
+// Sequence: an agent starts while its target is unreachable and is stopped
+// during recovery.
+// Cause: the stop waits for the recovery.
 TEST(GracefulStops, WhileAnAgentRecovers) {
   for (const std::string Target : {"lm-desk-1", "booking-core-1"})
     for (const std::string Mode : {"cut", "freeze"}) {
       m_Fleet.link("target:" + Target, Mode);
-      stops(Target, "while its target cannot be reached");
+      checkStop(Target, "while its target cannot be reached");
       m_Fleet.restart(Target);
-      stops(Target, ("recovering, " + Mode).c_str());
+      checkStop(Target, ("recovering, " + Mode).c_str());
       m_Fleet.link("target:" + Target, "pass");
       m_Fleet.restart(Target);
     }
 }
 
-// Symptom: requests cut by an impatient second SIGTERM. Sequence: each process
-// is told to stop again and again while a stream and a slot hold run through
-// it. Cause: a second signal that ends the process at once.
+// Failure: requests are interrupted by a second SIGTERM.
+// Sequence: each process gets SIGTERM repeatedly while it handles a stream and
+// a slot hold.
+// Cause: a second signal ends the process immediately.
 TEST(GracefulStops, ASecondSignalCutsNothing) {
   const std::string Entry = m_Fleet.callers("entry-1");
   const std::string Key = freshKey();
-  std::atomic<bool> Begun{false};
+  std::atomic<bool> Started{false};
   Answer Stream;
   Answer Hold;
-  std::thread Streaming([&] {
+  std::thread StreamThread([&] {
     Stream = call(Entry, "POST", "/v1/completions",
                   completionBody("desk", "patience", LongTokens), {}, Limit,
-                  [&](size_t) { Begun = true; });
+                  [&](size_t) { Started = true; });
   });
-  std::thread Holding([&] {
+  std::thread HoldThread([&] {
     Hold = call(Entry, "POST", "/v1/services/booking-core/slots/1", "{}",
                 {{"Idempotency-Key", Key}});
   });
-  const bool Runs = waitUntil(Limit, [&] {
-    return Begun && m_Fleet.book("booking-core-1").value("running", 0) == 1;
+  const bool BothRunning = waitUntil(Limit, [&] {
+    return Started && m_Fleet.book("booking-core-1").value("running", 0) == 1;
   });
   for (const std::string &Name : m_All)
-    for (int Times = 0; Times < 3; ++Times)
+    for (int Count = 0; Count < 3; ++Count)
       m_Fleet.process(Name).terminate();
-  Streaming.join();
-  Holding.join();
-  CHECK_TRUE(Runs);
+  StreamThread.join();
+  HoldThread.join();
+  CHECK_TRUE(BothRunning);
   CHECK_TRUE(Stream.streamedToTheEnd());
   CHECK_EQUAL(expectedText("patience", LongTokens), Stream.streamedText());
   CHECK_EQUAL_TEXT(200, Hold.Status, Hold.Body.c_str());
   CHECK_EQUAL(1, m_Fleet.executions(Key));
   for (const std::string &Name : m_All)
-    stops(Name, "signalled again");
+    checkStop(Name, "signalled again");
 }
--- a/Tests/PlannedChanges/TestPlannedChanges.cpp
+++ b/Tests/PlannedChanges/TestPlannedChanges.cpp
@@ -1,8 +1,9 @@
 //===- TestPlannedChanges.cpp - No request is cut by a planned change -----===//
 //
-// Callers keep a mixed load of long and short streams, decisions and slot
-// holds running through two entries while operators change the fleet. Nothing
-// may be broken, wrong or run twice; a refusal must say "not run".
+// Callers send a mixed load of long and short streams, decisions and slot holds
+// through two entries while operators change the fleet. No response may be
+// interrupted or wrong, no request may be executed twice, and a rejection must
+// say "not run".
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,10 +22,10 @@
 namespace {
 
 constexpr seconds Limit{30};
-/// Calls that must end well after each step.
-constexpr size_t CallsBetween = 16;
+/// Calls that must succeed after each step.
+constexpr size_t CallsAfterStep = 16;
 
-/// Three engines in these roles and two services.
+/// A fleet of three engines with \p Roles and two services.
 FleetOptions plannedFleet(const std::vector<std::string> &Roles) {
   FleetOptions Options = smallFleet();
   TargetOptions Third = Options.Targets[1];
@@ -45,7 +46,7 @@
   return Options;
 }
 
-/// The model back end with these roles and models.
+/// Returns the record of the model back end with \p Roles and \p Models.
 std::string modelRecord(const json &Roles, const json &Models) {
   return json{
       {"schemaVersion", 1},
@@ -57,8 +58,8 @@
 
 const json DeskModel = {{{"name", "desk"}, {"version", "1"}}};
 
-struct UnderLoad : Utest {
-  explicit UnderLoad(const std::vector<std::string> &Roles)
+struct LoadedFleet : Utest {
+  explicit LoadedFleet(const std::vector<std::string> &Roles)
       : m_Fleet(plannedFleet(Roles)) {}
 
   Fleet m_Fleet;
@@ -67,7 +68,7 @@
   void setup() override {
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
     CallerMix Mix;
-    // While completions are refused the plain service still has work.
+    // Keeps the service busy while completions are rejected.
     Mix.HoldingThreads = 1;
     m_Callers = std::make_unique<MixedCallers>(m_Fleet, Mix);
     CHECK_TRUE(m_Callers->waitForMore(1, Limit));
@@ -75,15 +76,15 @@
   void teardown() override { m_Callers.reset(); }
 
   json status(const std::string &Target) {
-    json Read = m_Fleet.getJson(m_Fleet.admin(Target), "/status");
-    return Read.is_object() ? Read : json::object();
+    json Status = m_Fleet.getJson(m_Fleet.admin(Target), "/status");
+    return Status.is_object() ? Status : json::object();
   }
   bool hasState(const std::string &Target, const std::string &State) {
     return waitUntil(
         Limit, [&] { return status(Target).value("state", "") == State; });
   }
-  /// So that a change meets work at one of the targets; which of them gets
-  /// work is up to the routing.
+  /// Waits until one of \p Targets has a request in flight, so that a change
+  /// affects running requests. Routing decides which target gets requests.
   bool isAnyBusy(const std::vector<std::string> &Targets) {
     return waitUntil(Limit, [&] {
       return std::ranges::any_of(Targets, [&](const std::string &Target) {
@@ -99,8 +100,8 @@
   void apply(const std::string &Text) {
     control({"apply", "-f", m_Fleet.writeFile("change.json", Text), "--wait"});
   }
-  void goOn(const char *Step) {
-    CHECK_TEXT(m_Callers->waitForMore(CallsBetween, Limit), Step);
+  void waitForCalls(const char *Step) {
+    CHECK_TEXT(m_Callers->waitForMore(CallsAfterStep, Limit), Step);
   }
   void restart(const std::string &Name) {
     m_Fleet.process(Name).terminate();
@@ -109,18 +110,18 @@
     CHECK_EQUAL_TEXT(0, *Code, Name.c_str());
     m_Fleet.restart(Name);
   }
-  void noneWasCut() {
+  void checkNoFaults() {
     const CallerTally Tally = m_Callers->stop();
     UT_PRINT(Tally.text().c_str());
     CHECK_EQUAL_TEXT(0, Tally.Faults.size(), Tally.text().c_str());
   }
 };
 
-struct MixedRoles : UnderLoad {
-  MixedRoles() : UnderLoad({"mixed", "mixed", "mixed"}) {}
+struct MixedRoles : LoadedFleet {
+  MixedRoles() : LoadedFleet({"mixed", "mixed", "mixed"}) {}
 };
-struct SplitRoles : UnderLoad {
-  SplitRoles() : UnderLoad({"mixed", "prefill", "decode"}) {}
+struct SplitRoles : LoadedFleet {
+  SplitRoles() : LoadedFleet({"mixed", "prefill", "decode"}) {}
 };
 
 } // namespace
@@ -128,83 +129,91 @@
 TEST_GROUP_BASE(PlannedChanges, MixedRoles){};
 TEST_GROUP_BASE(PlannedOrders, SplitRoles){};
 
-// Symptom: a stream breaks off, or a hold runs twice, when an operator drains
-// a target. Sequence: drain under load, undrain, for each kind of target.
-// Cause: work that was under way is dropped, or its answer is not waited for.
+// Failure: a stream is interrupted or a hold is executed twice when an operator
+// drains a target.
+// Sequence: drain under load, then undrain, for each kind of target.
+// Cause: requests in flight are dropped, or the drain does not wait for their
+// responses.
 TEST(PlannedChanges, DrainAndUndrain) {
   for (const std::string Target : {"lm-desk-1", "booking-core-1"}) {
     CHECK_TRUE(isBusy(Target));
     control({"drain", Target});
     CHECK_TRUE(hasState(Target, "drained"));
-    goOn("drained");
+    waitForCalls("drained");
     control({"undrain", Target});
     CHECK_TRUE(hasState(Target, "serving"));
-    goOn("undrained");
+    waitForCalls("undrained");
   }
-  noneWasCut();
+  checkNoFaults();
 }
 
-// Symptom: as above. Sequence: a target is retired, its VM leaves the list and
-// its agent is stopped. Cause: as above; besides, its slices need a new home.
+// Failure: as above.
+// Sequence: a target is retired, its VM is removed from the list and its agent
+// is stopped.
+// Cause: as above; in addition, its slices need a new home.
 TEST(PlannedChanges, Retire) {
   for (const std::string Target : {"lm-desk-1", "booking-core-1"}) {
     CHECK_TRUE(isBusy(Target));
     control({"retire", Target});
     CHECK_TRUE(hasState(Target, "drained"));
     m_Fleet.setVmState(Target, "leaving");
-    goOn("leaving");
+    waitForCalls("leaving");
     m_Fleet.process(Target).terminate();
     CHECK_EQUAL(0, m_Fleet.process(Target).waitForExit(Limit).value_or(-1));
     m_Fleet.setVmState(Target, "gone");
-    goOn("gone");
+    waitForCalls("gone");
   }
-  noneWasCut();
+  checkNoFaults();
 }
 
-// Symptom: a running answer breaks off when its record changes. Sequence: the
-// back ends' records are changed, withdrawn and submitted again under load.
-// Cause: what runs was accepted under the old record and keeps it.
+// Failure: a response is interrupted when the record of its back end changes.
+// Sequence: the back ends' records are changed, withdrawn and submitted again
+// under load.
+// Cause: a request in flight does not keep the record under which it was
+// accepted.
 TEST(PlannedChanges, ChangeWithdrawAndSubmitRecords) {
   apply(modelRecord({{"mixed", 2}}, DeskModel));
-  goOn("changed");
+  waitForCalls("changed");
   CHECK_TRUE(isAnyBusy({"lm-desk-1", "lm-desk-2", "lm-desk-3"}));
   control({"withdraw", "backEnd", "lm-desk", "--wait"});
   CHECK_TRUE(isAnyBusy({"booking-core-1", "booking-core-2"}));
   control({"withdraw", "backEnd", "booking-core", "--wait"});
   apply(smallFleet().Records);
-  goOn("submitted again");
-  noneWasCut();
+  waitForCalls("submitted again");
+  checkNoFaults();
 }
 
-// Symptom: streams or holds cut by a restart. Sequence: SIGTERM to each agent
-// in turn while its target works, then a new start. Cause: the agent ends
-// before its last answers have reached the entries.
+// Failure: streams or holds are interrupted by a restart.
+// Sequence: each agent in turn gets SIGTERM while its target is busy, and is
+// started again.
+// Cause: the agent exits before its last responses have reached the entries.
 TEST(PlannedChanges, RestartAgents) {
   for (const std::string Target :
        {"lm-desk-1", "lm-desk-2", "booking-core-1", "booking-core-2"}) {
     CHECK_TRUE(isBusy(Target));
     restart(Target);
     CHECK_TRUE(hasState(Target, "serving"));
-    goOn(Target.c_str());
+    waitForCalls(Target.c_str());
   }
-  noneWasCut();
+  checkNoFaults();
 }
 
-// Symptom: streams cut by the restart of an entry. Sequence: SIGTERM to each
-// entry in turn; callers go to the other one. Cause: the listener closes
-// before the last bytes of every answer have been sent.
+// Failure: streams are interrupted by the restart of an entry.
+// Sequence: each entry in turn gets SIGTERM, and callers use the other one.
+// Cause: the listener closes before the last bytes of every response have been
+// sent.
 TEST(PlannedChanges, RestartEntries) {
   for (const std::string &Entry : m_Fleet.entries()) {
     restart(Entry);
-    goOn(Entry.c_str());
+    waitForCalls(Entry.c_str());
   }
-  noneWasCut();
+  checkNoFaults();
 }
 
-// Symptom: an engine that changes its role cuts its sequences. Sequence: the
-// record asks for mixed engines only, so the planner orders two role changes;
-// then a second model is rolled out. Cause: an order reaches an engine that
-// still runs work.
+// Failure: an engine interrupts its sequences when it changes its role.
+// Sequence: the record requires only mixed engines, so that the planner orders
+// two role changes. Then a second model is rolled out.
+// Cause: an order reaches an engine that still executes requests.
 TEST(PlannedOrders, ChangeRolesAndModels) {
   const std::vector<std::string> Engines{"lm-desk-1", "lm-desk-2", "lm-desk-3"};
   apply(modelRecord({{"mixed", 3}}, DeskModel));
@@ -213,19 +222,19 @@
       return status(Id).value("role", "") == "mixed";
     });
   });
-  goOn("roles");
+  waitForCalls("roles");
   json Models = DeskModel;
   Models.push_back({{"name", "note"}, {"version", "1"}});
   apply(modelRecord({{"mixed", 3}}, Models));
-  // How many engines get it is the planner's choice.
+  // The planner decides how many engines load the model.
   const bool Loaded = waitUntil(Limit, [&] {
     return std::ranges::any_of(Engines, [&](const auto &Id) {
-      const json Known = status(Id).value("models", json::array());
-      return std::ranges::find(Known, "note@1") != Known.end();
+      const json LoadedModels = status(Id).value("models", json::array());
+      return std::ranges::find(LoadedModels, "note@1") != LoadedModels.end();
     });
   });
-  goOn("models");
-  noneWasCut();
+  waitForCalls("models");
+  checkNoFaults();
   CHECK_TRUE(Mixed);
   CHECK_TRUE(Loaded);
 }
