--- a/Tests/FigliftGateway/StandInStore.cpp
+++ b/Tests/FigliftGateway/StandInStore.cpp
@@ -28,10 +28,10 @@
 
 /// Returns the value of \p Name in the query string of \p Target.
 std::string queryValue(const std::string &Target, const std::string &Name) {
-  const size_t At = Target.find(Name + "=");
-  if (At == std::string::npos)
+  const size_t NameStart = Target.find(Name + "=");
+  if (NameStart == std::string::npos)
     return {};
-  const size_t Begin = At + Name.size() + 1;
+  const size_t Begin = NameStart + Name.size() + 1;
   return Target.substr(Begin, Target.find('&', Begin) - Begin);
 }
 
--- a/Tests/FigliftGateway/TestGateway.cpp
+++ b/Tests/FigliftGateway/TestGateway.cpp
@@ -43,7 +43,7 @@
   }
 };
 
-TEST(Gateway, ForwardsARequestAndItsWholeAnswer) {
+TEST(Gateway, ForwardsARequestAndItsCompleteResponse) {
   Listener &Server = Fixture.addServer("s1", "plain", respondWith("body"));
   startServing();
   const std::string Response =
@@ -155,7 +155,7 @@
 
 // Failure: a stream has a gap or a duplicate after the loss of a server.
 // Sequence: the first server fails in the middle of its second event.
-TEST(Gateway, ContinuesAStreamAfterItsLastWholeEvent) {
+TEST(Gateway, ContinuesAStreamAfterItsLastCompleteEvent) {
   std::vector<std::string> LastEventIds;
   const auto Behaviour = [&](const proxy::Request &Request, const Caller &To) {
     LastEventIds.emplace_back(
@@ -355,7 +355,8 @@
 }
 
 // Failure: gateways with a slow link to the store keep an outdated
-// configuration indefinitely.
+// configuration indefinitely, so that moved routes are served as before and new
+// ones are unknown.
 // Sequence: the configuration grows until its transfer takes longer than the
 // timeout of a store call. Each read is aborted, starts again from the first
 // byte and saturates the link, although the store responds and bytes arrive at
--- a/Tests/Leaving/LeavingFleet.cpp
+++ b/Tests/Leaving/DrainingFleet.cpp
@@ -1,10 +1,10 @@
-//===- LeavingFleet.cpp - Fleet for draining under load -------------------===//
+//===- DrainingFleet.cpp - Fleet for draining under load ------------------===//
 //
-// See LeavingFleet.h.
+// See DrainingFleet.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "LeavingFleet.h"
+#include "DrainingFleet.h"
 
 #include "Support/WaitUntil.h"
 
@@ -18,7 +18,7 @@
 /// draining target.
 static constexpr size_t CallsWithoutNewRequest = 40;
 
-FleetOptions leavingFleet() {
+FleetOptions drainingFleet() {
   FleetOptions Options = smallFleet();
   TargetOptions Engine = Options.Targets[0];
   // Long streams last less than 1 s, so that a test completes many calls.
--- a/Tests/Leaving/LeavingFleet.h
+++ b/Tests/Leaving/DrainingFleet.h
@@ -1,7 +1,7 @@
-//===- LeavingFleet.h - Fleet for draining under load -----------*- C++ -*-===//
+//===- DrainingFleet.h - Fleet for draining under load ----------*- C++ -*-===//
 //
 // Four engines and two services under a mixed load, and a check that a target
-// gets no new requests after it has been told to drain.
+// gets no new requests after it has been notified to drain.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +19,9 @@
 inline constexpr std::chrono::milliseconds ListLag{500};
 
 /// Streams last up to 0.5 s.
-inline constexpr CallerMix LeavingMix{.LongTokens = 80};
+inline constexpr CallerMix DrainingMix{.LongTokens = 80};
 
-FleetOptions leavingFleet();
+FleetOptions drainingFleet();
 
 /// Number of requests that the target's stand-in has received, with any
 /// outcome.
--- a/Tests/Leaving/TestNotices.cpp
+++ b/Tests/Leaving/TestNotices.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "LeavingFleet.h"
+#include "DrainingFleet.h"
 
 #include "Support/WaitUntil.h"
 
@@ -24,7 +24,7 @@
 } // namespace
 
 TEST_GROUP(Leaving) {
-  Fleet m_Fleet{leavingFleet()};
+  Fleet m_Fleet{drainingFleet()};
 
   void setup() override {
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
@@ -57,7 +57,7 @@
   /// Applies each kind of notice to a different target and checks all
   /// responses.
   void checkEveryNotice(const char *Condition, bool RetiresService = true) {
-    MixedCallers Load(m_Fleet, LeavingMix);
+    MixedCallers Load(m_Fleet, DrainingMix);
     CHECK_TRUE(Load.waitForMore(30, Limit));
     checkDraining(Load, Condition, "lm-desk-1", "drain", [&] {
       auto [Code, Output] = m_Fleet.control({"drain", "lm-desk-1"});
--- a/Tests/Leaving/TestOutage.cpp
+++ b/Tests/Leaving/TestOutage.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "LeavingFleet.h"
+#include "DrainingFleet.h"
 
 #include "Support/FullService.h"
 #include "Support/WaitUntil.h"
@@ -27,7 +27,7 @@
 constexpr size_t CallsMeasured = 100;
 
 FleetOptions shortTimeoutFleet() {
-  FleetOptions Options = leavingFleet();
+  FleetOptions Options = drainingFleet();
   const json Platform = {{"timeout", "200ms"},
                          {"pollInterval", "200ms"},
                          {"vmListInterval", "200ms"}};
@@ -75,7 +75,7 @@
   // Sequence: the platform is down for many timeouts under load, while a
   // target's agent and an entry are stopped.
   // Cause: a step of a request or of a stop depends on the store.
-  MixedCallers Load(m_Fleet, LeavingMix);
+  MixedCallers Load(m_Fleet, DrainingMix);
   CHECK_TRUE(Load.waitForMore(50, Limit));
   const double Before = goodput(Load);
   m_Fleet.platformFault("down");
@@ -109,14 +109,14 @@
                .c_str());
 }
 
-TEST(Outage, LetsAnOperatorEmptyAMachineAllTheSame) {
+TEST(Outage, LetsAnOperatorDrainATarget) {
   // Failure: a target cannot be drained during an outage, or it stays drained
   // forever after it.
   // Sequence: drain while the store is down, then drain and undrain after the
   // store has been restored.
   // Cause: the desired state is stored only in the table, or no later record
   // overrides it.
-  MixedCallers Load(m_Fleet, LeavingMix);
+  MixedCallers Load(m_Fleet, DrainingMix);
   const bool Started = Load.waitForMore(30, Limit);
   CHECK_TEXT(Started, m_Fleet.logs().c_str());
   m_Fleet.platformFault("down");
@@ -148,7 +148,7 @@
 // Failure: retryable completions end with an unknown outcome when agents stall
 // in turn and their links are closed.
 TEST(Outage, LosesNoCompletionWhenAgentsStall) {
-  MixedCallers Load(m_Fleet, LeavingMix);
+  MixedCallers Load(m_Fleet, DrainingMix);
   CHECK_TRUE(Load.waitForMore(30, Limit));
   m_Fleet.platformFault("down");
   for (const char *Agent : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-1",
@@ -176,7 +176,7 @@
     const auto End = steady_clock::now() + Time;
     return waitUntil(Limit, [&] { return steady_clock::now() >= End; });
   };
-  MixedCallers Load(m_Fleet, LeavingMix);
+  MixedCallers Load(m_Fleet, DrainingMix);
   CHECK_TRUE(Load.waitForMore(30, Limit));
   m_Fleet.platformFault("down");
   for (int Round = 0; Round < 4; ++Round) {
--- a/Tests/PlannedChanges/TestGracefulStops.cpp
+++ b/Tests/PlannedChanges/TestGracefulStops.cpp
@@ -36,8 +36,8 @@
 
 TEST_GROUP(GracefulStops) {
   Fleet m_Fleet{stopFleet()};
-  std::vector<std::string> m_All{"entry-1", "entry-2", "lm-desk-1", "lm-desk-2",
-                                 "booking-core-1"};
+  std::vector<std::string> m_ProcessNames{"entry-1", "entry-2", "lm-desk-1",
+                                          "lm-desk-2", "booking-core-1"};
 
   void setup() override {
     CHECK_TEXT(m_Fleet.ready(), m_Fleet.problem().c_str());
@@ -60,14 +60,14 @@
 // Cause: the stop waits for the store or for components that have not started.
 TEST(GracefulStops, WithTheStoreDownAndBeforeAConfiguration) {
   m_Fleet.platformFault("down");
-  for (const std::string &Name : m_All)
+  for (const std::string &Name : m_ProcessNames)
     checkStop(Name, "with the store down");
-  for (const std::string &Name : m_All)
+  for (const std::string &Name : m_ProcessNames)
     m_Fleet.restart(Name);
-  for (const std::string &Name : m_All)
+  for (const std::string &Name : m_ProcessNames)
     checkStop(Name, "before it has a configuration");
   m_Fleet.platformFault("none");
-  for (const std::string &Name : m_All) {
+  for (const std::string &Name : m_ProcessNames) {
     m_Fleet.restart(Name);
     checkStop(Name, "just started");
   }
@@ -109,7 +109,7 @@
 // Sequence: each process gets SIGTERM repeatedly while it handles a stream and
 // a slot hold.
 // Cause: a second signal ends the process immediately.
-TEST(GracefulStops, ASecondSignalCutsNothing) {
+TEST(GracefulStops, ASecondSignalInterruptsNothing) {
   const std::string Entry = m_Fleet.callers("entry-1");
   const std::string Key = freshKey();
   std::atomic<bool> Started{false};
@@ -127,7 +127,7 @@
   const bool BothRunning = waitUntil(Limit, [&] {
     return Started && m_Fleet.book("booking-core-1").value("running", 0) == 1;
   });
-  for (const std::string &Name : m_All)
+  for (const std::string &Name : m_ProcessNames)
     for (int Count = 0; Count < 3; ++Count)
       m_Fleet.process(Name).terminate();
   StreamThread.join();
@@ -137,6 +137,6 @@
   CHECK_EQUAL(expectedText("patience", LongTokens), Stream.streamedText());
   CHECK_EQUAL_TEXT(200, Hold.Status, Hold.Body.c_str());
   CHECK_EQUAL(1, m_Fleet.executions(Key));
-  for (const std::string &Name : m_All)
+  for (const std::string &Name : m_ProcessNames)
     checkStop(Name, "signalled again");
 }
--- a/Tests/PlannedChanges/TestPlannedChanges.cpp
+++ b/Tests/PlannedChanges/TestPlannedChanges.cpp
@@ -1,4 +1,4 @@
-//===- TestPlannedChanges.cpp - No request is cut by a planned change -----===//
+//===- TestPlannedChanges.cpp - Requests survive planned changes ----------===//
 //
 // Callers send a mixed load of long and short streams, decisions and slot holds
 // through two entries while operators change the fleet. No response may be
--- a/Tests/WholeAnswers/TestStreamFaults.cpp
+++ b/Tests/WholeAnswers/TestStreamFaults.cpp
@@ -184,7 +184,7 @@
 // responses continue at another engine, and the agent resumes with frames of
 // the old attempts.
 // Cause: late frames of abandoned attempts are accepted.
-TEST(StreamFaults, IgnoreFramesOfAnAgentThatWakesUpLate) {
+TEST(StreamFaults, IgnoreLateFramesOfAStalledAgent) {
   checkFault(
       "agent pause",
       [&] {
@@ -202,7 +202,7 @@
 // resumes.
 // Cause: the agents have closed its links, so the entry has to resume the
 // responses that the agents hold.
-TEST(StreamFaults, ResumeAfterAnEntryStoodStill) {
+TEST(StreamFaults, ResumeAfterAnEntryStalled) {
   checkFault(
       "entry pause",
       [&] {
