--- a/Libraries/LibWire/Acceptor.cpp
+++ b/Libraries/LibWire/Acceptor.cpp
@@ -1,6 +1,6 @@
 //===- Acceptor.cpp - The listening socket of a server --------------------===//
 //
-// Runs on the first loop of the server.
+// Polled by the first I/O loop of the server.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,14 +16,13 @@
 namespace figlift::wire {
 
 namespace {
-constexpr std::chrono::milliseconds PauseWithoutDescriptors{100};
-constexpr int AcceptsPerTurn = 64;
+constexpr std::chrono::milliseconds AcceptPause{100};
+constexpr int AcceptsPerEvent = 64;
 } // namespace
 
 Acceptor::Acceptor(int Socket, std::vector<std::weak_ptr<Loop>> Loops,
-                   std::shared_ptr<ServerState> Shared)
-    : m_Socket(Socket), m_Loops(std::move(Loops)), m_Shared(std::move(Shared)) {
-}
+                   std::shared_ptr<ServerState> State)
+    : m_Socket(Socket), m_Loops(std::move(Loops)), m_State(std::move(State)) {}
 
 Acceptor::~Acceptor() { onLoopStop(); }
 
@@ -33,54 +32,55 @@
 }
 
 void Acceptor::onReady(uint32_t) {
-  for (int Turn = 0; Turn < AcceptsPerTurn; ++Turn) {
-    int Accepted =
+  for (int I = 0; I < AcceptsPerEvent; ++I) {
+    int AcceptedSocket =
         ::accept4(m_Socket, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (Accepted >= 0) {
-      admit(Accepted);
+    if (AcceptedSocket >= 0) {
+      dispatchConnection(AcceptedSocket);
       continue;
     }
-    // Out of descriptors: the connection stays in the queue and epoll would
-    // report it again at once, which spins the thread.
+    // Without free descriptors the connection stays in the accept queue, and
+    // epoll would report it again at once, which makes the thread spin.
     if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS ||
         errno == ENOMEM)
-      pause();
+      pauseAccepting();
     if (errno != ECONNABORTED && errno != EINTR)
       return;
   }
 }
 
-void Acceptor::admit(int Accepted) {
-  // While draining the port stays taken, so that no successor serves beside
-  // this process, but a peer gains nothing from a connection that must refuse
-  // all its streams.
-  bool Full = ++m_Shared->Connections > m_Shared->Options.MaximumConnections;
-  if (Full || m_Shared->Draining.load()) {
-    --m_Shared->Connections;
-    ::close(Accepted);
+void Acceptor::dispatchConnection(int AcceptedSocket) {
+  // While draining, the socket keeps listening so that no successor can serve
+  // on the port beside this process. New connections are closed, because all
+  // their streams would be refused.
+  bool Full = ++m_State->Connections > m_State->Options.MaximumConnections;
+  if (Full || m_State->Draining.load()) {
+    --m_State->Connections;
+    ::close(AcceptedSocket);
     return;
   }
-  sendPromptly(Accepted);
-  auto Target = m_Loops[m_Next++ % m_Loops.size()].lock();
-  bool Posted = Target && Target->post([Target, Accepted, Shared = m_Shared] {
-    ServerConnection::start(Target, Accepted, Shared);
-  });
+  configureLowLatency(AcceptedSocket);
+  auto TargetLoop = m_Loops[m_NextLoop++ % m_Loops.size()].lock();
+  bool Posted = TargetLoop &&
+                TargetLoop->post([TargetLoop, AcceptedSocket, State = m_State] {
+                  ServerConnection::start(TargetLoop, AcceptedSocket, State);
+                });
   if (!Posted) {
-    --m_Shared->Connections;
-    ::close(Accepted);
+    --m_State->Connections;
+    ::close(AcceptedSocket);
   }
 }
 
-void Acceptor::pause() {
-  auto Home = m_Loops.front().lock();
-  if (!Home)
+void Acceptor::pauseAccepting() {
+  auto FirstLoop = m_Loops.front().lock();
+  if (!FirstLoop)
     return;
-  Home->modify(m_Socket, 0);
-  Home->after(PauseWithoutDescriptors, [Weak = weak_from_this()] {
+  FirstLoop->modify(m_Socket, 0);
+  FirstLoop->after(AcceptPause, [Weak = weak_from_this()] {
     auto Self = Weak.lock();
-    auto Home = Self ? Self->m_Loops.front().lock() : nullptr;
-    if (Home)
-      Home->modify(Self->m_Socket, EPOLLIN);
+    auto FirstLoop = Self ? Self->m_Loops.front().lock() : nullptr;
+    if (FirstLoop)
+      FirstLoop->modify(Self->m_Socket, EPOLLIN);
   });
 }
 
--- a/Libraries/LibWire/Acceptor.h
+++ b/Libraries/LibWire/Acceptor.h
@@ -1,6 +1,6 @@
 //===- Acceptor.h - The listening socket of a server ------------*- C++ -*-===//
 //
-// Accepts within the bound on connections and deals sockets out to the loops.
+// Accepts connections up to the limit and distributes them over the I/O loops.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,9 +15,9 @@
 class Acceptor final : public Pollable,
                        public std::enable_shared_from_this<Acceptor> {
 public:
-  /// Takes over the listening \p Socket; \p Loops[0] runs it.
+  /// Takes ownership of the listening \p Socket, which \p Loops[0] polls.
   Acceptor(int Socket, std::vector<std::weak_ptr<Loop>> Loops,
-           std::shared_ptr<ServerState> Shared);
+           std::shared_ptr<ServerState> State);
   ~Acceptor() override;
   Acceptor(const Acceptor &) = delete;
   Acceptor &operator=(const Acceptor &) = delete;
@@ -26,13 +26,13 @@
   void onLoopStop() override;
 
 private:
-  void admit(int Accepted);
-  void pause();
+  void dispatchConnection(int AcceptedSocket);
+  void pauseAccepting();
 
   int m_Socket;
   const std::vector<std::weak_ptr<Loop>> m_Loops;
-  const std::shared_ptr<ServerState> m_Shared;
-  size_t m_Next = 0;
+  const std::shared_ptr<ServerState> m_State;
+  size_t m_NextLoop = 0;
 };
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/ClientConnection.cpp
+++ b/Libraries/LibWire/ClientConnection.cpp
@@ -1,6 +1,7 @@
 //===- ClientConnection.cpp - One connection of a channel -----------------===//
 //
-// Opens streams and judges, when one ends, what the peer can have seen of it.
+// Opens streams and determines, when one ends, whether the peer may have
+// processed it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,9 +15,9 @@
 namespace figlift::wire {
 
 namespace {
-constexpr size_t HeaderBytesPerAnswer = 8u << 10;
-/// Ids run up to 2^31; a connection is replaced well before.
-constexpr int32_t LastUsedStreamId = 1 << 30;
+constexpr size_t HeaderBytesPerResponse = 8u << 10;
+/// Stream ids end at 2^31; the connection is replaced well before that.
+constexpr int32_t MaximumStreamId = 1 << 30;
 
 nghttp2_nv header(std::string_view Name, std::string_view Value) {
   auto Raw = [](std::string_view Text) {
@@ -27,84 +28,88 @@
 }
 } // namespace
 
-ClientConnection::ClientConnection(std::shared_ptr<Loop> Owner, int Socket,
-                                   ConnectionOptions Options,
-                                   std::shared_ptr<Traffic> Counter,
-                                   std::weak_ptr<ConnectionOwner> Channel)
-    : Connection(std::move(Owner), Socket, Options, std::move(Counter)),
+ClientConnection::ClientConnection(
+    std::shared_ptr<Loop> Owner, int Socket, ConnectionOptions Options,
+    std::shared_ptr<TrafficCounters> Counters,
+    std::weak_ptr<ClientConnectionListener> Channel)
+    : Connection(std::move(Owner), Socket, Options, std::move(Counters)),
       m_Channel(std::move(Channel)) {}
 
 std::shared_ptr<ClientConnection> ClientConnection::start(
     const std::shared_ptr<Loop> &Owner, const Endpoint &Peer,
     std::chrono::milliseconds ConnectTimeout, ConnectionOptions Options,
-    std::shared_ptr<Traffic> Counter, std::weak_ptr<ConnectionOwner> Channel) {
+    std::shared_ptr<TrafficCounters> Counters,
+    std::weak_ptr<ClientConnectionListener> Channel) {
   auto Socket = startConnect(Peer);
   if (!Socket)
     return nullptr;
-  std::shared_ptr<ClientConnection> Made(new ClientConnection(
-      Owner, Socket.value(), Options, std::move(Counter), std::move(Channel)));
-  if (!Owner->add(Socket.value(), EPOLLOUT, Made))
+  std::shared_ptr<ClientConnection> Created(new ClientConnection(
+      Owner, Socket.value(), Options, std::move(Counters), std::move(Channel)));
+  if (!Owner->add(Socket.value(), EPOLLOUT, Created))
     return nullptr;
-  Owner->after(ConnectTimeout, [Weak = std::weak_ptr<ClientConnection>(Made)] {
-    if (auto Self = Weak.lock(); Self && !Self->m_Up)
-      Self->close();
-  });
-  return Made;
+  Owner->after(ConnectTimeout,
+               [Weak = std::weak_ptr<ClientConnection>(Created)] {
+                 if (auto Self = Weak.lock(); Self && !Self->m_Up)
+                   Self->close();
+               });
+  return Created;
 }
 
 void ClientConnection::onConnected() {
-  if (m_TcpUp || closed())
+  if (m_TcpConnected || closed())
     return;
   if (!connectSucceeded(socket()) || !startSession(Side::Client, 0))
     return close();
-  m_TcpUp = true;
+  m_TcpConnected = true;
   loop()->modify(socket(), EPOLLIN);
-  watchHeartbeat();
+  checkHeartbeat();
 }
 
-bool ClientConnection::open(const std::shared_ptr<Http2Stream> &Added,
-                            Method What) {
+bool ClientConnection::open(const std::shared_ptr<Http2Stream> &NewStream,
+                            Method RequestMethod) {
   if (!usable())
     return false;
   static constexpr std::string_view Authority = "figlift";
-  const nghttp2_nv Headers[] = {
-      header(":method", "POST"), header(":scheme", "http"),
-      header(":authority", Authority), header(":path", pathOf(What))};
-  auto Data = dataOf(*Added);
+  const nghttp2_nv Headers[] = {header(":method", "POST"),
+                                header(":scheme", "http"),
+                                header(":authority", Authority),
+                                header(":path", methodPath(RequestMethod))};
+  auto Data = dataProvider(*NewStream);
   int32_t Id = nghttp2_submit_request(session(), nullptr, Headers,
                                       std::size(Headers), &Data, nullptr);
   if (Id < 0) {
-    retire();
+    stopOpeningStreams();
     return false;
   }
-  Added->CarriesRequest = carriesRequest(What);
-  addStream(Added, Id);
+  NewStream->CarriesRequest = carriesRequest(RequestMethod);
+  addStream(NewStream, Id);
   flushSoon();
-  if (Id >= LastUsedStreamId)
-    retire();
+  if (Id >= MaximumStreamId)
+    stopOpeningStreams();
   return true;
 }
 
-void ClientConnection::outputReady(Http2Stream &Which) {
-  if (!Which.Deferred)
+void ClientConnection::outputReady(Http2Stream &Stream) {
+  if (!Stream.Deferred)
     return;
-  Which.Deferred = false;
-  nghttp2_session_resume_data(session(), Which.Id);
+  Stream.Deferred = false;
+  nghttp2_session_resume_data(session(), Stream.Id);
   flushSoon();
 }
 
 bool ClientConnection::onFrame(const nghttp2_frame &Frame) {
   switch (Frame.hd.type) {
   case NGHTTP2_SETTINGS:
-    // TCP alone proves nothing: the kernel accepts for a paused process, too.
+    // A TCP connection alone is no proof of a live peer: the kernel also
+    // accepts connections for a paused process.
     if (!m_Up && !(Frame.hd.flags & NGHTTP2_FLAG_ACK)) {
       m_Up = true;
       if (auto Owner = m_Channel.lock())
-        Owner->onUp(*this);
+        Owner->onConnectionUp(*this);
     }
     return true;
   case NGHTTP2_GOAWAY:
-    goAway();
+    markGoingAway();
     return true;
   case NGHTTP2_HEADERS:
     m_HeaderBytes = 0;
@@ -118,54 +123,58 @@
   }
 }
 
-void ClientConnection::retire() {
-  // With a GOAWAY of our own the connection closes after its last stream.
+void ClientConnection::stopOpeningStreams() {
+  // Once this side has sent GOAWAY, the connection closes after its last
+  // stream.
   nghttp2_submit_goaway(session(), NGHTTP2_FLAG_NONE, 0, NGHTTP2_NO_ERROR,
                         nullptr, 0);
-  goAway();
+  markGoingAway();
 }
 
-void ClientConnection::goAway() {
+void ClientConnection::markGoingAway() {
   if (std::exchange(m_GoingAway, true))
     return;
   flushSoon();
   if (auto Owner = m_Channel.lock())
-    Owner->onGoingAway(*this);
+    Owner->onConnectionGoingAway(*this);
 }
 
 void ClientConnection::onPeerEnd(int32_t Id) {
-  auto Ended = findStream(Id);
-  if (!Ended || Ended->ended())
+  auto Stream = findStream(Id);
+  if (!Stream || Stream->ended())
     return;
-  // An end inside a message is no good end: the rest is missing.
-  if (Ended->insideMessage()) {
-    resetStream(*Ended, NGHTTP2_PROTOCOL_ERROR);
+  // END_STREAM inside a message means that the message is truncated.
+  if (Stream->hasPartialMessage()) {
+    resetStream(*Stream, NGHTTP2_PROTOCOL_ERROR);
     return;
   }
-  Ended->FinishWanted = true;
-  Ended->end(StreamEnd::Finished);
-  outputReady(*Ended);
+  Stream->FinishRequested = true;
+  Stream->end(StreamEnd::Finished);
+  outputReady(*Stream);
 }
 
 bool ClientConnection::onHeader(const nghttp2_frame &, std::string_view Name,
                                 std::string_view Value) {
   m_HeaderBytes += Name.size() + Value.size();
-  return m_HeaderBytes <= HeaderBytesPerAnswer;
+  return m_HeaderBytes <= HeaderBytesPerResponse;
 }
 
-StreamEnd ClientConnection::endOf(const Http2Stream &Which, uint32_t Code) {
+StreamEnd ClientConnection::closedStreamOutcome(const Http2Stream &Stream,
+                                                uint32_t Code) {
   if (Code == NGHTTP2_NO_ERROR)
-    return Which.insideMessage() ? StreamEnd::ResetByPeer : StreamEnd::Finished;
-  if (Code != NGHTTP2_REFUSED_STREAM || Which.GotMessage)
+    return Stream.hasPartialMessage() ? StreamEnd::ResetByPeer
+                                      : StreamEnd::Finished;
+  if (Code != NGHTTP2_REFUSED_STREAM || Stream.ReceivedMessage)
     return StreamEnd::ResetByPeer;
-  return Which.HeadersAt == std::numeric_limits<uint64_t>::max()
+  return Stream.HeadersOffset == std::numeric_limits<uint64_t>::max()
              ? StreamEnd::NeverSent
              : StreamEnd::ProvablyNotProcessed;
 }
 
-StreamEnd ClientConnection::endOfLost(const Http2Stream &Which) {
-  // HEADERS that begin behind what the kernel took never left the process.
-  if (Which.HeadersAt >= m_Written)
+StreamEnd ClientConnection::lostStreamOutcome(const Http2Stream &Stream) {
+  // HEADERS that start beyond the bytes accepted by the kernel never left the
+  // process.
+  if (Stream.HeadersOffset >= m_WrittenBytes)
     return StreamEnd::NeverSent;
   return m_Cancelling || m_Stopping ? StreamEnd::Cancelled
                                     : StreamEnd::ConnectionLost;
@@ -173,9 +182,9 @@
 
 void ClientConnection::cancelAll() {
   m_Cancelling = true;
-  forEachStream([this](Http2Stream &Each) {
-    if (!Each.ended())
-      resetStream(Each, NGHTTP2_CANCEL);
+  forEachStream([this](Http2Stream &Stream) {
+    if (!Stream.ended())
+      resetStream(Stream, NGHTTP2_CANCEL);
   });
   flush();
   close();
@@ -183,7 +192,7 @@
 
 void ClientConnection::onClosed() {
   if (auto Owner = m_Channel.lock())
-    Owner->onGone(*this);
+    Owner->onConnectionClosed(*this);
 }
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/ClientConnection.h
+++ b/Libraries/LibWire/ClientConnection.h
@@ -1,6 +1,6 @@
 //===- ClientConnection.h - One connection of a channel ---------*- C++ -*-===//
 //
-// Lives from connect() to its close; the channel makes the next one.
+// Exists from connect() until it closes; the channel creates its successor.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,55 +12,59 @@
 
 class ClientConnection;
 
-/// What a connection tells its channel; on the I/O thread.
-class ConnectionOwner {
+/// Receives the events of a client connection, on its I/O thread.
+class ClientConnectionListener {
 public:
-  virtual ~ConnectionOwner() = default;
+  virtual ~ClientConnectionListener() = default;
   /// Both sides have exchanged SETTINGS: streams may be opened.
-  virtual void onUp(ClientConnection &Which) = 0;
-  /// GOAWAY came: open streams go on, new ones need another connection.
-  virtual void onGoingAway(ClientConnection &Which) = 0;
-  virtual void onGone(ClientConnection &Which) = 0;
+  virtual void onConnectionUp(ClientConnection &Source) = 0;
+  /// GOAWAY was received or sent: open streams continue, new ones need
+  /// another connection.
+  virtual void onConnectionGoingAway(ClientConnection &Source) = 0;
+  virtual void onConnectionClosed(ClientConnection &Source) = 0;
 };
 
 class ClientConnection final : public Connection {
 public:
-  /// Starts to connect; null when not even that can be done.
+  /// Starts to connect; null when the attempt cannot be started.
   static std::shared_ptr<ClientConnection>
   start(const std::shared_ptr<Loop> &Owner, const Endpoint &Peer,
         std::chrono::milliseconds ConnectTimeout, ConnectionOptions Options,
-        std::shared_ptr<Traffic> Counter,
-        std::weak_ptr<ConnectionOwner> Channel);
+        std::shared_ptr<TrafficCounters> Counters,
+        std::weak_ptr<ClientConnectionListener> Channel);
 
   /// Sends HEADERS and the stream's queued output; false when the connection
-  /// takes no new streams.
-  bool open(const std::shared_ptr<Http2Stream> &Added, Method What);
+  /// accepts no new streams.
+  bool open(const std::shared_ptr<Http2Stream> &NewStream,
+            Method RequestMethod);
   bool usable() const { return m_Up && !m_GoingAway && !closed(); }
-  /// It was up at some time.
-  bool usableOnce() const { return m_Up; }
+  /// Whether SETTINGS were exchanged at some time.
+  bool wasUp() const { return m_Up; }
   /// Ends all streams as Cancelled.
   void cancelAll();
 
-  void outputReady(Http2Stream &Which) override;
+  void outputReady(Http2Stream &Source) override;
 
 private:
   ClientConnection(std::shared_ptr<Loop> Owner, int Socket,
-                   ConnectionOptions Options, std::shared_ptr<Traffic> Counter,
-                   std::weak_ptr<ConnectionOwner> Channel);
+                   ConnectionOptions Options,
+                   std::shared_ptr<TrafficCounters> Counters,
+                   std::weak_ptr<ClientConnectionListener> Channel);
   void onConnected() override;
   bool onFrame(const nghttp2_frame &Frame) override;
   bool onHeader(const nghttp2_frame &Frame, std::string_view Name,
                 std::string_view Value) override;
-  StreamEnd endOf(const Http2Stream &Which, uint32_t Code) override;
-  StreamEnd endOfLost(const Http2Stream &Which) override;
+  StreamEnd closedStreamOutcome(const Http2Stream &Source,
+                                uint32_t Code) override;
+  StreamEnd lostStreamOutcome(const Http2Stream &Source) override;
   void onClosed() override;
   void onPeerEnd(int32_t Id);
-  /// Gives the connection up for new streams.
-  void retire();
-  void goAway();
+  /// Stops opening streams on this connection and sends GOAWAY.
+  void stopOpeningStreams();
+  void markGoingAway();
 
-  const std::weak_ptr<ConnectionOwner> m_Channel;
-  bool m_TcpUp = false;
+  const std::weak_ptr<ClientConnectionListener> m_Channel;
+  bool m_TcpConnected = false;
   bool m_Up = false;
   bool m_GoingAway = false;
   bool m_Cancelling = false;
--- a/Libraries/LibWire/Http2Channel.cpp
+++ b/Libraries/LibWire/Http2Channel.cpp
@@ -1,6 +1,6 @@
-//===- Http2Channel.cpp - A connection that restores itself ---------------===//
+//===- Http2Channel.cpp - Channel that reconnects by itself ---------------===//
 //
-// Reconnects, and tells the listener of the channel's state.
+// Reconnects with backoff and reports the channel's state to its listener.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,54 +12,55 @@
 
 Http2Channel::Http2Channel(std::shared_ptr<Loop> Owner, Endpoint Peer,
                            const ClientOptions &Options, uint64_t Seed,
-                           std::shared_ptr<Traffic> Counter,
+                           std::shared_ptr<TrafficCounters> Counters,
                            std::shared_ptr<ChannelListener> Listener)
     : m_Loop(std::move(Owner)), m_Peer(std::move(Peer)), m_Options(Options),
-      m_Traffic(std::move(Counter)), m_Listener(std::move(Listener)),
+      m_Counters(std::move(Counters)), m_Listener(std::move(Listener)),
       m_Random(Seed) {}
 
 Http2Channel::~Http2Channel() {
-  // The loop holds the connections, too: without this they would stay open,
-  // heartbeats and all, until the client ends.
+  // The loop also holds the connections: without this they would stay open,
+  // with heartbeats, until the client is destroyed.
   if (m_Current)
-    m_Leaving.push_back(std::move(m_Current));
-  if (!m_Leaving.empty())
-    m_Loop->post([Left = std::move(m_Leaving)] {
-      for (const auto &Each : Left)
-        Each->cancelAll();
+    m_GoingAway.push_back(std::move(m_Current));
+  if (!m_GoingAway.empty())
+    m_Loop->post([Connections = std::move(m_GoingAway)] {
+      for (const auto &Connection : Connections)
+        Connection->cancelAll();
     });
 }
 
 std::shared_ptr<Stream>
-Http2Channel::open(Method What, std::string FirstMessage,
+Http2Channel::open(Method RequestMethod, std::string FirstMessage,
                    std::shared_ptr<StreamListener> Listener, bool HalfClose) {
   StreamLimits Limits{m_Options.MaximumMessageBytes,
                       m_Options.MaximumQueuedBytesPerStream};
-  auto Added = std::make_shared<Http2Stream>(m_Loop, Limits, Listener);
-  bool Fits = Added->reserve(FirstMessage.size());
+  auto NewStream = std::make_shared<Http2Stream>(m_Loop, Limits, Listener);
+  bool Fits = NewStream->reserve(FirstMessage.size());
   if (Fits)
-    Added->append(FirstMessage);
+    NewStream->append(FirstMessage);
   if (HalfClose)
-    Added->finishAfterOutput();
-  bool Posted = m_Loop->post([Self = shared_from_this(), Added, What, Fits] {
-    if (Fits)
-      Self->openOnLoop(Added, What);
-    else
-      Added->end(StreamEnd::NeverSent);
-  });
+    NewStream->finishAfterOutput();
+  bool Posted =
+      m_Loop->post([Self = shared_from_this(), NewStream, RequestMethod, Fits] {
+        if (Fits)
+          Self->openOnLoop(NewStream, RequestMethod);
+        else
+          NewStream->end(StreamEnd::NeverSent);
+      });
   if (!Posted)
-    Added->end(StreamEnd::NeverSent);
-  return Added;
+    NewStream->end(StreamEnd::NeverSent);
+  return NewStream;
 }
 
-void Http2Channel::openOnLoop(const std::shared_ptr<Http2Stream> &Added,
-                              Method What) {
-  if (!m_Current || !m_Current->open(Added, What))
-    Added->end(StreamEnd::NeverSent);
+void Http2Channel::openOnLoop(const std::shared_ptr<Http2Stream> &NewStream,
+                              Method RequestMethod) {
+  if (!m_Current || !m_Current->open(NewStream, RequestMethod))
+    NewStream->end(StreamEnd::NeverSent);
 }
 
 void Http2Channel::start() {
-  m_Loop->post([Self = shared_from_this()] { Self->connectNow(); });
+  m_Loop->post([Self = shared_from_this()] { Self->connect(); });
 }
 
 void Http2Channel::close() {
@@ -69,16 +70,16 @@
 void Http2Channel::closeOnLoop() {
   if (std::exchange(m_Closed, true))
     return;
-  auto Leaving = std::exchange(m_Leaving, {});
+  auto Connections = std::exchange(m_GoingAway, {});
   if (auto Current = std::exchange(m_Current, nullptr))
-    Leaving.push_back(std::move(Current));
-  for (auto &Each : Leaving)
-    Each->cancelAll();
-  changeState();
+    Connections.push_back(std::move(Current));
+  for (auto &Connection : Connections)
+    Connection->cancelAll();
+  updateState();
   m_Listener.reset();
 }
 
-void Http2Channel::connectNow() {
+void Http2Channel::connect() {
   if (m_Closed || m_Current)
     return;
   ++m_Attempts;
@@ -87,79 +88,80 @@
       m_Options.HeartbeatTimeout,
       {m_Options.MaximumMessageBytes, m_Options.MaximumQueuedBytesPerStream}};
   m_Current = ClientConnection::start(m_Loop, m_Peer, m_Options.ConnectTimeout,
-                                      Options, m_Traffic, weak_from_this());
+                                      Options, m_Counters, weak_from_this());
   if (m_Current)
     return;
-  m_Tried = true;
-  changeState();
-  connectLater();
+  m_AttemptFinished = true;
+  updateState();
+  scheduleReconnect();
 }
 
 LoopClock::duration Http2Channel::backoff() {
-  // Half of the delay is random: after a restart of the peer its channels
-  // would otherwise come back all at the same instant, again and again.
-  auto Full =
+  // Half of the delay is random. After a restart of the peer its channels would
+  // otherwise reconnect in lockstep on every attempt.
+  auto Delay =
       m_Options.ReconnectMinimum * (int64_t{1} << std::min(m_Attempts, 16u));
-  Full = std::min(Full, m_Options.ReconnectMaximum);
-  std::uniform_real_distribution<double> Share(0.5, 1.0);
-  return std::chrono::duration_cast<LoopClock::duration>(Full *
-                                                         Share(m_Random));
+  Delay = std::min(Delay, m_Options.ReconnectMaximum);
+  std::uniform_real_distribution<double> Fraction(0.5, 1.0);
+  return std::chrono::duration_cast<LoopClock::duration>(Delay *
+                                                         Fraction(m_Random));
 }
 
-void Http2Channel::connectLater() {
+void Http2Channel::scheduleReconnect() {
   if (m_Closed)
     return;
   m_Loop->after(backoff(), [Weak = weak_from_this()] {
     if (auto Self = Weak.lock())
-      Self->connectNow();
+      Self->connect();
   });
 }
 
-void Http2Channel::onUp(ClientConnection &Which) {
-  if (&Which != m_Current.get())
+void Http2Channel::onConnectionUp(ClientConnection &Source) {
+  if (&Source != m_Current.get())
     return;
-  m_Tried = true;
-  m_UpSince = LoopClock::now();
-  changeState();
+  m_AttemptFinished = true;
+  m_ConnectedAt = LoopClock::now();
+  updateState();
 }
 
-void Http2Channel::onGoingAway(ClientConnection &Which) {
-  if (&Which != m_Current.get())
+void Http2Channel::onConnectionGoingAway(ClientConnection &Source) {
+  if (&Source != m_Current.get())
     return;
-  m_Leaving.push_back(std::exchange(m_Current, nullptr));
-  noteEndOf(Which);
-  changeState();
-  connectLater();
+  m_GoingAway.push_back(std::exchange(m_Current, nullptr));
+  recordConnectionEnd(Source);
+  updateState();
+  scheduleReconnect();
 }
 
-void Http2Channel::noteEndOf(const ClientConnection &Which) {
-  m_Tried = true;
-  // A peer that dies right after each accept must not be redialled at full
-  // speed, so only a connection that lasted starts the backoff afresh.
-  if (Which.usableOnce() &&
-      LoopClock::now() - m_UpSince > m_Options.ReconnectMaximum)
+void Http2Channel::recordConnectionEnd(const ClientConnection &Source) {
+  m_AttemptFinished = true;
+  // Only a connection that stayed up for a while resets the backoff, so that a
+  // peer that crashes right after each accept is not redialed at full speed.
+  if (Source.wasUp() &&
+      LoopClock::now() - m_ConnectedAt > m_Options.ReconnectMaximum)
     m_Attempts = 0;
 }
 
-void Http2Channel::onGone(ClientConnection &Which) {
-  std::erase_if(m_Leaving, [&](auto &Each) { return Each.get() == &Which; });
-  if (&Which == m_Current.get()) {
-    noteEndOf(Which);
+void Http2Channel::onConnectionClosed(ClientConnection &Source) {
+  std::erase_if(m_GoingAway,
+                [&](auto &Connection) { return Connection.get() == &Source; });
+  if (&Source == m_Current.get()) {
+    recordConnectionEnd(Source);
     m_Current.reset();
-    connectLater();
+    scheduleReconnect();
   }
-  changeState();
+  updateState();
 }
 
-void Http2Channel::changeState() {
+void Http2Channel::updateState() {
   ChannelState Next = ChannelState::Down;
   if (m_Closed)
     Next = ChannelState::Down;
   else if (m_Current && m_Current->usable())
     Next = ChannelState::Up;
-  else if (!m_Leaving.empty())
+  else if (!m_GoingAway.empty())
     Next = ChannelState::GoingAway;
-  else if (!m_Tried)
+  else if (!m_AttemptFinished)
     Next = ChannelState::Connecting;
   if (m_State.exchange(Next) != Next && m_Listener)
     m_Listener->onState(*this, Next);
--- a/Libraries/LibWire/Http2Channel.h
+++ b/Libraries/LibWire/Http2Channel.h
@@ -1,7 +1,7 @@
-//===- Http2Channel.h - A connection that restores itself -------*- C++ -*-===//
+//===- Http2Channel.h - Channel that reconnects by itself -------*- C++ -*-===//
 //
-// Owns the connection that takes new streams and those that only finish their
-// old ones after a GOAWAY. Pinned to one loop.
+// Owns the connection for new streams and the older connections that finish
+// their streams after a GOAWAY. Pinned to one I/O loop.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,57 +16,59 @@
 namespace figlift::wire {
 
 class Http2Channel final : public Channel,
-                           public ConnectionOwner,
+                           public ClientConnectionListener,
                            public std::enable_shared_from_this<Http2Channel> {
 public:
   Http2Channel(std::shared_ptr<Loop> Owner, Endpoint Peer,
                const ClientOptions &Options, uint64_t Seed,
-               std::shared_ptr<Traffic> Counter,
+               std::shared_ptr<TrafficCounters> Counters,
                std::shared_ptr<ChannelListener> Listener);
 
-  /// Closes what close() has not closed.
+  /// Closes the connections if close() was not called.
   ~Http2Channel() override;
 
   const Endpoint &peer() const override { return m_Peer; }
   ChannelState state() const override { return m_State.load(); }
-  std::shared_ptr<Stream> open(Method What, std::string FirstMessage,
+  std::shared_ptr<Stream> open(Method RequestMethod, std::string FirstMessage,
                                std::shared_ptr<StreamListener> Listener,
                                bool HalfClose) override;
   void close() override;
-  /// Begins to connect. Any thread, once.
+  /// Starts to connect. Any thread; called once.
   void start();
 
 private:
-  void onUp(ClientConnection &Which) override;
-  void onGoingAway(ClientConnection &Which) override;
-  void onGone(ClientConnection &Which) override;
+  void onConnectionUp(ClientConnection &Source) override;
+  void onConnectionGoingAway(ClientConnection &Source) override;
+  void onConnectionClosed(ClientConnection &Source) override;
 
-  void connectNow();
-  void connectLater();
-  /// The connection takes no more streams: decides on the backoff.
-  void noteEndOf(const ClientConnection &Which);
-  void changeState();
-  void openOnLoop(const std::shared_ptr<Http2Stream> &Added, Method What);
+  void connect();
+  void scheduleReconnect();
+  /// Resets the backoff if the connection was up for long enough.
+  void recordConnectionEnd(const ClientConnection &Source);
+  void updateState();
+  void openOnLoop(const std::shared_ptr<Http2Stream> &NewStream,
+                  Method RequestMethod);
   void closeOnLoop();
   LoopClock::duration backoff();
 
   const std::shared_ptr<Loop> m_Loop;
   const Endpoint m_Peer;
   const ClientOptions m_Options;
-  const std::shared_ptr<Traffic> m_Traffic;
+  const std::shared_ptr<TrafficCounters> m_Counters;
   std::atomic<ChannelState> m_State{ChannelState::Connecting};
 
-  // Below: the I/O thread alone.
+  // The rest is used on the I/O thread only.
   std::shared_ptr<ChannelListener> m_Listener;
   std::shared_ptr<ClientConnection> m_Current;
-  /// Got GOAWAY and finish their streams.
-  std::vector<std::shared_ptr<ClientConnection>> m_Leaving;
+  /// Connections that finish their streams after a GOAWAY.
+  std::vector<std::shared_ptr<ClientConnection>> m_GoingAway;
   std::mt19937_64 m_Random;
-  /// Attempts since a connection was last up for long enough.
+  /// Connection attempts since a connection was last up for long enough.
   unsigned m_Attempts = 0;
-  LoopClock::time_point m_UpSince;
-  /// An attempt has ended, well or not; before that the state is Connecting.
-  bool m_Tried = false;
+  LoopClock::time_point m_ConnectedAt;
+  /// Whether a connection attempt has succeeded or failed; before that the
+  /// state is Connecting.
+  bool m_AttemptFinished = false;
   bool m_Closed = false;
 };
 
--- a/Libraries/LibWire/Http2Client.h
+++ b/Libraries/LibWire/Http2Client.h
@@ -1,6 +1,6 @@
 //===- Http2Client.h - Channels over a set of loops -------------*- C++ -*-===//
 //
-// Makes channels and spreads them over the I/O threads.
+// Creates channels and distributes them over the I/O threads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,19 +16,24 @@
 class Http2Client final : public Client {
 public:
   Http2Client(ClientOptions Options, std::vector<std::shared_ptr<Loop>> Loops);
-  /// Ends all channels; not from an I/O thread.
+  /// Closes all channels; not from an I/O thread.
   ~Http2Client() override;
 
   std::shared_ptr<Channel>
   connect(Endpoint Peer, std::shared_ptr<ChannelListener> Listener) override;
-  uint64_t bytesSent() const override { return m_Traffic->Sent.load(); }
-  uint64_t bytesReceived() const override { return m_Traffic->Received.load(); }
-  uint64_t requestBytes() const override { return m_Traffic->Requests.load(); }
+  uint64_t bytesSent() const override { return m_Counters->Sent.load(); }
+  uint64_t bytesReceived() const override {
+    return m_Counters->Received.load();
+  }
+  uint64_t requestBytes() const override {
+    return m_Counters->RequestBytes.load();
+  }
 
 private:
   const ClientOptions m_Options;
   const std::vector<std::shared_ptr<Loop>> m_Loops;
-  const std::shared_ptr<Traffic> m_Traffic = std::make_shared<Traffic>();
+  const std::shared_ptr<TrafficCounters> m_Counters =
+      std::make_shared<TrafficCounters>();
   std::atomic<uint64_t> m_Channels{0};
 };
 
--- a/Libraries/LibWire/Http2Server.cpp
+++ b/Libraries/LibWire/Http2Server.cpp
@@ -1,6 +1,6 @@
 //===- Http2Server.cpp - Listener for peers -------------------------------===//
 //
-// Start, drain and end of a server.
+// Starts, drains and stops a server.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,52 +21,52 @@
   auto Socket = listenOn(Options.Listen);
   if (!Socket)
     return std::move(Socket).as_failure();
-  auto Shared = std::make_shared<ServerState>();
-  Shared->Options = Options;
-  Shared->Listener = std::move(Listener);
+  auto State = std::make_shared<ServerState>();
+  State->Options = Options;
+  State->Listener = std::move(Listener);
   std::vector<std::shared_ptr<Loop>> Loops;
   for (unsigned I = 0; I < std::max(1u, Options.Threads); ++I) {
-    auto Made = Loop::create();
-    if (!Made) {
+    auto Created = Loop::create();
+    if (!Created) {
       ::close(Socket.value());
-      return std::move(Made).as_failure();
+      return std::move(Created).as_failure();
     }
-    Loops.push_back(std::move(Made).value());
+    Loops.push_back(std::move(Created).value());
   }
   Endpoint Bound = localEndpoint(Socket.value());
-  std::vector<std::weak_ptr<Loop>> Homes(Loops.begin(), Loops.end());
+  std::vector<std::weak_ptr<Loop>> WeakLoops(Loops.begin(), Loops.end());
   auto Accepting =
-      std::make_shared<Acceptor>(Socket.value(), std::move(Homes), Shared);
+      std::make_shared<Acceptor>(Socket.value(), std::move(WeakLoops), State);
   Loops.front()->post(
-      [Home = Loops.front().get(), Accepting, Listening = Socket.value()] {
-        Home->add(Listening, EPOLLIN, Accepting);
+      [FirstLoop = Loops.front().get(), Accepting, Listening = Socket.value()] {
+        FirstLoop->add(Listening, EPOLLIN, Accepting);
       });
   return std::unique_ptr<Server>(std::make_unique<Http2Server>(
-      std::move(Bound), std::move(Loops), std::move(Shared)));
+      std::move(Bound), std::move(Loops), std::move(State)));
 }
 
 Http2Server::Http2Server(Endpoint Bound,
                          std::vector<std::shared_ptr<Loop>> Loops,
-                         std::shared_ptr<ServerState> Shared)
+                         std::shared_ptr<ServerState> State)
     : m_Endpoint(std::move(Bound)), m_Loops(std::move(Loops)),
-      m_Shared(std::move(Shared)) {}
+      m_State(std::move(State)) {}
 
 Http2Server::~Http2Server() { stop(); }
 
 void Http2Server::drain() {
-  m_Shared->Draining.store(true);
-  for (const auto &Each : m_Loops)
-    Each->post([Home = Each.get()] {
-      Home->forEach([](Pollable &Current) {
-        if (auto *Connected = dynamic_cast<ServerConnection *>(&Current))
-          Connected->drain();
+  m_State->Draining.store(true);
+  for (const auto &IoLoop : m_Loops)
+    IoLoop->post([Target = IoLoop.get()] {
+      Target->forEach([](Pollable &Entry) {
+        if (auto *Connection = dynamic_cast<ServerConnection *>(&Entry))
+          Connection->drain();
       });
     });
 }
 
 void Http2Server::stop() {
-  for (const auto &Each : m_Loops)
-    Each->stop();
+  for (const auto &IoLoop : m_Loops)
+    IoLoop->stop();
 }
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/Http2Stream.cpp
+++ b/Libraries/LibWire/Http2Stream.cpp
@@ -1,6 +1,6 @@
 //===- Http2Stream.cpp - One HTTP/2 stream of a connection ----------------===//
 //
-// Framing of messages, the queue of a stream and its end.
+// Message framing, output queue and termination of a stream.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,12 +16,12 @@
 
 namespace {
 constexpr size_t PrefixBytes = 4;
-/// Buffers above this size are given back when they run empty.
-constexpr size_t KeptCapacity = 64u << 10;
+/// Buffers with a larger capacity are freed when they become empty.
+constexpr size_t RetainedCapacity = 64u << 10;
 
 size_t readPrefix(std::string_view Bytes) {
-  auto At = [&](size_t I) { return size_t(uint8_t(Bytes[I])); };
-  return At(0) << 24 | At(1) << 16 | At(2) << 8 | At(3);
+  auto ByteAt = [&](size_t I) { return size_t(uint8_t(Bytes[I])); };
+  return ByteAt(0) << 24 | ByteAt(1) << 16 | ByteAt(2) << 8 | ByteAt(3);
 }
 } // namespace
 
@@ -40,8 +40,8 @@
 bool Http2Stream::send(std::string Message) {
   if (m_Closed.load(std::memory_order_acquire))
     return false;
-  // A peer that does not read would otherwise let the queue grow until this
-  // process is out of memory; the stream is given up instead.
+  // A peer that does not read would let the queue grow until this process runs
+  // out of memory, so the stream is reset at the limit.
   if (!reserve(Message.size())) {
     reset(NGHTTP2_INTERNAL_ERROR);
     return false;
@@ -58,7 +58,7 @@
   if (m_Closed.exchange(true))
     return;
   m_Loop->post([Self = shared_from_this()] {
-    Self->FinishWanted = true;
+    Self->FinishRequested = true;
     if (Self->Owner)
       Self->Owner->outputReady(*Self);
   });
@@ -66,7 +66,7 @@
 
 void Http2Stream::finishAfterOutput() {
   m_Closed.store(true);
-  FinishWanted = true;
+  FinishRequested = true;
 }
 
 void Http2Stream::cancel() { reset(NGHTTP2_CANCEL); }
@@ -85,7 +85,7 @@
   });
 }
 
-void Http2Stream::listen(std::shared_ptr<StreamListener> Listener) {
+void Http2Stream::setListener(std::shared_ptr<StreamListener> Listener) {
   m_Listener = std::move(Listener);
 }
 
@@ -93,9 +93,10 @@
   auto Size = uint32_t(Message.size());
   const char Prefix[PrefixBytes] = {char(Size >> 24), char(Size >> 16),
                                     char(Size >> 8), char(Size)};
-  if (m_OutputAt > KeptCapacity && m_OutputAt * 2 > m_Output.size()) {
-    m_Output.erase(0, m_OutputAt);
-    m_OutputAt = 0;
+  if (m_OutputOffset > RetainedCapacity &&
+      m_OutputOffset * 2 > m_Output.size()) {
+    m_Output.erase(0, m_OutputOffset);
+    m_OutputOffset = 0;
   }
   m_Output.append(Prefix, PrefixBytes);
   m_Output.append(Message);
@@ -103,25 +104,25 @@
 
 std::optional<size_t> Http2Stream::read(uint8_t *Buffer, size_t Length,
                                         bool &AtEnd) {
-  size_t Taken = std::min(Length, m_Output.size() - m_OutputAt);
-  std::memcpy(Buffer, m_Output.data() + m_OutputAt, Taken);
-  m_OutputAt += Taken;
-  m_Queued.fetch_sub(Taken, std::memory_order_relaxed);
-  if (m_OutputAt == m_Output.size()) {
-    m_OutputAt = 0;
+  size_t Count = std::min(Length, m_Output.size() - m_OutputOffset);
+  std::memcpy(Buffer, m_Output.data() + m_OutputOffset, Count);
+  m_OutputOffset += Count;
+  m_Queued.fetch_sub(Count, std::memory_order_relaxed);
+  if (m_OutputOffset == m_Output.size()) {
+    m_OutputOffset = 0;
     m_Output.clear();
-    if (m_Output.capacity() > KeptCapacity)
+    if (m_Output.capacity() > RetainedCapacity)
       m_Output.shrink_to_fit();
-    AtEnd = FinishWanted;
+    AtEnd = FinishRequested;
   }
-  if (Taken == 0 && !AtEnd)
+  if (Count == 0 && !AtEnd)
     return std::nullopt;
-  return Taken;
+  return Count;
 }
 
 bool Http2Stream::receive(std::string_view Bytes) {
-  // A message that lies whole in one chunk is handed on without a copy; only
-  // the unfinished rest is kept.
+  // A message that is complete within one chunk is passed on without a copy;
+  // only an incomplete message is buffered.
   while (!Bytes.empty() && !ended()) {
     if (m_Input.size() < PrefixBytes) {
       size_t Missing = std::min(PrefixBytes - m_Input.size(), Bytes.size());
@@ -130,7 +131,7 @@
         if (Size > m_Limits.MaximumMessageBytes)
           return false;
         if (Bytes.size() - PrefixBytes >= Size) {
-          GotMessage = true;
+          ReceivedMessage = true;
           m_Listener->onMessage(Bytes.substr(PrefixBytes, Size));
           Bytes.remove_prefix(PrefixBytes + Size);
           continue;
@@ -152,20 +153,20 @@
     Bytes.remove_prefix(Missing);
     if (m_Input.size() < PrefixBytes + Size)
       return true;
-    GotMessage = true;
-    std::string Whole = std::exchange(m_Input, {});
-    m_Listener->onMessage(std::string_view(Whole).substr(PrefixBytes));
+    ReceivedMessage = true;
+    std::string Message = std::exchange(m_Input, {});
+    m_Listener->onMessage(std::string_view(Message).substr(PrefixBytes));
   }
   return true;
 }
 
-void Http2Stream::end(StreamEnd How) {
+void Http2Stream::end(StreamEnd Outcome) {
   auto Listener = std::exchange(m_Listener, nullptr);
   if (!Listener)
     return;
   m_Closed.store(true, std::memory_order_release);
   m_Input = {};
-  Listener->onEnd(How);
+  Listener->onEnd(Outcome);
 }
 
 void Http2Stream::peerFinished() {
--- a/Libraries/LibWire/Http2Stream.h
+++ b/Libraries/LibWire/Http2Stream.h
@@ -1,7 +1,7 @@
 //===- Http2Stream.h - One HTTP/2 stream of a connection --------*- C++ -*-===//
 //
-// The public members run on any thread and hand their work to the loop of the
-// connection; everything else belongs to that loop's thread.
+// The methods of Stream may be called from any thread and post their work to
+// the connection's I/O loop; everything else is used on that loop's thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 class Connection;
 
-/// Bounds of one stream.
+/// Limits of one stream.
 struct StreamLimits {
   size_t MaximumMessageBytes = 8u << 20;
   size_t MaximumQueuedBytes = 16u << 20;
@@ -36,50 +36,52 @@
   void refuse() override;
   size_t queuedBytes() const override;
 
-  /// Counts a message against the bounds of the stream; false when it exceeds
+  /// Counts a message against the limits of the stream; false when it exceeds
   /// them. Any thread.
   bool reserve(size_t MessageBytes);
 
-  // The rest is for the I/O thread alone.
+  // The rest is used on the I/O thread only.
 
-  /// Sets the listener of a stream that was made without one.
-  void listen(std::shared_ptr<StreamListener> Listener);
-  /// Length prefix and message go into the output; nothing is woken.
+  /// Sets the listener of a stream that was created without one.
+  void setListener(std::shared_ptr<StreamListener> Listener);
+  /// Appends length prefix and message to the output without scheduling a
+  /// write.
   void append(std::string_view Message);
-  /// Marks this side as ended after the output; before the stream is opened.
+  /// Ends this side after the queued output; called before the stream is
+  /// opened.
   void finishAfterOutput();
-  /// nghttp2's data source: fills \p Buffer; sets \p AtEnd with the last byte.
-  /// Nothing when there is no data now.
+  /// Data source for nghttp2: fills \p Buffer and sets \p AtEnd with the last
+  /// byte. Nothing when no data is queued.
   std::optional<size_t> read(uint8_t *Buffer, size_t Length, bool &AtEnd);
-  /// Takes bytes of the peer and tells the listener of whole messages; false
-  /// when a message is larger than allowed.
+  /// Parses bytes from the peer and passes complete messages to the listener;
+  /// false when a message exceeds the size limit.
   bool receive(std::string_view Bytes);
-  /// Tells the listener and lets go of it; later calls do nothing.
-  void end(StreamEnd How);
+  /// Notifies and releases the listener; later calls have no effect.
+  void end(StreamEnd Outcome);
   void peerFinished();
   bool ended() const { return !m_Listener; }
-  /// A message has begun that is not yet complete.
-  bool insideMessage() const { return !m_Input.empty(); }
-  size_t bufferedInput() const { return m_Input.size(); }
+  /// Whether a message has been received in part.
+  bool hasPartialMessage() const { return !m_Input.empty(); }
+  size_t bufferedInputBytes() const { return m_Input.size(); }
 
-  /// Set while the stream is in the table of the connection.
+  /// The connection, while the stream is registered with it.
   Connection *Owner = nullptr;
   int32_t Id = -1;
-  /// Place of the request's HEADERS in the connection's output, in bytes since
-  /// its start; the largest number until they are written.
-  uint64_t HeadersAt = std::numeric_limits<uint64_t>::max();
-  /// nghttp2 was told that there is no data and waits for a resume.
+  /// Offset in bytes of the request's HEADERS in the connection's output; the
+  /// maximum value until they are produced.
+  uint64_t HeadersOffset = std::numeric_limits<uint64_t>::max();
+  /// read() had no data, and nghttp2 waits for nghttp2_session_resume_data().
   bool Deferred = false;
-  /// Run or Resume; everything else is control work.
+  /// Whether the method is Run or Resume; the others are control traffic.
   bool CarriesRequest = false;
-  /// The server's response HEADERS were submitted.
+  /// Whether the server submitted its response HEADERS.
   bool ResponseStarted = false;
-  bool FinishWanted = false;
-  bool PeerEnded = false;
-  /// A whole message was received.
-  bool GotMessage = false;
-  /// The first instant at which this stream lacked a whole message; used by
-  /// servers against slow senders.
+  bool FinishRequested = false;
+  bool PeerFinished = false;
+  /// Whether a complete message was received.
+  bool ReceivedMessage = false;
+  /// Since when the first or the current message is incomplete; servers use it
+  /// to reset slow senders.
   LoopClock::time_point IncompleteSince = LoopClock::now();
 
 private:
@@ -87,13 +89,13 @@
 
   const std::shared_ptr<Loop> m_Loop;
   const StreamLimits m_Limits;
-  /// Null after the end.
+  /// Null once the stream has ended.
   std::shared_ptr<StreamListener> m_Listener;
-  /// No more sends: ended, or finish() was called.
+  /// Set when the stream has ended or finish() was called; sends fail.
   std::atomic<bool> m_Closed{false};
   std::atomic<size_t> m_Queued{0};
   std::string m_Output;
-  size_t m_OutputAt = 0;
+  size_t m_OutputOffset = 0;
   std::string m_Input;
 };
 
--- a/Libraries/LibWire/Loop.cpp
+++ b/Libraries/LibWire/Loop.cpp
@@ -1,8 +1,8 @@
 //===- Loop.cpp - One I/O thread around epoll -----------------------------===//
 //
-// Each round runs handed-over tasks, due timers and ready sockets, then
-// flushes every touched connection once, so that what was queued in one round
-// leaves in one write.
+// Each iteration handles ready sockets, posted tasks and due timers, then
+// flushes every affected connection once, so that the output of one iteration
+// is sent in one write.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
 namespace {
 /// Token of the eventfd; tokens of pollables have a nonzero upper half.
 constexpr uint64_t WakeToken = 0;
-constexpr std::chrono::milliseconds StopGrace{500};
+constexpr std::chrono::milliseconds StopTimeout{500};
 } // namespace
 
 Result<std::shared_ptr<Loop>> Loop::create() {
@@ -35,41 +35,42 @@
     if (Wake >= 0)
       ::close(Wake);
     ::close(Epoll);
-    return failure(ResultCode::Internal, "cannot make the loop's eventfd");
+    return failure(ResultCode::Internal,
+                   "cannot create or poll the eventfd of an I/O loop");
   }
-  std::shared_ptr<Loop> Made(new Loop(Epoll, Wake));
-  Made->m_Thread = std::thread([Raw = Made.get()] { Raw->run(); });
-  return Made;
+  std::shared_ptr<Loop> Created(new Loop(Epoll, Wake));
+  Created->m_Thread = std::thread([Raw = Created.get()] { Raw->run(); });
+  return Created;
 }
 
-Loop::Loop(int Epoll, int Wake) : m_Epoll(Epoll), m_Wake(Wake) {}
+Loop::Loop(int Epoll, int Wake) : m_Epoll(Epoll), m_WakeEvent(Wake) {}
 
 Loop::~Loop() {
   stop();
-  ::close(m_Wake);
+  ::close(m_WakeEvent);
   ::close(m_Epoll);
 }
 
-bool Loop::push(Task *Added) {
+bool Loop::push(Task *NewTask) {
   Task *Head = m_Head.load(std::memory_order_relaxed);
   do {
     if (Head == &m_Closed) {
-      delete Added;
+      delete NewTask;
       return false;
     }
-    Added->Next = Head;
-  } while (!m_Head.compare_exchange_weak(Head, Added, std::memory_order_release,
-                                         std::memory_order_relaxed));
-  // Only the push onto an empty stack wakes: the others find a wake-up that
-  // was not answered yet.
+    NewTask->Next = Head;
+  } while (!m_Head.compare_exchange_weak(
+      Head, NewTask, std::memory_order_release, std::memory_order_relaxed));
+  // Only the push onto an empty stack wakes the thread; for the others a wakeup
+  // is already pending.
   if (!Head) {
     uint64_t One = 1;
-    [[maybe_unused]] ssize_t Written = ::write(m_Wake, &One, sizeof(One));
+    [[maybe_unused]] ssize_t Written = ::write(m_WakeEvent, &One, sizeof(One));
   }
   return true;
 }
 
-void Loop::runAll(Task *Head) {
+void Loop::runTasks(Task *Head) {
   Task *Oldest = nullptr;
   while (Head) {
     Task *Next = std::exchange(Head->Next, Oldest);
@@ -92,8 +93,9 @@
 
 bool Loop::add(int Descriptor, uint32_t Events,
                std::shared_ptr<Pollable> Target) {
-  // The token tells a descriptor's number from its next use: an event of a
-  // closed socket that sits in the same batch must not reach the new one.
+  // The token distinguishes successive uses of a descriptor number: an event of
+  // a closed socket in the current batch must not reach the socket that reuses
+  // its number.
   uint64_t Token = (uint64_t{m_NextToken++} << 32) | uint32_t(Descriptor);
   if (m_NextToken == 0)
     m_NextToken = 1;
@@ -107,12 +109,12 @@
 }
 
 void Loop::modify(int Descriptor, uint32_t Events) {
-  auto Found = m_Entries.find(Descriptor);
-  if (Found == m_Entries.end())
+  auto Position = m_Entries.find(Descriptor);
+  if (Position == m_Entries.end())
     return;
   epoll_event Event{};
   Event.events = Events;
-  Event.data.u64 = Found->second.Token;
+  Event.data.u64 = Position->second.Token;
   epoll_ctl(m_Epoll, EPOLL_CTL_MOD, Descriptor, &Event);
 }
 
@@ -122,7 +124,7 @@
 }
 
 void Loop::flushLater(std::shared_ptr<Pollable> Target) {
-  m_ToFlush.push_back(std::move(Target));
+  m_PendingFlushes.push_back(std::move(Target));
 }
 
 void Loop::after(LoopClock::duration Delay, std::function<void()> Work) {
@@ -138,54 +140,54 @@
 }
 
 void Loop::flushAll() {
-  // A flush that closes a connection may make another one pending.
-  while (!m_ToFlush.empty())
-    for (auto &Target : std::exchange(m_ToFlush, {}))
+  // A flush that closes a connection may schedule another flush.
+  while (!m_PendingFlushes.empty())
+    for (auto &Target : std::exchange(m_PendingFlushes, {}))
       Target->flush();
 }
 
 void Loop::dispatch(uint64_t Token, uint32_t Events) {
   if (Token == WakeToken) {
     uint64_t Count = 0;
-    [[maybe_unused]] ssize_t Read = ::read(m_Wake, &Count, sizeof(Count));
+    [[maybe_unused]] ssize_t Read = ::read(m_WakeEvent, &Count, sizeof(Count));
     return;
   }
-  auto Found = m_Entries.find(int(uint32_t(Token)));
-  if (Found == m_Entries.end() || Found->second.Token != Token)
+  auto Position = m_Entries.find(int(uint32_t(Token)));
+  if (Position == m_Entries.end() || Position->second.Token != Token)
     return;
-  auto Target = Found->second.Target;
+  auto Target = Position->second.Target;
   Target->onReady(Events);
 }
 
-int Loop::sleepMilliseconds() const {
+int Loop::pollTimeoutMilliseconds() const {
   if (m_Timers.empty())
     return -1;
-  auto Left = std::chrono::ceil<std::chrono::milliseconds>(
+  auto Remaining = std::chrono::ceil<std::chrono::milliseconds>(
       m_Timers.begin()->first - LoopClock::now());
-  return int(std::clamp<int64_t>(Left.count(), 0, 60'000));
+  return int(std::clamp<int64_t>(Remaining.count(), 0, 60'000));
 }
 
 void Loop::run() {
   std::array<epoll_event, 128> Events;
   while (!m_StopRequested.load(std::memory_order_acquire)) {
     int Count = epoll_wait(m_Epoll, Events.data(), int(Events.size()),
-                           sleepMilliseconds());
+                           pollTimeoutMilliseconds());
     for (int I = 0; I < Count; ++I)
       dispatch(Events[size_t(I)].data.u64, Events[size_t(I)].events);
-    // Sockets come before timers: after a pause of this process an answer may
-    // lie in the receive buffer while its timeout is due.
-    runAll(m_Head.exchange(nullptr, std::memory_order_acquire));
+    // Sockets are handled before timers: after a pause of this process a
+    // response may be in the receive buffer while its timeout is due.
+    runTasks(m_Head.exchange(nullptr, std::memory_order_acquire));
     runTimers();
     flushAll();
   }
-  runAll(m_Head.exchange(nullptr, std::memory_order_acquire));
+  runTasks(m_Head.exchange(nullptr, std::memory_order_acquire));
   flushAll();
-  m_StopDeadline = LoopClock::now() + StopGrace;
+  m_StopDeadline = LoopClock::now() + StopTimeout;
   for (auto &[Descriptor, Stopped] : std::exchange(m_Entries, {}))
     Stopped.Target->onLoopStop();
-  // What was posted until now still runs, and finds its connection gone.
-  runAll(m_Head.exchange(&m_Closed, std::memory_order_acquire));
-  m_ToFlush.clear();
+  // Tasks posted until now still run, with their connections already closed.
+  runTasks(m_Head.exchange(&m_Closed, std::memory_order_acquire));
+  m_PendingFlushes.clear();
   m_Timers.clear();
 }
 
--- a/Libraries/LibWire/Loop.h
+++ b/Libraries/LibWire/Loop.h
@@ -1,8 +1,8 @@
 //===- Loop.h - One I/O thread around epoll ---------------------*- C++ -*-===//
 //
-// Runs the sockets of the connections that are pinned to it. Other threads
-// hand work over by a lock-free stack and an eventfd, so that no lock is taken
-// for a message.
+// Polls the sockets of the connections that are pinned to it. Other threads
+// post tasks through a lock-free stack and an eventfd, so that sending a
+// message takes no lock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,15 +23,15 @@
 
 namespace figlift::wire {
 
-/// Clock of timeouts inside one process.
+/// Clock for timeouts within one process.
 using LoopClock = std::chrono::steady_clock;
 
-/// Something with a file descriptor in a Loop.
+/// Owner of a file descriptor that a Loop polls.
 class Pollable {
 public:
   virtual ~Pollable() = default;
   virtual void onReady(uint32_t Events) = 0;
-  /// Writes what was produced since the last call.
+  /// Writes the output produced since the last call.
   virtual void flush() {}
   virtual void onLoopStop() = 0;
 };
@@ -43,31 +43,31 @@
   Loop(const Loop &) = delete;
   Loop &operator=(const Loop &) = delete;
 
-  /// Runs \p Work on the I/O thread, in the order of the calls of one thread;
-  /// false, and Work is dropped, when the loop has stopped. Any thread.
+  /// Runs \p Work on the I/O thread; the calls of one thread keep their order.
+  /// When the loop has stopped, drops it and returns false. Any thread.
   template <typename Function> bool post(Function &&Work) {
     return push(
         new Posted<std::decay_t<Function>>(std::forward<Function>(Work)));
   }
-  /// Ends all pollables and the thread. Any thread but the loop's own.
+  /// Stops all pollables and joins the thread. Any thread but the loop's own.
   void stop();
 
-  // The rest is for the I/O thread alone.
+  // The rest is used on the I/O thread only.
 
-  /// False when epoll refuses the descriptor.
+  /// False when epoll rejects the descriptor.
   bool add(int Descriptor, uint32_t Events, std::shared_ptr<Pollable> Target);
   void modify(int Descriptor, uint32_t Events);
   void remove(int Descriptor);
-  /// Calls Target->flush() once before the loop sleeps next.
+  /// Calls Target->flush() before the loop next waits for events.
   void flushLater(std::shared_ptr<Pollable> Target);
   template <typename Function> void forEach(Function &&Visit) {
-    for (auto &[Descriptor, Current] : std::unordered_map(m_Entries))
-      Visit(*Current.Target);
+    for (auto &[Descriptor, Registered] : std::unordered_map(m_Entries))
+      Visit(*Registered.Target);
   }
   void after(LoopClock::duration Delay, std::function<void()> Work);
-  /// Until when pollables may still write after onLoopStop() was called.
+  /// Until when pollables may write in onLoopStop().
   LoopClock::time_point stopDeadline() const { return m_StopDeadline; }
-  /// Scratch space for reads, shared by all connections of the loop.
+  /// Read buffer shared by all connections of the loop.
   std::array<char, 65536> &buffer() { return m_Buffer; }
 
 private:
@@ -87,24 +87,24 @@
   };
 
   Loop(int Epoll, int Wake);
-  bool push(Task *Added);
-  /// Runs the tasks of the stack, whose head it exchanged, oldest first.
-  static void runAll(Task *Head);
+  bool push(Task *NewTask);
+  /// Runs and deletes a detached stack of tasks, oldest first.
+  static void runTasks(Task *Head);
   void run();
   void runTimers();
   void flushAll();
   void dispatch(uint64_t Token, uint32_t Events);
-  int sleepMilliseconds() const;
+  int pollTimeoutMilliseconds() const;
 
   const int m_Epoll;
-  const int m_Wake;
-  /// Newest task first; &m_Closed once the loop takes no more.
+  const int m_WakeEvent;
+  /// Newest task first; &m_Closed once the loop accepts no more tasks.
   std::atomic<Task *> m_Head{nullptr};
   Task m_Closed;
   std::atomic<bool> m_StopRequested{false};
   std::unordered_map<int, Entry> m_Entries;
   uint32_t m_NextToken = 1;
-  std::vector<std::shared_ptr<Pollable>> m_ToFlush;
+  std::vector<std::shared_ptr<Pollable>> m_PendingFlushes;
   std::multimap<LoopClock::time_point, std::function<void()>> m_Timers;
   LoopClock::time_point m_StopDeadline;
   std::array<char, 65536> m_Buffer;
--- a/Libraries/LibWire/MethodPath.cpp
+++ b/Libraries/LibWire/MethodPath.cpp
@@ -1,6 +1,7 @@
 //===- MethodPath.cpp - Methods as paths on the wire ----------------------===//
 //
-// The version is in the path, so that a later one can be served beside it.
+// The path contains the protocol version, so that a later version can be served
+// beside it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,17 +20,19 @@
     "/figlift.v1/Configuration"};
 } // namespace
 
-std::string_view pathOf(Method What) { return Paths[size_t(What)]; }
+std::string_view methodPath(Method StreamMethod) {
+  return Paths[size_t(StreamMethod)];
+}
 
-bool carriesRequest(Method What) {
-  return What == Method::Run || What == Method::Resume;
+bool carriesRequest(Method StreamMethod) {
+  return StreamMethod == Method::Run || StreamMethod == Method::Resume;
 }
 
-std::optional<Method> methodOf(std::string_view Path) {
-  const auto *Found = std::find(Paths.begin(), Paths.end(), Path);
-  if (Found == Paths.end())
+std::optional<Method> methodFromPath(std::string_view Path) {
+  const auto *Position = std::find(Paths.begin(), Paths.end(), Path);
+  if (Position == Paths.end())
     return std::nullopt;
-  return Method(Found - Paths.begin());
+  return Method(Position - Paths.begin());
 }
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/MethodPath.h
+++ b/Libraries/LibWire/MethodPath.h
@@ -1,6 +1,6 @@
 //===- MethodPath.h - Methods as paths on the wire --------------*- C++ -*-===//
 //
-// The table of the methods and the :path of their streams.
+// Maps methods to the :path of their streams and back.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,11 +12,11 @@
 
 namespace figlift::wire {
 
-/// "/figlift.v1/Run" and so on.
-std::string_view pathOf(Method What);
-/// Whether streams of this method carry requests of callers.
-bool carriesRequest(Method What);
-/// Nothing for a path that this version does not know.
-std::optional<Method> methodOf(std::string_view Path);
+/// For example "/figlift.v1/Run".
+std::string_view methodPath(Method StreamMethod);
+/// Whether streams of this method carry callers' requests.
+bool carriesRequest(Method StreamMethod);
+/// Nothing for a path that this version does not support.
+std::optional<Method> methodFromPath(std::string_view Path);
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/ServerConnection.cpp
+++ b/Libraries/LibWire/ServerConnection.cpp
@@ -1,6 +1,6 @@
 //===- ServerConnection.cpp - One accepted connection ---------------------===//
 //
-// Requests, bounds against bad peers, and the two steps of a drain.
+// Requests, limits against misbehaving peers, and the two steps of a drain.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,39 +16,40 @@
 namespace figlift::wire {
 
 namespace {
-/// Our requests have four short headers.
+/// Requests of figlift have four short headers.
 constexpr size_t HeaderBytesPerRequest = 8u << 10;
-/// Payload of the PING whose answer shows that the peer knows of the drain.
+/// Payload of the PING whose acknowledgment shows that the peer has received
+/// the shutdown notice.
 constexpr uint8_t DrainPing[8] = {'d', 'r', 'a', 'i', 'n', 'i', 'n', 'g'};
 } // namespace
 
 ServerConnection::ServerConnection(std::shared_ptr<Loop> Owner, int Socket,
-                                   std::shared_ptr<ServerState> Shared)
+                                   std::shared_ptr<ServerState> State)
     : Connection(std::move(Owner), Socket,
-                 {Shared->Options.HeartbeatInterval,
-                  Shared->Options.HeartbeatTimeout,
-                  {Shared->Options.MaximumMessageBytes,
-                   Shared->Options.MaximumQueuedBytesPerStream}},
-                 Shared->Counter),
-      m_Shared(std::move(Shared)) {}
+                 {State->Options.HeartbeatInterval,
+                  State->Options.HeartbeatTimeout,
+                  {State->Options.MaximumMessageBytes,
+                   State->Options.MaximumQueuedBytesPerStream}},
+                 State->Counters),
+      m_State(std::move(State)) {}
 
-ServerConnection::~ServerConnection() { --m_Shared->Connections; }
+ServerConnection::~ServerConnection() { --m_State->Connections; }
 
 void ServerConnection::start(const std::shared_ptr<Loop> &Owner, int Socket,
-                             std::shared_ptr<ServerState> Shared) {
-  std::shared_ptr<ServerConnection> Made(
-      new ServerConnection(Owner, Socket, std::move(Shared)));
-  if (!Made->startSession(Side::Server,
-                          Made->m_Shared->Options.MaximumConcurrentStreams) ||
-      !Owner->add(Socket, EPOLLIN, Made))
+                             std::shared_ptr<ServerState> State) {
+  std::shared_ptr<ServerConnection> Created(
+      new ServerConnection(Owner, Socket, std::move(State)));
+  if (!Created->startSession(
+          Side::Server, Created->m_State->Options.MaximumConcurrentStreams) ||
+      !Owner->add(Socket, EPOLLIN, Created))
     return;
-  Made->flushSoon();
-  Made->watchHeartbeat();
-  Made->watchSenders();
-  // A drain that was asked for while this socket was on its way to the loop
-  // has not reached it.
-  if (Made->m_Shared->Draining.load())
-    Made->drain();
+  Created->flushSoon();
+  Created->checkHeartbeat();
+  Created->checkSlowSenders();
+  // A drain that started while this socket was being passed to the loop did not
+  // include this connection.
+  if (Created->m_State->Draining.load())
+    Created->drain();
 }
 
 bool ServerConnection::onHeader(const nghttp2_frame &Frame,
@@ -67,13 +68,14 @@
 bool ServerConnection::onFrame(const nghttp2_frame &Frame) {
   switch (Frame.hd.type) {
   case NGHTTP2_SETTINGS:
-    m_SettingsSeen = true;
+    m_SettingsReceived = true;
     return true;
   case NGHTTP2_PING:
     if ((Frame.hd.flags & NGHTTP2_FLAG_ACK) &&
         std::equal(std::begin(DrainPing), std::end(DrainPing),
                    Frame.ping.opaque_data)) {
-      // Whatever the peer sent before it knew is here, and was refused.
+      // All requests that the peer sent before it received the notice have
+      // arrived and were refused.
       nghttp2_submit_goaway(session(), NGHTTP2_FLAG_NONE,
                             nghttp2_session_get_last_proc_stream_id(session()),
                             NGHTTP2_NO_ERROR, nullptr, 0);
@@ -94,61 +96,64 @@
 }
 
 void ServerConnection::onRequest(int32_t Id) {
-  auto What = m_HeaderStream == Id ? methodOf(m_Path) : std::nullopt;
-  if (What && !m_Draining) {
-    auto Opened = std::make_shared<Http2Stream>(loop(), options().Limits);
-    Opened->CarriesRequest = carriesRequest(*What);
-    addStream(Opened, Id);
-    ++m_Shared->OpenStreams;
-    if (auto Listener = m_Shared->Listener->onStream(*What, Opened)) {
-      Opened->listen(std::move(Listener));
+  auto RequestMethod =
+      m_HeaderStream == Id ? methodFromPath(m_Path) : std::nullopt;
+  if (RequestMethod && !m_Draining) {
+    auto NewStream = std::make_shared<Http2Stream>(loop(), options().Limits);
+    NewStream->CarriesRequest = carriesRequest(*RequestMethod);
+    addStream(NewStream, Id);
+    ++m_State->OpenStreams;
+    if (auto Listener =
+            m_State->Listener->onStream(*RequestMethod, NewStream)) {
+      NewStream->setListener(std::move(Listener));
       return;
     }
-    forgetStream(Id);
+    removeStream(Id);
   }
-  // Nothing of the request was looked at, and the sender may rely on that.
+  // No part of the request was processed; the sender relies on that to retry.
   nghttp2_submit_rst_stream(session(), NGHTTP2_FLAG_NONE, Id,
                             NGHTTP2_REFUSED_STREAM);
 }
 
 void ServerConnection::onPeerEnd(int32_t Id) {
-  auto Ended = findStream(Id);
-  if (!Ended || Ended->ended())
+  auto Stream = findStream(Id);
+  if (!Stream || Stream->ended())
     return;
-  if (Ended->insideMessage()) {
-    resetStream(*Ended, NGHTTP2_PROTOCOL_ERROR);
+  if (Stream->hasPartialMessage()) {
+    resetStream(*Stream, NGHTTP2_PROTOCOL_ERROR);
     return;
   }
-  Ended->PeerEnded = true;
-  Ended->peerFinished();
+  Stream->PeerFinished = true;
+  Stream->peerFinished();
 }
 
-void ServerConnection::outputReady(Http2Stream &Which) {
-  if (!Which.ResponseStarted) {
+void ServerConnection::outputReady(Http2Stream &Stream) {
+  if (!Stream.ResponseStarted) {
     static uint8_t Name[] = ":status", Value[] = "200";
     const nghttp2_nv Header = {Name, Value, sizeof(Name) - 1, sizeof(Value) - 1,
                                NGHTTP2_NV_FLAG_NO_COPY_NAME |
                                    NGHTTP2_NV_FLAG_NO_COPY_VALUE};
-    auto Data = dataOf(Which);
-    Which.ResponseStarted = true;
-    nghttp2_submit_response(session(), Which.Id, &Header, 1, &Data);
-  } else if (Which.Deferred) {
-    Which.Deferred = false;
-    nghttp2_session_resume_data(session(), Which.Id);
+    auto Data = dataProvider(Stream);
+    Stream.ResponseStarted = true;
+    nghttp2_submit_response(session(), Stream.Id, &Header, 1, &Data);
+  } else if (Stream.Deferred) {
+    Stream.Deferred = false;
+    nghttp2_session_resume_data(session(), Stream.Id);
   }
   flushSoon();
 }
 
-StreamEnd ServerConnection::endOf(const Http2Stream &, uint32_t Code) {
+StreamEnd ServerConnection::closedStreamOutcome(const Http2Stream &,
+                                                uint32_t Code) {
   return Code == NGHTTP2_NO_ERROR ? StreamEnd::Finished
                                   : StreamEnd::ResetByPeer;
 }
 
-StreamEnd ServerConnection::endOfLost(const Http2Stream &) {
+StreamEnd ServerConnection::lostStreamOutcome(const Http2Stream &) {
   return m_Stopping ? StreamEnd::Cancelled : StreamEnd::ConnectionLost;
 }
 
-void ServerConnection::onStreamGone() { --m_Shared->OpenStreams; }
+void ServerConnection::onStreamRemoved() { --m_State->OpenStreams; }
 
 void ServerConnection::drain() {
   if (closed() || std::exchange(m_Draining, true))
@@ -158,32 +163,32 @@
   flushSoon();
 }
 
-void ServerConnection::watchSenders() {
+void ServerConnection::checkSlowSenders() {
   if (closed())
     return;
   auto Now = LoopClock::now();
-  auto Timeout = m_Shared->Options.FirstMessageTimeout;
-  // The heartbeat does not notice a peer that sends a byte now and then, or
-  // one that answers PINGs and never completes a message: each would hold a
-  // descriptor, a session and a buffer for ever.
-  if (!m_SettingsSeen && Now - m_Accepted >= Timeout)
+  auto Timeout = m_State->Options.FirstMessageTimeout;
+  // The heartbeat does not detect a peer that sends single bytes, or one that
+  // acknowledges PINGs and never completes a message. Each would hold a
+  // descriptor, a session and a buffer forever.
+  if (!m_SettingsReceived && Now - m_AcceptedAt >= Timeout)
     return close();
-  bool Slow = false;
-  forEachStream([&](Http2Stream &Each) {
-    bool Waits = Each.insideMessage() || !Each.GotMessage;
-    if (Each.ended() || Each.PeerEnded || !Waits ||
-        Now - Each.IncompleteSince < Timeout)
+  bool ResetSlowStream = false;
+  forEachStream([&](Http2Stream &Stream) {
+    bool Incomplete = Stream.hasPartialMessage() || !Stream.ReceivedMessage;
+    if (Stream.ended() || Stream.PeerFinished || !Incomplete ||
+        Now - Stream.IncompleteSince < Timeout)
       return;
-    Slow = true;
-    resetStream(Each, NGHTTP2_ENHANCE_YOUR_CALM);
+    ResetSlowStream = true;
+    resetStream(Stream, NGHTTP2_ENHANCE_YOUR_CALM);
   });
-  if (Slow && m_Messages == 0)
+  if (ResetSlowStream && m_MessageChunks == 0)
     return close();
   loop()->after(
       std::max<LoopClock::duration>(Timeout / 4, std::chrono::milliseconds(1)),
       [Weak = weak_from_this()] {
         if (auto Self = Weak.lock())
-          static_cast<ServerConnection &>(*Self).watchSenders();
+          static_cast<ServerConnection &>(*Self).checkSlowSenders();
       });
 }
 
--- a/Libraries/LibWire/Socket.h
+++ b/Libraries/LibWire/Socket.h
@@ -1,6 +1,6 @@
-//===- Socket.h - TCP sockets of the wire -----------------------*- C++ -*-===//
+//===- Socket.h - TCP sockets of the transport ------------------*- C++ -*-===//
 //
-// Opens the sockets of listeners and connections; all are non-blocking.
+// Creates the sockets of listeners and connections; all are non-blocking.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,16 +11,16 @@
 
 namespace figlift::wire {
 
-/// Starts a connect; its outcome shows when the socket becomes writable.
+/// Starts to connect; the socket becomes writable when the outcome is known.
 Result<int> startConnect(const Endpoint &Peer);
-/// Whether the connect that startConnect() began has come about.
+/// Whether the attempt that startConnect() started has succeeded.
 bool connectSucceeded(int Socket);
 /// Binds and listens; fails with PeerUnreachable when the address is in use.
-Result<int> listenOn(const Endpoint &Where);
+Result<int> listenOn(const Endpoint &Listen);
 /// The address that \p Socket is bound to.
 Endpoint localEndpoint(int Socket);
-/// Writes leave at once instead of waiting for the ACK of the one before, and
-/// the kernel holds little that has not left yet.
-void sendPromptly(int Socket);
+/// Disables Nagle's algorithm and limits the unsent bytes in the kernel's send
+/// queue.
+void configureLowLatency(int Socket);
 
 } // namespace figlift::wire
--- a/Libraries/LibWire/Wire.h
+++ b/Libraries/LibWire/Wire.h
@@ -1,10 +1,9 @@
 //===- Wire.h - Streams between figlift processes ---------------*- C++ -*-===//
 //
-// Interfaces of the transport between figlift's own processes: HTTP/2 by
-// nghttp2 over cleartext TCP, one stream for each request, protobuf messages
-// with a four-byte big-endian length in front. Callers of this library see
-// channels (a connection to one peer that restores itself), streams and
-// listeners; nghttp2 does not show.
+// Interfaces of the transport between figlift processes: HTTP/2 over cleartext
+// TCP, one stream for each request, protobuf messages prefixed with a four-byte
+// big-endian length. Users of the library see channels (a reconnecting
+// connection to one peer), streams and listeners; nghttp2 stays internal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,21 +20,22 @@
 
 namespace figlift::wire {
 
-/// What a stream is for; travels as its :path.
+/// Purpose of a stream, sent as its :path.
 enum class Method { Run, Resume, Order, Sync, Drain, Handover, Configuration };
 
-/// How a stream ended, as far as this side can tell.
+/// How a stream ended, as far as this side knows.
 enum class StreamEnd {
   /// The peer sent its last message and closed the stream.
   Finished,
-  /// RST_STREAM of the peer; the request may have been processed.
+  /// The peer sent RST_STREAM; the request may have been processed.
   ResetByPeer,
-  /// REFUSED_STREAM, or GOAWAY with a lower last stream id: HTTP/2 promises
-  /// that the peer processed nothing of it.
+  /// The peer sent REFUSED_STREAM, or GOAWAY with a lower last stream id:
+  /// HTTP/2 guarantees that it did not process the request.
   ProvablyNotProcessed,
   /// No byte of the request left this process.
   NeverSent,
-  /// The connection broke or its heartbeat timed out; nothing is known.
+  /// The connection was lost or its heartbeat timed out; the request may have
+  /// been processed.
   ConnectionLost,
   /// This side reset the stream.
   Cancelled,
@@ -51,23 +51,23 @@
   virtual void finish() = 0;
   /// RST_STREAM with CANCEL; the peer sees ResetByPeer.
   virtual void cancel() = 0;
-  /// RST_STREAM with REFUSED_STREAM; only a server that has done nothing for
-  /// the stream may call it.
+  /// RST_STREAM with REFUSED_STREAM; only for a server that has not processed
+  /// any part of the request.
   virtual void refuse() = 0;
-  /// Bytes queued here and not yet taken by the peer's flow control window.
+  /// Bytes queued on this side, not yet admitted by the peer's flow control.
   virtual size_t queuedBytes() const = 0;
 };
 
-/// Events of one stream: called in order, never two at once, on the I/O
-/// thread of its connection; must not block.
+/// Events of one stream, called in order and never concurrently on the I/O
+/// thread of its connection. Must not block.
 class StreamListener {
 public:
   virtual ~StreamListener() = default;
   virtual void onMessage(std::string_view Message) = 0;
-  /// The peer will send no more messages; its side ended in good order. Only
-  /// a server's listener is told: a client's gets onEnd(Finished).
+  /// The peer has sent its last message and ended its side cleanly. Called for
+  /// servers only; a client's listener gets onEnd(Finished) instead.
   virtual void onPeerFinished() {}
-  /// Exactly once, and the last call.
+  /// Called exactly once, as the last event.
   virtual void onEnd(StreamEnd End) = 0;
 };
 
@@ -78,24 +78,25 @@
 class ChannelListener {
 public:
   virtual ~ChannelListener() = default;
-  /// On the I/O thread; must not block.
-  virtual void onState(Channel &Which, ChannelState State) = 0;
+  /// Called on the I/O thread; must not block.
+  virtual void onState(Channel &Source, ChannelState State) = 0;
 };
 
-/// A connection to one peer that is restored, with backoff and jitter, until
-/// the channel is closed. Members may be called from any thread.
+/// A connection to one peer that reconnects, with backoff and jitter, until the
+/// channel is closed. Members may be called from any thread.
 class Channel {
 public:
   virtual ~Channel() = default;
   virtual const Endpoint &peer() const = 0;
   virtual ChannelState state() const = 0;
   /// Opens a stream and queues its first message. The listener always gets
-  /// onEnd; without a usable connection that is NeverSent, at once.
+  /// onEnd; without a usable connection it gets NeverSent at once.
   /// \p HalfClose ends this side after the first message.
-  virtual std::shared_ptr<Stream> open(Method What, std::string FirstMessage,
+  virtual std::shared_ptr<Stream> open(Method StreamMethod,
+                                       std::string FirstMessage,
                                        std::shared_ptr<StreamListener> Listener,
                                        bool HalfClose = true) = 0;
-  /// Ends the channel; open streams end as Cancelled.
+  /// Closes the channel; open streams end as Cancelled.
   virtual void close() = 0;
 };
 
@@ -104,7 +105,7 @@
   std::chrono::milliseconds ConnectTimeout{1000};
   /// PING is sent after this long without a received byte...
   std::chrono::milliseconds HeartbeatInterval{1000};
-  /// ...and the connection is given up after this long without an answer.
+  /// ...and the connection is closed after this long without a response.
   std::chrono::milliseconds HeartbeatTimeout{2000};
   std::chrono::milliseconds ReconnectMinimum{20};
   std::chrono::milliseconds ReconnectMaximum{1000};
@@ -122,7 +123,8 @@
   /// Bytes sent and received on all channels since the start.
   virtual uint64_t bytesSent() const = 0;
   virtual uint64_t bytesReceived() const = 0;
-  /// Of both: frames of Run and Resume. The rest is control work.
+  /// Bytes of Run and Resume frames, sent or received. The rest is control
+  /// traffic.
   virtual uint64_t requestBytes() const = 0;
   static Result<std::unique_ptr<Client>> create(const ClientOptions &Options);
 };
@@ -132,10 +134,10 @@
   unsigned Threads = 2;
   std::chrono::milliseconds HeartbeatInterval{1000};
   std::chrono::milliseconds HeartbeatTimeout{2000};
-  /// A connection without SETTINGS by then is closed, and so is one whose
-  /// first message is not complete this long after it began; on a connection
-  /// that has brought a message, only the slow stream is reset. Slow or silent
-  /// peers cannot hold memory that way; an idle healthy connection stays.
+  /// A connection is closed when no SETTINGS frame was received or its first
+  /// message is incomplete after this time. After the first message only the
+  /// slow stream is reset. This keeps slow or silent peers from holding memory;
+  /// an idle healthy connection stays open.
   std::chrono::milliseconds FirstMessageTimeout{5000};
   uint32_t MaximumConcurrentStreams = 10000;
   size_t MaximumConnections = 4096;
@@ -146,27 +148,29 @@
 class ServerListener {
 public:
   virtual ~ServerListener() = default;
-  /// A peer opened a stream. Returns the stream's listener; on an I/O thread.
+  /// A peer opened a stream. Returns the stream's listener, or null to refuse
+  /// the stream. Called on an I/O thread.
   virtual std::shared_ptr<StreamListener>
-  onStream(Method What, std::shared_ptr<Stream> Opened) = 0;
+  onStream(Method StreamMethod, std::shared_ptr<Stream> NewStream) = 0;
 };
 
 class Server {
 public:
   virtual ~Server() = default;
-  /// The bound endpoint, with the real port when 0 was asked for.
+  /// The bound endpoint, with the assigned port when port 0 was requested.
   virtual const Endpoint &endpoint() const = 0;
-  /// Sends GOAWAY on every connection; open streams go on, new ones are
-  /// refused provably. The port stays taken until stop(), but connections that
-  /// come later are closed at once.
+  /// Sends GOAWAY on every connection. Open streams continue; new ones are
+  /// refused with REFUSED_STREAM. The socket listens until stop(), but later
+  /// connections are closed at once.
   virtual void drain() = 0;
   virtual size_t openStreams() const = 0;
   virtual uint64_t bytesSent() const = 0;
   virtual uint64_t bytesReceived() const = 0;
-  /// Of both: frames of Run and Resume. The rest is control work.
+  /// Bytes of Run and Resume frames, sent or received. The rest is control
+  /// traffic.
   virtual uint64_t requestBytes() const = 0;
-  /// Closes everything and joins the I/O threads; queued output has half a
-  /// second to leave. Not from an I/O thread.
+  /// Closes all connections and joins the I/O threads. Queued output is sent
+  /// for up to half a second. Not from an I/O thread.
   virtual void stop() = 0;
   /// Binds and listens; fails with PeerUnreachable while another process, even
   /// a paused one, listens on the address.
