--- a/Tests/LibWire/WireFixtures.cpp
+++ b/Tests/LibWire/WireFixtures.cpp
@@ -24,11 +24,10 @@
 namespace figlift::wire::test {
 
 namespace {
-// CppUTest's own new and delete keep an unlocked table, which crashes as soon
-// as two I/O threads allocate; with a lock they would order the threads and
-// hide races from the thread sanitizer. Leaks show under the address
-// sanitizer instead.
-[[maybe_unused]] const bool TableIsOff =
+// CppUTest's overloads of new and delete use an unlocked table, which crashes
+// when two I/O threads allocate. A lock would synchronize the threads and hide
+// races from the thread sanitizer. The address sanitizer finds leaks instead.
+[[maybe_unused]] const bool LeakDetectorDisabled =
     (MemoryLeakWarningPlugin::turnOffNewDeleteOverloads(), true);
 } // namespace
 
@@ -37,22 +36,23 @@
   return figlift::test::waitUntil(Limit, Holds);
 }
 
-void Recorder::onMessage(std::string_view Message) {
+void StreamRecorder::onMessage(std::string_view Message) {
   std::lock_guard Guard(m_Lock);
   m_Messages.emplace_back(Message);
 }
 
-void Recorder::onEnd(StreamEnd End) {
+void StreamRecorder::onEnd(StreamEnd End) {
   m_End = End;
   ++m_Ends;
 }
 
-std::vector<std::string> Recorder::messages() const {
+std::vector<std::string> StreamRecorder::messages() const {
   std::lock_guard Guard(m_Lock);
   return m_Messages;
 }
 
-std::optional<StreamEnd> Recorder::end(std::chrono::milliseconds Limit) const {
+std::optional<StreamEnd>
+StreamRecorder::end(std::chrono::milliseconds Limit) const {
   if (!eventually([this] { return m_Ends > 0; }, Limit))
     return std::nullopt;
   return m_End.load();
@@ -60,10 +60,11 @@
 
 namespace {
 
-/// Sends every message back, and ends with its peer.
+/// Sends every message back and finishes when the peer does.
 class Echo final : public StreamListener {
 public:
-  explicit Echo(std::shared_ptr<Stream> Opened) : m_Stream(std::move(Opened)) {}
+  explicit Echo(std::shared_ptr<Stream> OpenedStream)
+      : m_Stream(std::move(OpenedStream)) {}
   void onMessage(std::string_view Message) override {
     m_Stream->send(std::string(Message));
   }
@@ -74,26 +75,27 @@
   std::shared_ptr<Stream> m_Stream;
 };
 
-sockaddr_in addressOf(const Endpoint &From) {
+sockaddr_in socketAddress(const Endpoint &Peer) {
   sockaddr_in Address{};
   Address.sin_family = AF_INET;
-  Address.sin_port = htons(From.Port);
-  inet_pton(AF_INET, From.Address.c_str(), &Address.sin_addr);
+  Address.sin_port = htons(Peer.Port);
+  inet_pton(AF_INET, Peer.Address.c_str(), &Address.sin_addr);
   return Address;
 }
 
 } // namespace
 
 std::shared_ptr<StreamListener>
-TestService::onStream(Method What, std::shared_ptr<Stream> Opened) {
+TestService::onStream(Method StreamMethod,
+                      std::shared_ptr<Stream> OpenedStream) {
   std::lock_guard Guard(m_Lock);
-  m_LastMethod = What;
-  if (m_Conduct == Conduct::Echo)
-    return std::make_shared<Echo>(std::move(Opened));
-  if (m_Conduct == Conduct::Refuse)
-    Opened->refuse();
-  m_Recorders.push_back(std::make_shared<Recorder>());
-  m_Streams.push_back(std::move(Opened));
+  m_LastMethod = StreamMethod;
+  if (m_Behavior == Behavior::Echo)
+    return std::make_shared<Echo>(std::move(OpenedStream));
+  if (m_Behavior == Behavior::Refuse)
+    OpenedStream->refuse();
+  m_Recorders.push_back(std::make_shared<StreamRecorder>());
+  m_Streams.push_back(std::move(OpenedStream));
   return m_Recorders.back();
 }
 
@@ -102,7 +104,7 @@
   return m_Recorders.size();
 }
 
-std::shared_ptr<Recorder> TestService::recorder(size_t Index) const {
+std::shared_ptr<StreamRecorder> TestService::recorder(size_t Index) const {
   std::lock_guard Guard(m_Lock);
   return m_Recorders.at(Index);
 }
@@ -117,41 +119,43 @@
   return m_LastMethod;
 }
 
-void States::onState(Channel &, ChannelState State) {
+void ChannelStateRecorder::onState(Channel &, ChannelState State) {
   std::lock_guard Guard(m_Lock);
   m_Seen.push_back(State);
 }
 
-bool States::saw(ChannelState State) const {
+bool ChannelStateRecorder::saw(ChannelState State) const {
   std::lock_guard Guard(m_Lock);
   return std::find(m_Seen.begin(), m_Seen.end(), State) != m_Seen.end();
 }
 
-std::unique_ptr<Server> serve(const std::shared_ptr<ServerListener> &Listener,
-                              ServerOptions Options) {
+std::unique_ptr<Server>
+startServer(const std::shared_ptr<ServerListener> &Listener,
+            ServerOptions Options) {
   if (Options.Listen.Address.empty())
     Options.Listen = {"127.0.0.1", 0};
-  auto Made = Server::create(Options, Listener);
-  return Made ? std::move(Made).value() : nullptr;
+  auto Created = Server::create(Options, Listener);
+  return Created ? std::move(Created).value() : nullptr;
 }
 
 std::unique_ptr<Client> makeClient(ClientOptions Options) {
   return std::move(Client::create(Options)).value();
 }
 
-std::shared_ptr<Channel> upChannel(Client &From, const Endpoint &Peer) {
-  auto Made = From.connect(Peer, nullptr);
-  waitFor(*Made, ChannelState::Up);
-  return Made;
+std::shared_ptr<Channel> connectedChannel(Client &WireClient,
+                                          const Endpoint &Peer) {
+  auto Created = WireClient.connect(Peer, nullptr);
+  waitFor(*Created, ChannelState::Up);
+  return Created;
 }
 
-bool waitFor(const Channel &Which, ChannelState State) {
-  return eventually([&] { return Which.state() == State; });
+bool waitFor(const Channel &Source, ChannelState State) {
+  return eventually([&] { return Source.state() == State; });
 }
 
 RawSocket::RawSocket(const Endpoint &Peer)
     : RawSocket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  auto Address = addressOf(Peer);
+  auto Address = socketAddress(Peer);
   [[maybe_unused]] int Ignored = ::connect(
       m_Socket, reinterpret_cast<sockaddr *>(&Address), sizeof(Address));
 }
@@ -172,7 +176,7 @@
   char Buffer[16384];
   ssize_t Size = ::recv(m_Socket, Buffer, sizeof(Buffer), 0);
   if (Size > 0)
-    m_Got.append(Buffer, size_t(Size));
+    m_Input.append(Buffer, size_t(Size));
   else if (Size == 0)
     errno = 0;
   return Size > 0;
@@ -180,10 +184,10 @@
 
 bool RawSocket::receives(std::string_view Bytes) {
   size_t At = 0;
-  while ((At = m_Got.find(Bytes)) == std::string::npos)
+  while ((At = m_Input.find(Bytes)) == std::string::npos)
     if (!readMore())
       return false;
-  m_Got.erase(0, At + Bytes.size());
+  m_Input.erase(0, At + Bytes.size());
   return true;
 }
 
@@ -211,11 +215,11 @@
 
 RawListener::RawListener()
     : m_Socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  // Inherited by accepted sockets: a fixed small buffer is soon full and stays
-  // so, while one that the kernel tunes takes more after a pause.
+  // Inherited by accepted sockets. A small fixed buffer fills quickly and stays
+  // full, while an automatically tuned one grows after a pause.
   int Small = 16 << 10;
   setsockopt(m_Socket, SOL_SOCKET, SO_RCVBUF, &Small, sizeof(Small));
-  auto Address = addressOf({"127.0.0.1", 0});
+  auto Address = socketAddress({"127.0.0.1", 0});
   if (::bind(m_Socket, reinterpret_cast<sockaddr *>(&Address),
              sizeof(Address)) != 0 ||
       ::listen(m_Socket, 16) != 0)
@@ -225,10 +229,10 @@
 RawListener::~RawListener() { ::close(m_Socket); }
 
 Endpoint RawListener::endpoint() const {
-  sockaddr_in Own{};
-  socklen_t Length = sizeof(Own);
-  getsockname(m_Socket, reinterpret_cast<sockaddr *>(&Own), &Length);
-  return {"127.0.0.1", ntohs(Own.sin_port)};
+  sockaddr_in Local{};
+  socklen_t Length = sizeof(Local);
+  getsockname(m_Socket, reinterpret_cast<sockaddr *>(&Local), &Length);
+  return {"127.0.0.1", ntohs(Local.sin_port)};
 }
 
 std::unique_ptr<RawSocket> RawListener::accept() {
