--- a/Libraries/LibCore/BackgroundWorker.h
+++ b/Libraries/LibCore/BackgroundWorker.h
@@ -1,14 +1,14 @@
-//===- BackgroundWorker.h - Long computations beside a loop -----*- C++ -*-===//
+//===- BackgroundWorker.h - Runs computations off an I/O loop ---*- C++ -*-===//
 //
-// A computation that takes as long as many requests do would hold all of them
-// up on their loop. It runs on a thread of its own here, with nothing shared,
-// and its result comes back to the loop. The thread takes no signals.
+// Runs long computations on a separate thread, since on the loop they would
+// delay all requests. They share no state with the loop, and their results are
+// posted to it. The thread blocks all signals.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
-#include "LibCore/SignalsBlocked.h"
+#include "LibCore/ScopedSignalBlock.h"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -24,24 +24,26 @@
   /// \p Loop must outlive the worker.
   explicit BackgroundWorker(boost::asio::io_context &Loop) : m_Loop(Loop) {}
 
-  /// Calls \p What on the thread, then \p Then with its result on the loop, in
-  /// the order of the calls. \p What must use nothing that others change.
+  /// Calls \p Work on the worker thread, then \p Receive with its result on the
+  /// loop, in the order of the calls. \p Work must not use state that other
+  /// threads modify.
   template <typename Computation, typename Receiver>
-  void run(Computation What, Receiver Then) {
-    // Without other work the loop would end before the result comes.
+  void run(Computation Work, Receiver Receive) {
+    // The work guard keeps a loop without other work running until the result
+    // is posted.
     boost::asio::post(m_Thread, [Loop = boost::asio::make_work_guard(m_Loop),
-                                 What = std::move(What),
-                                 Then = std::move(Then)]() mutable {
-      boost::asio::post(Loop.get_executor(),
-                        [Then = std::move(Then), Found = What()]() mutable {
-                          Then(std::move(Found));
-                        });
+                                 Work = std::move(Work),
+                                 Receive = std::move(Receive)]() mutable {
+      boost::asio::post(Loop.get_executor(), [Receive = std::move(Receive),
+                                              Output = Work()]() mutable {
+        Receive(std::move(Output));
+      });
     });
   }
 
 private:
   static boost::asio::thread_pool startThread() {
-    const SignalsBlocked Inherited;
+    const ScopedSignalBlock Block;
     return boost::asio::thread_pool(1);
   }
 
--- a/Libraries/LibCore/Clock.cpp
+++ b/Libraries/LibCore/Clock.cpp
@@ -1,6 +1,6 @@
-//===- Clock.cpp - Time sources of the process shells ---------------------===//
+//===- Clock.cpp - Time sources of processes ------------------------------===//
 //
-// Reads the kernel's clocks.
+// Reads the kernel clocks.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Libraries/LibCore/Clock.h
+++ b/Libraries/LibCore/Clock.h
@@ -1,9 +1,9 @@
-//===- Clock.h - Time sources of the process shells -------------*- C++ -*-===//
+//===- Clock.h - Time sources of processes ----------------------*- C++ -*-===//
 //
-// State machines never read a clock: the shells pass the time in. Ages and
-// leases are judged by BootClock, which goes on counting while the machine is
-// suspended; std::chrono::steady_clock does not, so a holder that slept would
-// believe its lease to be younger than it is.
+// State machines do not read clocks; their processes pass the time in. Ages and
+// leases use BootClock, which continues while the machine is suspended. With
+// std::chrono::steady_clock, which does not, a lease holder would underestimate
+// the age of its lease after a suspend.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,10 +23,10 @@
   static time_point now() noexcept;
 };
 
-/// Instant on this machine's suspend-counting clock.
+/// Time on this machine's BootClock.
 using BootTime = BootClock::time_point;
-/// Wall-clock instant, milliseconds since the Unix epoch. Compared between
-/// machines only where a bound on their skew is part of the argument.
+/// Wall-clock time in milliseconds since the Unix epoch. Compared between
+/// machines only where the clock skew is bounded and accounted for.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 WallTime wallNow() noexcept;
--- a/Libraries/LibCore/Endpoint.cpp
+++ b/Libraries/LibCore/Endpoint.cpp
@@ -1,7 +1,7 @@
-//===- Endpoint.cpp - Reading and printing of addresses -------------------===//
+//===- Endpoint.cpp - IPv4 address and port -------------------------------===//
 //
-// Only dotted IPv4 numbers are taken: a host name would need a resolver, whose
-// outage would then stop processes that could reach each other.
+// Only dotted IPv4 addresses are accepted. Host names would need a resolver,
+// whose outage would affect processes that can reach each other.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
   auto Invalid = [&] {
     return failure(ResultCode::InvalidInput,
                    "found \"" + std::string(Text) +
-                       "\"; allowed is an IPv4 address and a port from 0 to "
+                       "\"; expected an IPv4 address and a port from 0 to "
                        "65535, such as \"127.0.0.1:8080\"");
   };
   auto Colon = Text.rfind(':');
--- a/Libraries/LibCore/Endpoint.h
+++ b/Libraries/LibCore/Endpoint.h
@@ -1,6 +1,6 @@
-//===- Endpoint.h - Address of a listener -----------------------*- C++ -*-===//
+//===- Endpoint.h - IPv4 address and port -----------------------*- C++ -*-===//
 //
-// Peers are known by IP number and port; no name is ever resolved.
+// Peers are addressed by IP address and port; host names are not resolved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
 
   /// "127.0.0.1:8080".
   std::string toString() const;
-  /// Reads "address:port"; fails with InvalidInput.
+  /// Parses "address:port"; fails with InvalidInput.
   static Result<Endpoint> parse(std::string_view Text);
 };
 
--- a/Libraries/LibCore/Field.h
+++ b/Libraries/LibCore/Field.h
@@ -1,7 +1,7 @@
 //===- Field.h - Named value of a log line or event -------------*- C++ -*-===//
 //
-// Log lines and time line events carry typed fields. A Field only refers to
-// its text, so that building one costs nothing when the log level is off.
+// Log lines and timeline events carry typed fields. A Field only refers to its
+// text, so that creating one is cheap when the log level is disabled.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 using FieldValue = std::variant<std::string_view, int64_t, uint64_t, double,
                                 bool, std::chrono::nanoseconds>;
 
-/// Lives no longer than the full expression that builds it.
+/// Valid only within the full expression that creates it.
 struct Field {
   std::string_view Name;
   FieldValue Value;
--- a/Libraries/LibCore/Ids.cpp
+++ b/Libraries/LibCore/Ids.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr uint16_t SequenceMask = 0x0fff;
-/// The start of each millisecond's sequence leaves half of the range free, so
-/// that it rarely runs over.
+/// The random start of each millisecond's sequence leaves half of the range
+/// free, so that the sequence rarely overflows.
 constexpr uint16_t SequenceStartMask = 0x07ff;
 constexpr size_t TextLength = 36;
 constexpr std::string_view HexDigits = "0123456789abcdef";
@@ -32,7 +32,7 @@
   return -1;
 }
 
-std::optional<Uuid::Bytes> readBytes(std::string_view Text) {
+std::optional<Uuid::Bytes> parseBytes(std::string_view Text) {
   if (Text.size() != TextLength)
     return std::nullopt;
   Uuid::Bytes Value{};
@@ -60,8 +60,10 @@
 
 } // namespace
 
-Uuid Uuid::makeVersion7(WallTime Minted, uint16_t RandomA, uint64_t RandomB) {
-  auto Milliseconds = static_cast<uint64_t>(Minted.time_since_epoch().count());
+Uuid Uuid::makeVersion7(WallTime CreatedAt, uint16_t RandomA,
+                        uint64_t RandomB) {
+  auto Milliseconds =
+      static_cast<uint64_t>(CreatedAt.time_since_epoch().count());
   Bytes Value{};
   for (size_t I = 0; I < 6; ++I)
     Value[I] = static_cast<uint8_t>(Milliseconds >> (40 - 8 * I));
@@ -74,11 +76,11 @@
 }
 
 Result<Uuid> Uuid::parse(std::string_view Text) {
-  if (auto Value = readBytes(Text))
+  if (auto Value = parseBytes(Text))
     return Uuid(*Value);
   return failure(ResultCode::InvalidInput,
                  "found \"" + std::string(Text.substr(0, TextLength)) +
-                     "\"; allowed is a UUID such as "
+                     "\"; expected a UUID such as "
                      "\"0190163d-8694-739b-aea5-966c26f8ad91\"");
 }
 
@@ -98,7 +100,7 @@
   return version() == 7 && (m_Bytes[8] & 0xc0) == 0x80;
 }
 
-std::optional<WallTime> Uuid::mintTime() const {
+std::optional<WallTime> Uuid::creationTime() const {
   if (!isVersion7())
     return std::nullopt;
   uint64_t Milliseconds = 0;
@@ -107,11 +109,11 @@
   return WallTime(std::chrono::milliseconds(Milliseconds));
 }
 
-std::optional<WallTime> mintTimeOfKey(std::string_view Key) {
-  auto Value = readBytes(Key);
+std::optional<WallTime> creationTimeOfKey(std::string_view Key) {
+  auto Value = parseBytes(Key);
   if (!Value)
     return std::nullopt;
-  return Uuid(*Value).mintTime();
+  return Uuid(*Value).creationTime();
 }
 
 UuidGenerator::UuidGenerator() : UuidGenerator(systemSeed()) {}
@@ -126,8 +128,8 @@
     m_Last = Now;
     m_Sequence = m_Random() & SequenceStartMask;
   } else if (++m_Sequence > SequenceMask) {
-    // The sequence of this millisecond is used up: borrow the next one, so
-    // that order and uniqueness hold without a wait.
+    // The sequence of this millisecond overflowed. The next millisecond is used
+    // early, which keeps order and uniqueness without waiting.
     m_Last += std::chrono::milliseconds(1);
     m_Sequence = m_Random() & SequenceStartMask;
   }
--- a/Libraries/LibCore/Ids.h
+++ b/Libraries/LibCore/Ids.h
@@ -1,8 +1,8 @@
 //===- Ids.h - Time-ordered unique identifiers ------------------*- C++ -*-===//
 //
-// Requests, attempts, orders and operations are named by version 7 UUIDs of
-// RFC 9562. The first 48 bits are the mint time, which the idempotency rules
-// compare; the rest is random.
+// Requests, attempts, orders and operations are identified by version 7 UUIDs
+// of RFC 9562. The first 48 bits are the creation time, which the idempotency
+// rules compare; the rest is random.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,8 +34,9 @@
 
   /// Builds a version 7 UUID. Only 74 bits of the two random words are used:
   /// the low 12 of \p RandomA and the low 62 of \p RandomB.
-  static Uuid makeVersion7(WallTime Minted, uint16_t RandomA, uint64_t RandomB);
-  /// Reads the 8-4-4-4-12 form in either case; fails with InvalidInput.
+  static Uuid makeVersion7(WallTime CreatedAt, uint16_t RandomA,
+                           uint64_t RandomB);
+  /// Parses the 8-4-4-4-12 form in either case; fails with InvalidInput.
   static Result<Uuid> parse(std::string_view Text);
 
   /// Lower case, 36 characters.
@@ -43,8 +44,8 @@
   unsigned version() const { return m_Bytes[6] >> 4; }
   /// Whether the version is 7 and the variant is RFC 9562's.
   bool isVersion7() const;
-  /// When the UUID was minted, by its minter's clock; only version 7 tells.
-  std::optional<WallTime> mintTime() const;
+  /// Creation time by the creator's clock; nothing unless the version is 7.
+  std::optional<WallTime> creationTime() const;
   const Bytes &bytes() const { return m_Bytes; }
 
   auto operator<=>(const Uuid &) const = default;
@@ -53,10 +54,11 @@
   Bytes m_Bytes{};
 };
 
-/// Mint time of a textual UUIDv7; nothing for any other text.
-std::optional<WallTime> mintTimeOfKey(std::string_view Key);
+/// Creation time of a textual UUIDv7; nothing for any other text.
+std::optional<WallTime> creationTimeOfKey(std::string_view Key);
 
-/// Mints version 7 UUIDs that are unique and, within one generator, ascending.
+/// Generates version 7 UUIDs that are unique and, within one generator,
+/// ascending.
 /// Members may be called from any thread.
 class UuidGenerator {
 public:
@@ -64,7 +66,7 @@
 
   /// Seeded from the operating system's random source.
   UuidGenerator();
-  /// The same seed and times give the same sequence.
+  /// Deterministic: the same seed and clock give the same sequence.
   explicit UuidGenerator(uint64_t Seed, WallClock Now = wallNow);
 
   Uuid next();
@@ -74,10 +76,10 @@
   std::mutex m_Mutex;
   std::mt19937_64 m_Random;
   WallClock m_Now;
-  /// Mint time of the last UUID; never goes back, even if the clock does.
+  /// Creation time of the last UUID; does not decrease when the clock does.
   WallTime m_Last{};
   /// RFC 9562 method 1: the 12 bits after the version count the UUIDs of one
-  /// millisecond upwards from a random start.
+  /// millisecond, from a random start.
   uint16_t m_Sequence = 0;
 };
 
--- a/Libraries/LibCore/Result.h
+++ b/Libraries/LibCore/Result.h
@@ -21,14 +21,15 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/// Why something did not succeed.
+/// The reason of a failure.
 struct Error {
   ResultCode Code = ResultCode::Internal;
-  /// One sentence for a person: what was found and what is allowed.
+  /// Message for operators: what was found and what was expected.
   std::string Message;
-  /// Path of the field that is at fault ("spec.roles.prefill"), or empty.
+  /// Path of the invalid field ("spec.roles.prefill"), or empty.
   std::string Field;
-  /// How long a caller should wait before it asks again, when waiting helps.
+  /// How long a caller should wait before a retry; absent when waiting does not
+  /// help.
   std::optional<std::chrono::milliseconds> RetryAfter;
 };
 
--- a/Libraries/LibCore/ResultCode.h
+++ b/Libraries/LibCore/ResultCode.h
@@ -1,8 +1,8 @@
 //===- ResultCode.h - Numbered result codes of figlift ----------*- C++ -*-===//
 //
-// One table of every way in which a request, an order or an operator's change
-// can end. The number is part of the caller interface: it is never reused.
-// docs/RESULT-CODES.md shows the same table and a test compares the two.
+// All outcomes of requests, orders and operators' changes. The numbers are part
+// of the public interface and never reused. docs/RESULT-CODES.md is generated
+// from the table, and a test compares the two.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,8 +16,8 @@
 namespace figlift {
 
 /// Numbers are grouped: 1xx the caller's input, 2xx refusals before execution,
-/// 3xx outcomes after hand-off, 4xx operators' changes, 5xx orders and
-/// authority, 6xx platform and peers, 7xx local faults.
+/// 3xx outcomes after dispatch, 4xx operators' changes, 5xx orders and
+/// authority, 6xx platform and peers, 7xx local errors.
 enum class ResultCode {
   Success = 0,
 
@@ -65,18 +65,18 @@
   Internal = 702,
 };
 
-/// Whether the work behind a request was executed.
+/// Whether a request was executed.
 enum class Execution { NotRun, MayHaveRun, Ran, NotApplicable };
 
 /// One row of the table.
 struct ResultCodeInfo {
   ResultCode Code;
   std::string_view Name;
-  /// Status of the HTTP answer that carries this code.
+  /// Status of an HTTP response with this code.
   int HttpStatus;
   Execution Executed;
-  /// Whether a caller may send the same request again without a risk that it
-  /// runs twice.
+  /// Whether a caller may retry the request without the risk that it is
+  /// executed twice.
   bool MayRetry;
   std::string_view Meaning;
 };
@@ -87,7 +87,8 @@
 /// The row of \p Code; every enumerator has one.
 const ResultCodeInfo &resultCodeInfo(ResultCode Code);
 
-/// The enumerator of a number that came from another process, if it is one.
+/// The enumerator for a number received from another process; nothing if the
+/// number is unknown.
 std::optional<ResultCode> resultCodeFromNumber(int Number);
 
 const std::error_category &resultCodeCategory();
--- a/Libraries/LibCore/ResultCodePage.cpp
+++ b/Libraries/LibCore/ResultCodePage.cpp
@@ -1,4 +1,4 @@
-//===- ResultCodePage.cpp - The table of result codes as a page -----------===//
+//===- ResultCodePage.cpp - Documentation page of result codes ------------===//
 //
 // See ResultCodePage.h.
 //
@@ -22,11 +22,11 @@
 constexpr std::array Groups = {Group{0, "Success"},
                                Group{100, "The caller's input"},
                                Group{200, "Refusals before execution"},
-                               Group{300, "Outcomes after hand-off"},
+                               Group{300, "Outcomes after dispatch"},
                                Group{400, "Operators' changes"},
                                Group{500, "Orders and authority"},
                                Group{600, "Platform and peers"},
-                               Group{700, "Local faults"}};
+                               Group{700, "Local errors"}};
 
 std::string_view describe(Execution Executed) {
   switch (Executed) {
@@ -57,10 +57,10 @@
       "# Result codes\n\n"
       "Every refusal, failure and rejected change carries one of these "
       "numbers. A number is never reused.\n\n"
-      "- *Executed* says whether the work was handed to a target. \"not run\" "
-      "is a promise.\n"
+      "- *Executed* says whether the work was sent to a target. \"not run\" "
+      "is guaranteed.\n"
       "- *Retry* says whether the same request may be sent again without a "
-      "risk that it runs twice. When waiting\n  helps, the answer carries "
+      "risk that it runs twice. When waiting\n  helps, the response carries "
       "`Retry-After`.\n";
   for (const auto &[First, Title] : Groups) {
     Page += "\n## " + std::string(Title) +
--- a/Libraries/LibCore/ResultCodePage.h
+++ b/Libraries/LibCore/ResultCodePage.h
@@ -1,6 +1,6 @@
-//===- ResultCodePage.h - The table of result codes as a page ---*- C++ -*-===//
+//===- ResultCodePage.h - Documentation page of result codes ----*- C++ -*-===//
 //
-// Makes docs/RESULT-CODES.md, so that the page cannot differ from the code.
+// Generates docs/RESULT-CODES.md from the table of result codes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 
 namespace figlift {
 
-/// The whole page in Markdown.
+/// The complete page as Markdown.
 std::string resultCodePage();
 
 } // namespace figlift
--- a/Tests/LibCore/TestBackgroundWorker.cpp
+++ b/Tests/LibCore/TestBackgroundWorker.cpp
@@ -1,7 +1,7 @@
-//===- TestBackgroundWorker.cpp - Long computations beside a loop ---------===//
+//===- TestBackgroundWorker.cpp - Computations off an I/O loop ------------===//
 //
-// The computation waits for what only the loop can give: run on the loop it
-// would never end.
+// A computation on the worker must not block the loop, and results must arrive
+// on the loop in order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,59 +23,60 @@
   boost::asio::io_context Loop;
   BackgroundWorker Worker{Loop};
 
-  template <typename Condition> bool until(Condition Done) {
+  template <typename Condition> bool runUntil(Condition Reached) {
     const auto End = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-    while (!Done() && std::chrono::steady_clock::now() < End)
+    while (!Reached() && std::chrono::steady_clock::now() < End)
       Loop.run_for(std::chrono::milliseconds(1));
-    return Done();
+    return Reached();
   }
 };
 
-// Failure: requests on the loop wait until a long computation has ended.
-TEST(BackgroundWorker, LeavesTheLoopFree) {
-  std::promise<int> OfLoop;
-  int Found = 0;
-  Worker.run([Given = OfLoop.get_future().share()] { return Given.get(); },
-             [&](int Result) { Found = Result; });
-  boost::asio::post(Loop, [&] { OfLoop.set_value(7); });
-  CHECK(until([&] { return Found == 7; }));
+// Guards against requests that wait on the loop for a long computation. The
+// computation waits for a value set by the loop, so it would deadlock there.
+TEST(BackgroundWorker, DoesNotBlockTheLoop) {
+  std::promise<int> LoopValue;
+  int Output = 0;
+  Worker.run([Input = LoopValue.get_future().share()] { return Input.get(); },
+             [&](int Result) { Output = Result; });
+  boost::asio::post(Loop, [&] { LoopValue.set_value(7); });
+  CHECK(runUntil([&] { return Output == 7; }));
 }
 
-// Failure: of two signals that follow each other the worker's thread takes one,
-// and the loop sees the later one first.
-TEST(BackgroundWorker, LeavesSignalsToOthers) {
+// Guards against a worker thread that receives one of two successive signals,
+// so that the loop handles the later one first.
+TEST(BackgroundWorker, BlocksSignalsOnItsThread) {
   std::optional<std::vector<bool>> Blocked;
   Worker.run(
       [] {
-        sigset_t Own;
-        pthread_sigmask(SIG_BLOCK, nullptr, &Own);
-        return std::vector<bool>{sigismember(&Own, SIGHUP) == 1,
-                                 sigismember(&Own, SIGTERM) == 1};
+        sigset_t Mask;
+        pthread_sigmask(SIG_BLOCK, nullptr, &Mask);
+        return std::vector<bool>{sigismember(&Mask, SIGHUP) == 1,
+                                 sigismember(&Mask, SIGTERM) == 1};
       },
-      [&](std::vector<bool> Found) { Blocked = std::move(Found); });
-  CHECK(until([&] { return Blocked.has_value(); }));
+      [&](std::vector<bool> Output) { Blocked = std::move(Output); });
+  CHECK(runUntil([&] { return Blocked.has_value(); }));
   CHECK(Blocked == std::vector<bool>({true, true}));
 }
 
-// Failure: the thread that makes the worker takes no signals either.
-TEST(BackgroundWorker, LeavesTheSignalsOfItsMakerAsTheyWere) {
-  sigset_t Own;
-  pthread_sigmask(SIG_BLOCK, nullptr, &Own);
-  LONGS_EQUAL(0, sigismember(&Own, SIGTERM));
+// Guards against blocking signals in the thread that creates the worker.
+TEST(BackgroundWorker, KeepsTheSignalMaskOfTheCreatingThread) {
+  sigset_t Mask;
+  pthread_sigmask(SIG_BLOCK, nullptr, &Mask);
+  LONGS_EQUAL(0, sigismember(&Mask, SIGTERM));
 }
 
-TEST(BackgroundWorker, GivesResultsOnTheLoopInOrder) {
-  std::vector<int> Found;
+TEST(BackgroundWorker, DeliversResultsOnTheLoopInOrder) {
+  std::vector<int> Output;
   bool OnLoop = true;
-  const auto Here = std::this_thread::get_id();
-  for (int Each = 0; Each < 20; ++Each)
-    Worker.run([Each] { return Each; },
+  const auto LoopThread = std::this_thread::get_id();
+  for (int I = 0; I < 20; ++I)
+    Worker.run([I] { return I; },
                [&](int Result) {
-                 OnLoop = OnLoop && std::this_thread::get_id() == Here;
-                 Found.push_back(Result);
+                 OnLoop = OnLoop && std::this_thread::get_id() == LoopThread;
+                 Output.push_back(Result);
                });
-  CHECK(until([&] { return Found.size() == 20; }));
+  CHECK(runUntil([&] { return Output.size() == 20; }));
   CHECK(OnLoop);
-  for (int Each = 0; Each < 20; ++Each)
-    LONGS_EQUAL(Each, Found[static_cast<size_t>(Each)]);
+  for (int I = 0; I < 20; ++I)
+    LONGS_EQUAL(I, Output[static_cast<size_t>(I)]);
 }
--- a/Tests/LibCore/TestEndpoint.cpp
+++ b/Tests/LibCore/TestEndpoint.cpp
@@ -1,6 +1,6 @@
-//===- TestEndpoint.cpp - Reading of addresses ------------------*- C++ -*-===//
+//===- TestEndpoint.cpp - Parsing of addresses ------------------*- C++ -*-===//
 //
-// What is an address and what is not.
+// Valid and invalid addresses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,19 +12,19 @@
 
 TEST_GROUP(Endpoint){};
 
-TEST(Endpoint, ReadsWhatItPrints) {
+TEST(Endpoint, ParsesItsOwnText) {
   for (const char *Text : {"127.0.0.1:0", "10.1.2.3:65535"})
     CHECK(Endpoint::parse(Text).value().toString() == Text);
 }
 
-TEST(Endpoint, RefusesEverythingElse) {
+TEST(Endpoint, RejectsInvalidAddresses) {
   for (const char *Text :
        {"", ":", "127.0.0.1", "127.0.0.1:", ":80", "127.0.0.1:65536",
         "127.0.0.1:-1", "127.0.0.1:8x", "127.0.0.1: 8", "localhost:80",
         "256.0.0.1:80", "1.2.3:80", "::1:80", "127.0.0.1:80 "}) {
-    auto Read = Endpoint::parse(Text);
-    CHECK_TEXT(!Read, Text);
-    CHECK(Read.error().Code == ResultCode::InvalidInput);
-    STRCMP_CONTAINS(Text, Read.error().Message.c_str());
+    auto Parsed = Endpoint::parse(Text);
+    CHECK_TEXT(!Parsed, Text);
+    CHECK(Parsed.error().Code == ResultCode::InvalidInput);
+    STRCMP_CONTAINS(Text, Parsed.error().Message.c_str());
   }
 }
--- a/Tests/LibCore/TestIds.cpp
+++ b/Tests/LibCore/TestIds.cpp
@@ -1,7 +1,7 @@
 //===- TestIds.cpp - Time-ordered unique identifiers ------------*- C++ -*-===//
 //
-// The layout of RFC 9562, and what the idempotency rules rely on: the mint
-// time is exact, and ids of one generator ascend.
+// The layout of RFC 9562, and two properties required by the idempotency rules:
+// the creation time is exact, and ids of one generator ascend.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,19 +27,21 @@
 
 TEST_GROUP(Ids){};
 
-TEST(Ids, AgreesWithTheExampleOfTheStandard) {
+TEST(Ids, MatchesTheExampleOfRfc9562) {
   // RFC 9562, appendix A.6: 2022-02-22 14:22:22 -05:00.
-  const WallTime Minted = at(1645557742000);
-  Uuid Made = Uuid::makeVersion7(Minted, 0xcc3, 0x18c4dc0c0c07398f);
-  STRCMP_EQUAL("017f22e2-79b0-7cc3-98c4-dc0c0c07398f", Made.toString().c_str());
-  Uuid Read = Uuid::parse("017F22E2-79B0-7CC3-98C4-DC0C0C07398F").value();
-  CHECK(Read == Made);
-  CHECK(Read.mintTime() == Minted);
+  const WallTime CreatedAt = at(1645557742000);
+  Uuid Created = Uuid::makeVersion7(CreatedAt, 0xcc3, 0x18c4dc0c0c07398f);
+  STRCMP_EQUAL("017f22e2-79b0-7cc3-98c4-dc0c0c07398f",
+               Created.toString().c_str());
+  Uuid Parsed = Uuid::parse("017F22E2-79B0-7CC3-98C4-DC0C0C07398F").value();
+  CHECK(Parsed == Created);
+  CHECK(Parsed.creationTime() == CreatedAt);
 }
 
-TEST(Ids, OnlyVersion7TellsAMintTime) {
-  // Symptom: a key without a time is taken for a new one after a takeover and
-  // runs twice. Cause: bytes of another version read as a time.
+TEST(Ids, OnlyVersion7HasACreationTime) {
+  // Guards against a request that is executed twice: after a takeover, a key
+  // without a timestamp must not count as new because bytes of another UUID
+  // version are read as a time.
   for (const char *Key :
        {"", "order-17", "017f22e2-79b0-4cc3-98c4-dc0c0c07398f",
         "017f22e2-79b0-7cc3-18c4-dc0c0c07398f",
@@ -48,7 +50,7 @@
         "017f22e2-79b0-7cc3-98c4-dc0c0c07398g",
         "017f22e2-79b0-7cc3-98c4-dc0c0c07398f ",
         "00000000-0000-0000-0000-000000000000"})
-    CHECK_TEXT(!mintTimeOfKey(Key), Key);
+    CHECK_TEXT(!creationTimeOfKey(Key), Key);
   CHECK(!Uuid::parse("017f22e2079b0-7cc3-98c4-dc0c0c07398f"));
 }
 
@@ -60,10 +62,9 @@
   CHECK(Text != Other.nextText());
 }
 
-TEST(Ids, AscendWhileTheClockStepsBack) {
-  // Symptom: a later id sorts before an earlier one. Sequence: the clock of
-  // the VM is corrected backwards between two ids. Cause: minting from the
-  // wall clock alone.
+TEST(Ids, AscendWhenTheClockIsSetBack) {
+  // Guards against a later id that sorts before an earlier one after the VM's
+  // clock was set back between them.
   int64_t Now = 1000;
   UuidGenerator Generator(1, [&] { return at(Now); });
   Uuid Last = Generator.next();
@@ -75,7 +76,7 @@
   }
 }
 
-TEST(Ids, AscendWhenTheSequenceOfAMillisecondRunsOver) {
+TEST(Ids, AscendWhenTheSequenceOfAMillisecondOverflows) {
   UuidGenerator Generator(1, [] { return at(1000); });
   Uuid Last = Generator.next();
   for (int I = 0; I < 10000; ++I) {
@@ -84,24 +85,24 @@
     Last = New;
   }
   CHECK(Last.isVersion7());
-  CHECK(*Last.mintTime() <= at(1000 + 10000 / 2048 + 1));
+  CHECK(*Last.creationTime() <= at(1000 + 10000 / 2048 + 1));
 }
 
-TEST(Ids, AreUniqueOverThreads) {
+TEST(Ids, AreUniqueAcrossThreads) {
   UuidGenerator Generator;
-  std::vector<std::vector<Uuid>> Made(4);
+  std::vector<std::vector<Uuid>> Created(4);
   {
     std::vector<std::jthread> Threads;
-    for (auto &Own : Made)
+    for (auto &Ids : Created)
       Threads.emplace_back([&] {
         for (int I = 0; I < 2000; ++I)
-          Own.push_back(Generator.next());
+          Ids.push_back(Generator.next());
       });
   }
   std::set<Uuid> All;
-  for (const auto &Own : Made) {
-    CHECK(std::ranges::is_sorted(Own));
-    All.insert(Own.begin(), Own.end());
+  for (const auto &Ids : Created) {
+    CHECK(std::ranges::is_sorted(Ids));
+    All.insert(Ids.begin(), Ids.end());
   }
   LONGS_EQUAL(8000, All.size());
 }
--- a/Tests/LibCore/TestResultCode.cpp
+++ b/Tests/LibCore/TestResultCode.cpp
@@ -1,6 +1,6 @@
-//===- TestResultCode.cpp - The promises of the result table ----*- C++ -*-===//
+//===- TestResultCode.cpp - Guarantees of result codes ----------*- C++ -*-===//
 //
-// What callers may conclude from a number, and the page that tells them.
+// What callers may conclude from a result code, and the page that documents it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(ResultCode, NumbersLeadBackToTheirRows) {
+TEST(ResultCode, NumbersMapToTheirRows) {
   for (const ResultCodeInfo &Row : resultCodeTable()) {
     auto Code = resultCodeFromNumber(static_cast<int>(Row.Code));
     CHECK(Code == Row.Code);
@@ -46,10 +46,10 @@
     CHECK(!resultCodeFromNumber(Unknown));
 }
 
-TEST(ResultCode, RefusalsPromiseThatNothingRan) {
-  // Symptom: a caller repeats a refused slot hold and the slot is held twice.
-  // Sequence: hand-off, lost answer, a refusal with a 2xx code, a retry.
-  // Cause: a code of the refusal group that does not promise "not run".
+TEST(ResultCode, RefusalsGuaranteeThatNothingWasExecuted) {
+  // Guards against a request that is executed twice: it is sent to a target,
+  // its response is lost, and the caller retries after a 2xx code although the
+  // code does not guarantee that the request was not executed.
   for (const ResultCodeInfo &Row : resultCodeTable()) {
     if (groupOf(Row) == 1 || groupOf(Row) == 2)
       CHECK(Row.Executed == Execution::NotRun);
@@ -61,10 +61,10 @@
   }
 }
 
-TEST(ResultCode, ThePageShowsTheTable) {
-  std::string Wanted = resultCodePage();
+TEST(ResultCode, PageMatchesTheTable) {
+  std::string Expected = resultCodePage();
   for (const ResultCodeInfo &Row : resultCodeTable())
-    STRCMP_CONTAINS(std::string(Row.Name).c_str(), Wanted.c_str());
-  STRCMP_EQUAL(Wanted.c_str(),
-               test::documentPage("RESULT-CODES.md", Wanted).c_str());
+    STRCMP_CONTAINS(std::string(Row.Name).c_str(), Expected.c_str());
+  STRCMP_EQUAL(Expected.c_str(),
+               test::documentPage("RESULT-CODES.md", Expected).c_str());
 }
