--- a/Libraries/LibLog/Log.cpp
+++ b/Libraries/LibLog/Log.cpp
@@ -1,7 +1,7 @@
 //===- Log.cpp - Structured log -------------------------------------------===//
 //
-// Formats a line in the calling thread and hands it to spdlog, whose sink
-// takes a lock for the write alone.
+// Formats each line in the calling thread and passes it to spdlog, whose sink
+// holds a lock only while writing.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +32,7 @@
 using Json = nlohmann::ordered_json;
 
 struct LevelName {
-  Level Which;
+  Level Value;
   std::string_view Name;
 };
 constexpr std::array LevelNames = {
@@ -58,7 +58,7 @@
   return Instance;
 }
 
-/// Rounded to a microsecond: finer digits say nothing and cost bytes.
+/// Rounded to microseconds, since more digits only make lines longer.
 double toMilliseconds(std::chrono::nanoseconds Time) {
   return std::round(std::chrono::duration<double, std::micro>(Time).count()) /
          1000;
@@ -66,24 +66,24 @@
 
 Json toJson(const FieldValue &Value) {
   return std::visit(
-      [](const auto &Held) -> Json {
-        using Type = std::decay_t<decltype(Held)>;
+      [](const auto &Alternative) -> Json {
+        using Type = std::decay_t<decltype(Alternative)>;
         if constexpr (std::is_same_v<Type, std::chrono::nanoseconds>)
-          return toMilliseconds(Held);
+          return toMilliseconds(Alternative);
         else if constexpr (std::is_same_v<Type, std::string_view>)
-          return std::string(Held);
+          return std::string(Alternative);
         else
-          return Held;
+          return Alternative;
       },
       Value);
 }
 
 std::string dump(const Json &Value) {
-  // Bytes that are not UTF-8 would otherwise throw in the middle of a log call.
+  // Replaces invalid UTF-8, which would otherwise throw.
   return Value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string timeText(WallTime Now) {
+std::string formatTime(WallTime Now) {
   auto Second = std::chrono::floor<std::chrono::seconds>(Now);
   std::time_t Time = std::chrono::system_clock::to_time_t(Second);
   std::tm Parts{};
@@ -97,7 +97,7 @@
 Json makeLine(Level Severity, std::string_view Name, std::string_view RequestId,
               std::string_view AttemptId, FieldList Fields) {
   Json Line;
-  Line["time"] = timeText(wallNow());
+  Line["time"] = formatTime(wallNow());
   Line["level"] = toString(Severity);
   Line["process"] = state().Current.ProcessId;
   Line["event"] = Name;
@@ -110,14 +110,14 @@
   return Line;
 }
 
-bool isPlain(std::string_view Text) {
+bool needsNoEscaping(std::string_view Text) {
   return std::all_of(Text.begin(), Text.end(), [](unsigned char Byte) {
     return Byte >= 0x20 && Byte < 0x7f && Byte != '"' && Byte != '\\';
   });
 }
 
 void appendText(std::string &To, std::string_view Text) {
-  if (!isPlain(Text)) {
+  if (!needsNoEscaping(Text)) {
     To += dump(std::string(Text));
     return;
   }
@@ -128,17 +128,19 @@
 
 void appendValue(std::string &To, const FieldValue &Value) {
   std::visit(
-      [&](const auto &Held) {
-        using Type = std::decay_t<decltype(Held)>;
+      [&](const auto &Alternative) {
+        using Type = std::decay_t<decltype(Alternative)>;
         if constexpr (std::is_same_v<Type, std::string_view>)
-          appendText(To, Held);
+          appendText(To, Alternative);
         else if constexpr (std::is_same_v<Type, std::chrono::nanoseconds>)
-          fmt::format_to(std::back_inserter(To), "{}", toMilliseconds(Held));
+          fmt::format_to(std::back_inserter(To), "{}",
+                         toMilliseconds(Alternative));
         else if constexpr (std::is_same_v<Type, double>)
           // JSON has no infinity.
-          To += std::isfinite(Held) ? fmt::format("{}", Held) : "null";
+          To += std::isfinite(Alternative) ? fmt::format("{}", Alternative)
+                                           : "null";
         else
-          fmt::format_to(std::back_inserter(To), "{}", Held);
+          fmt::format_to(std::back_inserter(To), "{}", Alternative);
       },
       Value);
 }
@@ -151,15 +153,15 @@
   appendValue(To, Value);
 }
 
-/// The line as JSON, written as it goes: built as a tree first, a line took
-/// three times as long, and with them a gateway 9% of its processor time.
-std::string asJson(Level Severity, std::string_view Name,
-                   std::string_view RequestId, std::string_view AttemptId,
-                   FieldList Fields) {
+/// Formats the line as JSON directly. Building a JSON tree first takes three
+/// times as long, which costs a gateway 9% of its CPU time.
+std::string formatJson(Level Severity, std::string_view Name,
+                       std::string_view RequestId, std::string_view AttemptId,
+                       FieldList Fields) {
   constexpr size_t UsualLength = 512;
   std::string Line;
   Line.reserve(UsualLength);
-  Line = "{\"time\":\"" + timeText(wallNow()) + '"';
+  Line = "{\"time\":\"" + formatTime(wallNow()) + '"';
   appendField(Line, "level", toString(Severity));
   appendField(Line, "process", std::string_view(state().Current.ProcessId));
   appendField(Line, "event", Name);
@@ -174,7 +176,7 @@
 }
 
 /// "TIME LEVEL PROCESS EVENT key=value ...".
-std::string asText(const Json &Line) {
+std::string formatText(const Json &Line) {
   std::string Text;
   size_t Position = 0;
   for (const auto &[Key, Value] : Line.items()) {
@@ -192,13 +194,12 @@
 } // namespace
 
 Result<Level> parseLevel(std::string_view Text) {
-  for (const auto &[Which, Name] : LevelNames)
+  for (const auto &[Value, Name] : LevelNames)
     if (Name == Text)
-      return Which;
+      return Value;
   return failure(ResultCode::InvalidInput,
                  "found \"" + std::string(Text) +
-                     "\"; allowed are trace, debug, info, warning, error and "
-                     "off");
+                     "\"; expected trace, debug, info, warning, error or off");
 }
 
 Result<Format> parseFormat(std::string_view Text) {
@@ -206,17 +207,17 @@
     return Format::Json;
   if (Text == "text")
     return Format::Text;
-  return failure(ResultCode::InvalidInput, "found \"" + std::string(Text) +
-                                               "\"; allowed are json and text");
+  return failure(ResultCode::InvalidInput,
+                 "found \"" + std::string(Text) + "\"; expected json or text");
 }
 
-std::string_view toString(Level Which) {
-  return LevelNames[static_cast<size_t>(Which)].Name;
+std::string_view toString(Level Value) {
+  return LevelNames[static_cast<size_t>(Value)].Name;
 }
 
-void configure(Options Wanted) {
-  detail::Threshold.store(Wanted.Threshold, std::memory_order_relaxed);
-  state().Current = std::move(Wanted);
+void configure(Options NewOptions) {
+  detail::Threshold.store(NewOptions.Threshold, std::memory_order_relaxed);
+  state().Current = std::move(NewOptions);
 }
 
 void detail::write(Level Severity, std::string_view Name,
@@ -224,9 +225,9 @@
                    FieldList Fields) {
   const Options &Current = state().Current;
   const std::string Text =
-      Current.Form == Format::Json
-          ? asJson(Severity, Name, RequestId, AttemptId, Fields)
-          : asText(makeLine(Severity, Name, RequestId, AttemptId, Fields));
+      Current.OutputFormat == Format::Json
+          ? formatJson(Severity, Name, RequestId, AttemptId, Fields)
+          : formatText(makeLine(Severity, Name, RequestId, AttemptId, Fields));
   if (Current.Sink)
     return Current.Sink(Text);
   state().Logger->log(spdlog::level::info, spdlog::string_view_t(Text));
--- a/Libraries/LibLog/Log.h
+++ b/Libraries/LibLog/Log.h
@@ -1,11 +1,10 @@
-//===- Log.h - Structured log ------------------------------------*- C++
-//-*-===//
+//===- Log.h - Structured log -----------------------------------*- C++ -*-===//
 //
-// One line for each event, as JSON or as text, on standard error through
-// spdlog. A line has a name, typed fields and, where they apply, the ids of the
-// request and the attempt. Prompts, answers, bodies and idempotency keys are
-// never logged: they are customers' data, and a key lets its reader fetch the
-// stored answer. Sizes and digests may be logged in their place.
+// Writes one line per event, as JSON or text, to standard error through spdlog.
+// A line has an event name, typed fields and, where they apply, the ids of the
+// request and the attempt. Prompts, responses, bodies and idempotency keys are
+// never logged: they are customer data, and with a key a reader could fetch the
+// stored response. Sizes and digests may be logged instead.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,20 +27,20 @@
 Result<Level> parseLevel(std::string_view Text);
 /// "json" or "text".
 Result<Format> parseFormat(std::string_view Text);
-std::string_view toString(Level Which);
+std::string_view toString(Level Value);
 
 struct Options {
-  Format Form = Format::Json;
+  Format OutputFormat = Format::Json;
   Level Threshold = Level::Info;
-  /// Stands in every line.
+  /// Written to every line.
   std::string ProcessId;
-  /// Receives the finished lines instead of standard error; for tests.
+  /// Receives the formatted lines instead of standard error; for tests.
   std::function<void(std::string_view)> Sink;
 };
 
-/// Replaces the process's log. Called at the start of main, before there are
-/// other threads; until then lines go to standard error as JSON.
-void configure(Options Wanted);
+/// Configures the log of the process. Called at the start of main(), before
+/// other threads exist; until then lines go to standard error as JSON.
+void configure(Options NewOptions);
 
 namespace detail {
 extern std::atomic<Level> Threshold;
@@ -49,14 +48,14 @@
            std::string_view AttemptId, FieldList Fields);
 } // namespace detail
 
-inline bool isOn(Level Severity) {
+inline bool isEnabled(Level Severity) {
   return Severity >= detail::Threshold.load(std::memory_order_relaxed);
 }
 
-/// Logs one event. \p Name is a constant such as "order-refused". Any thread.
+/// Logs an event; \p Name is a constant such as "order-refused". Any thread.
 inline void logEvent(Level Severity, std::string_view Name,
                      FieldList Fields = {}) {
-  if (isOn(Severity))
+  if (isEnabled(Severity))
     detail::write(Severity, Name, {}, {}, Fields);
 }
 
@@ -64,7 +63,7 @@
 inline void logRequest(Level Severity, std::string_view Name,
                        std::string_view RequestId, std::string_view AttemptId,
                        FieldList Fields = {}) {
-  if (isOn(Severity))
+  if (isEnabled(Severity))
     detail::write(Severity, Name, RequestId, AttemptId, Fields);
 }
 
--- a/Services/figlift-agent/Main.cpp
+++ b/Services/figlift-agent/Main.cpp
@@ -42,7 +42,7 @@
 
 static int run(const settings::AgentSettings &Settings) {
   log::Options Log;
-  Log.Form = Settings.Log.Format;
+  Log.OutputFormat = Settings.Log.Format;
   Log.Threshold = Settings.Log.Level;
   Log.ProcessId = Settings.Process.Id;
   log::configure(Log);
--- a/Services/figlift-entry/CallRouting.cpp
+++ b/Services/figlift-entry/CallRouting.cpp
@@ -83,7 +83,7 @@
   auto Choose = [&](std::span<const std::string> ExcludedIds) {
     return route::chooseTarget(
         m_Context.Routing, Now.Table, Shape, ExcludedIds, Seed,
-        log::isOn(log::Level::Debug) ? &Candidates : nullptr);
+        log::isEnabled(log::Level::Debug) ? &Candidates : nullptr);
   };
   if (!NonPreferred.empty()) {
     NonPreferred.insert(NonPreferred.end(), Excluded.begin(), Excluded.end());
@@ -150,7 +150,7 @@
 void Call::logChosenTarget(const route::TargetView &Target,
                            const std::vector<route::CandidateScore> &Candidates,
                            const std::vector<std::string> &Excluded) const {
-  if (!log::isOn(log::Level::Debug))
+  if (!log::isEnabled(log::Level::Debug))
     return;
   std::string Costs;
   for (const route::CandidateScore &Candidate : Candidates)
--- a/Services/figlift-entry/Main.cpp
+++ b/Services/figlift-entry/Main.cpp
@@ -31,7 +31,7 @@
 
 int run(const settings::EntrySettings &Settings) {
   log::Options Log;
-  Log.Form = Settings.Log.Format;
+  Log.OutputFormat = Settings.Log.Format;
   Log.Threshold = Settings.Log.Level;
   Log.ProcessId = Settings.Process.Id;
   log::configure(Log);
--- a/Tests/LibLog/TestLog.cpp
+++ b/Tests/LibLog/TestLog.cpp
@@ -1,6 +1,6 @@
 //===- TestLog.cpp - Lines of the structured log ----------------*- C++ -*-===//
 //
-// The form of lines, and that an event is always exactly one line.
+// The format of lines; an event is always exactly one line.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,17 +19,17 @@
 
 namespace {
 
-/// The log makes its sink once for the whole process; made inside of a test,
-/// it would count as that test's leak.
-[[maybe_unused]] const bool IsMade = (configure({}), true);
+/// The log creates its sink once per process. Within a test, that would be
+/// reported as a leak of the test.
+[[maybe_unused]] const bool SinkCreated = (configure({}), true);
 
 } // namespace
 
 TEST_GROUP(Log) {
   std::vector<std::string> Lines;
 
-  void use(Format Form, Level Threshold) {
-    configure({Form, Threshold, "entry-1",
+  void configureFormat(Format OutputFormat, Level Threshold) {
+    configure({OutputFormat, Threshold, "entry-1",
                [this](std::string_view Line) { Lines.emplace_back(Line); }});
   }
   void teardown() override {
@@ -39,7 +39,7 @@
 };
 
 TEST(Log, JsonLinesKeepTheTypesOfFields) {
-  use(Format::Json, Level::Info);
+  configureFormat(Format::Json, Level::Info);
   logRequest(Level::Warning, "attempt-ended", "r1", "a1",
              {{"text", "x\"y"},
               {"count", 3u},
@@ -56,12 +56,11 @@
   LONGS_EQUAL(24, Line["time"].get<std::string>().size());
 }
 
-TEST(Log, AnEventStaysOneLineWhateverItHolds) {
-  // Symptom: a forged line, or a process that ends in the middle of a log
-  // call. Sequence: a peer sends a name with a line break or with bytes that
-  // are not UTF-8. Cause: text written without escaping.
-  for (Format Form : {Format::Json, Format::Text}) {
-    use(Form, Level::Info);
+TEST(Log, EventIsOneLineWhateverItsFieldsContain) {
+  // Guards against forged lines and crashes in a log call when a peer sends a
+  // name with a line break or invalid UTF-8 and the text is not escaped.
+  for (Format OutputFormat : {Format::Json, Format::Text}) {
+    configureFormat(OutputFormat, Level::Info);
     logEvent(Level::Info, "peer-up", {{"name", "a\nforged \xff\xfe"}});
     CHECK(Lines.back().find('\n') == std::string::npos);
     STRCMP_CONTAINS("forged", Lines.back().c_str());
@@ -69,7 +68,7 @@
 }
 
 TEST(Log, TextLinesAreReadable) {
-  use(Format::Text, Level::Info);
+  configureFormat(Format::Text, Level::Info);
   logError(Level::Error, "start-failed",
            {ResultCode::SettingsInvalid, "found 3", "log.level", {}});
   STRCMP_CONTAINS(" error entry-1 start-failed code=701 message=\"found 3\" "
@@ -78,15 +77,15 @@
 }
 
 TEST(Log, WritesNothingBelowTheThreshold) {
-  use(Format::Json, Level::Warning);
+  configureFormat(Format::Json, Level::Warning);
   logEvent(Level::Info, "peer-up");
   logEvent(Level::Debug, "peer-up");
-  use(Format::Json, Level::Off);
+  configureFormat(Format::Json, Level::Off);
   logEvent(Level::Error, "peer-up");
   CHECK(Lines.empty());
 }
 
-TEST(Log, LevelsAreReadByName) {
+TEST(Log, LevelsAreParsedByName) {
   for (const char *Name : {"trace", "debug", "info", "warning", "error", "off"})
     CHECK(toString(parseLevel(Name).value()) == Name);
   CHECK(!parseLevel("INFO") && !parseLevel("") && !parseFormat("xml"));
