--- a/Libraries/LibMetrics/Metric.h
+++ b/Libraries/LibMetrics/Metric.h
@@ -1,8 +1,7 @@
 //===- Metric.h - Counters and gauges ---------------------------*- C++ -*-===//
 //
-// Single numbers that any thread of the request path may change without a
-// lock. Each has a cache line of its own, so that two busy counters do not slow
-// each other down.
+// Lock-free numbers for the request path. Each occupies its own cache line, so
+// that frequently updated metrics do not share one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +14,7 @@
 
 inline constexpr size_t CacheLineBytes = 64;
 
-/// Only grows. Fractions are allowed, for seconds of CPU time.
+/// Increases only. Accepts fractions, for seconds of CPU time.
 class alignas(CacheLineBytes) Counter {
 public:
   void add(double Amount = 1) {
@@ -27,7 +26,7 @@
   std::atomic<double> m_Value{0};
 };
 
-/// Goes up and down.
+/// Increases and decreases.
 class alignas(CacheLineBytes) Gauge {
 public:
   void set(double Value) { m_Value.store(Value, std::memory_order_relaxed); }
--- a/Libraries/LibMetrics/ProcessMetrics.cpp
+++ b/Libraries/LibMetrics/ProcessMetrics.cpp
@@ -1,4 +1,4 @@
-//===- ProcessMetrics.cpp - What a process itself costs -------------------===//
+//===- ProcessMetrics.cpp - Resource usage of the process -----------------===//
 //
 // See ProcessMetrics.h.
 //
@@ -15,9 +15,9 @@
 
 namespace {
 
-std::chrono::nanoseconds readClock(clockid_t Which) {
+std::chrono::nanoseconds readClock(clockid_t Id) {
   timespec Now{};
-  clock_gettime(Which, &Now);
+  clock_gettime(Id, &Now);
   return std::chrono::seconds(Now.tv_sec) +
          std::chrono::nanoseconds(Now.tv_nsec);
 }
@@ -47,24 +47,27 @@
   return readClock(CLOCK_THREAD_CPUTIME_ID);
 }
 
-void registerProcessMetrics(Registry &Into) {
-  Into.readCounter("process_cpu_seconds_total", "CPU time of the process.", [] {
-    return std::chrono::duration<double>(readClock(CLOCK_PROCESS_CPUTIME_ID))
-        .count();
-  });
-  Into.readGauge("process_resident_memory_bytes", "Resident memory.",
-                 residentBytes);
-  Into.readGauge("process_threads", "Threads of the process.", threadCount);
+void registerProcessMetrics(Registry &Target) {
+  Target.registerCounter("process_cpu_seconds_total",
+                         "CPU time of the process.", [] {
+                           return std::chrono::duration<double>(
+                                      readClock(CLOCK_PROCESS_CPUTIME_ID))
+                               .count();
+                         });
+  Target.registerGauge("process_resident_memory_bytes", "Resident memory.",
+                       residentBytes);
+  Target.registerGauge("process_threads", "Threads of the process.",
+                       threadCount);
 }
 
-void registerControlBytes(Registry &Into, std::function<uint64_t()> Read) {
-  Into.readCounter(
+void registerControlBytes(Registry &Target, std::function<uint64_t()> Read) {
+  Target.registerCounter(
       "control_bytes_total", "Bytes sent and received by control work.",
       [Read = std::move(Read)] { return static_cast<double>(Read()); });
 }
 
-Counter &controlCpuSeconds(Registry &Of) {
-  return Of.counter("control_cpu_seconds", "CPU time of control work.");
+Counter &controlCpuSeconds(Registry &Metrics) {
+  return Metrics.counter("control_cpu_seconds", "CPU time of control work.");
 }
 
 } // namespace figlift::metrics
--- a/Libraries/LibMetrics/ProcessMetrics.h
+++ b/Libraries/LibMetrics/ProcessMetrics.h
@@ -1,8 +1,8 @@
-//===- ProcessMetrics.h - What a process itself costs -----------*- C++ -*-===//
+//===- ProcessMetrics.h - Resource usage of the process ---------*- C++ -*-===//
 //
-// CPU time, memory and threads of the process, and the share of CPU time and
-// bytes that control work takes beside the requests. The budget of control
-// work is measured by these.
+// CPU time, memory and threads of the process, and the CPU time and bytes of
+// control work, that is all work other than requests. The budget of control
+// work is checked against these.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,37 +15,37 @@
 
 namespace figlift::metrics {
 
-/// CPU time of the calling thread since it began.
+/// CPU time of the calling thread since its start.
 std::chrono::nanoseconds threadCpuTime();
 
 /// Registers process_cpu_seconds_total, process_resident_memory_bytes and
-/// process_threads. Linux only: /proc/self is read at each print.
-void registerProcessMetrics(Registry &Into);
+/// process_threads. Linux only: /proc/self is read at every scrape.
+void registerProcessMetrics(Registry &Target);
 
-/// Registers control_bytes_total. \p Read gives the bytes sent and received
+/// Registers control_bytes_total. \p Read returns the bytes sent and received
 /// by control work since the start.
-void registerControlBytes(Registry &Into, std::function<uint64_t()> Read);
+void registerControlBytes(Registry &Target, std::function<uint64_t()> Read);
 
 /// The counter control_cpu_seconds; see ControlCpuScope.
-Counter &controlCpuSeconds(Registry &Of);
+Counter &controlCpuSeconds(Registry &Metrics);
 
 /// Adds the thread's CPU time between construction and destruction to a
-/// counter. Put around control work (polls, planning, synchronisation), never
-/// around the work of a request. Scopes are not nested.
+/// counter. Used around control work (polling, planning, synchronization),
+/// never around the handling of a request. Scopes must not be nested.
 class ControlCpuScope {
 public:
-  explicit ControlCpuScope(Counter &Into)
-      : m_Into(Into), m_Begin(threadCpuTime()) {}
+  explicit ControlCpuScope(Counter &Target)
+      : m_Counter(Target), m_Start(threadCpuTime()) {}
   ~ControlCpuScope() {
-    m_Into.add(
-        std::chrono::duration<double>(threadCpuTime() - m_Begin).count());
+    m_Counter.add(
+        std::chrono::duration<double>(threadCpuTime() - m_Start).count());
   }
   ControlCpuScope(const ControlCpuScope &) = delete;
   ControlCpuScope &operator=(const ControlCpuScope &) = delete;
 
 private:
-  Counter &m_Into;
-  const std::chrono::nanoseconds m_Begin;
+  Counter &m_Counter;
+  const std::chrono::nanoseconds m_Start;
 };
 
 } // namespace figlift::metrics
--- a/Libraries/LibMetrics/QuantileWindow.cpp
+++ b/Libraries/LibMetrics/QuantileWindow.cpp
@@ -17,9 +17,8 @@
 
 namespace acc = boost::accumulators;
 
-/// The extended P-square estimate keeps two markers for each quantile and
-/// three more.
-constexpr size_t Markers = 2 * ReportedQuantiles.size() + 3;
+/// The extended P-square estimate has two markers per quantile and three more.
+constexpr size_t MarkerCount = 2 * ReportedQuantiles.size() + 3;
 
 double exactQuantile(std::vector<double> Values, double Probability) {
   if (Values.empty())
@@ -40,7 +39,7 @@
 void QuantileWindow::rotate(BootTime Now) {
   if (Now - m_Rotated < m_Half)
     return;
-  // After a long silence the younger generation is stale as well.
+  // After a long time without values both generations are stale.
   bool BothStale = Now - m_Rotated >= 2 * m_Half;
   m_Older = BothStale ? Generation() : std::move(m_Younger);
   m_Younger = Generation();
@@ -49,24 +48,24 @@
 
 void QuantileWindow::add(double Value, BootTime Now) {
   rotate(Now);
-  for (Generation *Each : {&m_Older, &m_Younger}) {
-    Each->Estimate(Value);
-    if (Each->First.size() < Markers)
-      Each->First.push_back(Value);
+  for (Generation *Current : {&m_Older, &m_Younger}) {
+    Current->Estimate(Value);
+    if (Current->First.size() < MarkerCount)
+      Current->First.push_back(Value);
   }
 }
 
 std::array<double, ReportedQuantiles.size()>
 QuantileWindow::quantiles(BootTime Now) {
   rotate(Now);
-  std::array<double, ReportedQuantiles.size()> Found{};
-  bool Exact = acc::count(m_Older.Estimate) <= Markers;
-  for (size_t I = 0; I < Found.size(); ++I)
-    Found[I] = Exact
-                   ? exactQuantile(m_Older.First, ReportedQuantiles[I])
-                   : acc::quantile(m_Older.Estimate, acc::quantile_probability =
-                                                         ReportedQuantiles[I]);
-  return Found;
+  std::array<double, ReportedQuantiles.size()> Values{};
+  bool Exact = acc::count(m_Older.Estimate) <= MarkerCount;
+  for (size_t I = 0; I < Values.size(); ++I)
+    Values[I] =
+        Exact ? exactQuantile(m_Older.First, ReportedQuantiles[I])
+              : acc::quantile(m_Older.Estimate,
+                              acc::quantile_probability = ReportedQuantiles[I]);
+  return Values;
 }
 
 } // namespace figlift::metrics
--- a/Libraries/LibMetrics/QuantileWindow.h
+++ b/Libraries/LibMetrics/QuantileWindow.h
@@ -1,7 +1,7 @@
 //===- QuantileWindow.h - Quantiles of recent values ------------*- C++ -*-===//
 //
-// Quantiles by Boost.Accumulators' extended P-square estimate. Pure: the time
-// comes in, and one thread at a time may call.
+// Estimates quantiles with the extended P-square algorithm of
+// Boost.Accumulators. Reads no clock, and is not thread-safe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,12 +20,12 @@
 
 namespace figlift::metrics {
 
-/// Quantiles that every summary reports.
+/// Quantiles reported by every summary.
 inline constexpr std::array ReportedQuantiles = {0.5, 0.9, 0.99};
 
 class QuantileWindow {
 public:
-  /// \p Length is the time after which a value has surely left the estimate.
+  /// \p Length is the time after which a value no longer affects the estimate.
   explicit QuantileWindow(std::chrono::milliseconds Length);
 
   void add(double Value, BootTime Now);
@@ -38,12 +38,12 @@
                   boost::accumulators::tag::count,
                   boost::accumulators::tag::extended_p_square_quantile>>;
 
-  /// An estimate that began at some time.
+  /// An estimate over the values since some time.
   struct Generation {
     Generation();
     Accumulator Estimate;
-    /// The first values; the estimate is undefined until it has seen as many
-    /// as it has markers, so up to then the values themselves are used.
+    /// The first values. They are used until the estimate, which is undefined
+    /// for fewer values than it has markers, is valid.
     std::vector<double> First;
   };
 
@@ -51,8 +51,8 @@
 
   const std::chrono::milliseconds m_Half;
   BootTime m_Rotated{};
-  /// Both take every value. The older one is reported; it is between half a
-  /// window and a whole window old.
+  /// Both receive every value. The older one is reported; it covers between
+  /// half a window and a full window.
   Generation m_Older;
   Generation m_Younger;
 };
--- a/Libraries/LibMetrics/Registry.cpp
+++ b/Libraries/LibMetrics/Registry.cpp
@@ -17,23 +17,23 @@
 
 std::string escape(std::string_view Text, bool Quotes) {
   std::string Escaped;
-  for (char Each : Text) {
-    if (Each == '\\')
+  for (char Character : Text) {
+    if (Character == '\\')
       Escaped += "\\\\";
-    else if (Each == '\n')
+    else if (Character == '\n')
       Escaped += "\\n";
-    else if (Each == '"' && Quotes)
+    else if (Character == '"' && Quotes)
       Escaped += "\\\"";
     else
-      Escaped += Each;
+      Escaped += Character;
   }
   return Escaped;
 }
 
-/// `name="value",...` without the braces.
-std::string printLabels(const Labels &Which) {
+/// `name="value",...`, without braces.
+std::string formatLabels(const Labels &MetricLabels) {
   std::string Text;
-  for (const auto &[Name, Value] : Which) {
+  for (const auto &[Name, Value] : MetricLabels) {
     if (!Text.empty())
       Text += ',';
     Text += Name + "=\"" + escape(Value, true) + "\"";
@@ -41,7 +41,7 @@
   return Text;
 }
 
-std::string printNumber(double Value) {
+std::string formatNumber(double Value) {
   if (std::isnan(Value))
     return "NaN";
   if (std::isinf(Value))
@@ -51,42 +51,44 @@
   return Text;
 }
 
-std::string printSample(const std::string &Name, const std::string &Inner,
-                        double Value) {
+std::string formatSample(const std::string &Name, const std::string &LabelText,
+                         double Value) {
   std::string Text = Name;
-  if (!Inner.empty())
-    Text += "{" + Inner + "}";
-  return Text + " " + printNumber(Value) + "\n";
+  if (!LabelText.empty())
+    Text += "{" + LabelText + "}";
+  return Text + " " + formatNumber(Value) + "\n";
 }
 
-std::string printSummary(const std::string &Name, const std::string &Inner,
-                         const Summary::Reading &Read) {
+std::string formatSummary(const std::string &Name, const std::string &LabelText,
+                          const Summary::Snapshot &Read) {
   std::string Text;
   for (size_t I = 0; I < ReportedQuantiles.size(); ++I) {
     std::string Quantile =
-        "quantile=\"" + printNumber(ReportedQuantiles[I]) + "\"";
-    Text += printSample(Name, Inner.empty() ? Quantile : Inner + "," + Quantile,
-                        Read.Quantiles[I]);
+        "quantile=\"" + formatNumber(ReportedQuantiles[I]) + "\"";
+    Text += formatSample(
+        Name, LabelText.empty() ? Quantile : LabelText + "," + Quantile,
+        Read.Quantiles[I]);
   }
-  Text += printSample(Name + "_sum", Inner, Read.Sum);
-  Text += printSample(Name + "_count", Inner, static_cast<double>(Read.Count));
+  Text += formatSample(Name + "_sum", LabelText, Read.Sum);
+  Text +=
+      formatSample(Name + "_count", LabelText, static_cast<double>(Read.Count));
   return Text;
 }
 
-/// Prints one member of a family.
-struct Printer {
+/// Formats one member of a family.
+struct Formatter {
   const std::string &Name;
-  const std::string &Inner;
+  const std::string &LabelText;
 
   template <typename Number>
-  std::string operator()(const std::unique_ptr<Number> &Held) const {
-    return printSample(Name, Inner, Held->value());
+  std::string operator()(const std::unique_ptr<Number> &Value) const {
+    return formatSample(Name, LabelText, Value->value());
   }
-  std::string operator()(const std::unique_ptr<Summary> &Held) const {
-    return printSummary(Name, Inner, Held->read());
+  std::string operator()(const std::unique_ptr<Summary> &Value) const {
+    return formatSummary(Name, LabelText, Value->read());
   }
   std::string operator()(const std::function<double()> &Read) const {
-    return printSample(Name, Inner, Read());
+    return formatSample(Name, LabelText, Read());
   }
 };
 
@@ -94,68 +96,68 @@
 
 template <typename T>
 T &Registry::find(const std::string &Name, const std::string &Help,
-                  std::string_view Type, const Labels &Which) {
+                  std::string_view Type, const Labels &MetricLabels) {
   std::lock_guard Lock(m_Mutex);
-  auto [Place, IsNew] = m_Families.try_emplace(Name);
-  Family &Owner = Place->second;
+  auto [Position, IsNew] = m_Families.try_emplace(Name);
+  Family &Entry = Position->second;
   if (IsNew) {
-    Owner.Help = Help;
-    Owner.Type = Type;
+    Entry.Help = Help;
+    Entry.Type = Type;
   }
-  // A second type would replace the metric and leave a dangling reference.
-  assert(Owner.Type == Type && "a metric name has one type");
-  Metric &Member = Owner.Members[printLabels(Which)];
-  auto *Held = std::get_if<std::unique_ptr<T>>(&Member);
-  if (Held && *Held)
-    return **Held;
+  // Another type would replace the metric and leave dangling references.
+  assert(Entry.Type == Type && "a metric name has one type");
+  Metric &Member = Entry.Members[formatLabels(MetricLabels)];
+  auto *Value = std::get_if<std::unique_ptr<T>>(&Member);
+  if (Value && *Value)
+    return **Value;
   return *Member.template emplace<std::unique_ptr<T>>(std::make_unique<T>());
 }
 
 void Registry::setReader(const std::string &Name, const std::string &Help,
                          std::string_view Type, Reader Read,
-                         const Labels &Which) {
+                         const Labels &MetricLabels) {
   std::lock_guard Lock(m_Mutex);
-  auto [Place, IsNew] = m_Families.try_emplace(Name);
+  auto [Position, IsNew] = m_Families.try_emplace(Name);
   if (IsNew) {
-    Place->second.Help = Help;
-    Place->second.Type = Type;
+    Position->second.Help = Help;
+    Position->second.Type = Type;
   }
-  Place->second.Members[printLabels(Which)] = std::move(Read);
+  Position->second.Members[formatLabels(MetricLabels)] = std::move(Read);
 }
 
 Counter &Registry::counter(const std::string &Name, const std::string &Help,
-                           const Labels &Which) {
-  return find<Counter>(Name, Help, "counter", Which);
+                           const Labels &MetricLabels) {
+  return find<Counter>(Name, Help, "counter", MetricLabels);
 }
 
 Gauge &Registry::gauge(const std::string &Name, const std::string &Help,
-                       const Labels &Which) {
-  return find<Gauge>(Name, Help, "gauge", Which);
+                       const Labels &MetricLabels) {
+  return find<Gauge>(Name, Help, "gauge", MetricLabels);
 }
 
 Summary &Registry::summary(const std::string &Name, const std::string &Help,
-                           const Labels &Which) {
-  return find<Summary>(Name, Help, "summary", Which);
+                           const Labels &MetricLabels) {
+  return find<Summary>(Name, Help, "summary", MetricLabels);
 }
 
-void Registry::readCounter(const std::string &Name, const std::string &Help,
-                           Reader Read, const Labels &Which) {
-  setReader(Name, Help, "counter", std::move(Read), Which);
+void Registry::registerCounter(const std::string &Name, const std::string &Help,
+                               Reader Read, const Labels &MetricLabels) {
+  setReader(Name, Help, "counter", std::move(Read), MetricLabels);
 }
 
-void Registry::readGauge(const std::string &Name, const std::string &Help,
-                         Reader Read, const Labels &Which) {
-  setReader(Name, Help, "gauge", std::move(Read), Which);
+void Registry::registerGauge(const std::string &Name, const std::string &Help,
+                             Reader Read, const Labels &MetricLabels) {
+  setReader(Name, Help, "gauge", std::move(Read), MetricLabels);
 }
 
 std::string Registry::prometheusText() const {
   std::lock_guard Lock(m_Mutex);
   std::string Text;
-  for (const auto &[Name, Owner] : m_Families) {
-    Text += "# HELP " + Name + " " + escape(Owner.Help, false) + "\n";
-    Text += "# TYPE " + Name + " " + Owner.Type + "\n";
-    for (const auto &[Inner, Member] : Owner.Members)
-      Text += std::visit(Printer{Name, Inner}, Member);
+  for (const auto &[Name, Entry] : m_Families) {
+    Text += "# HELP " + Name + " " + escape(Entry.Help, false) + "\n";
+    Text += "# TYPE " + Name + " " + Entry.Type + "\n";
+    for (const auto &[LabelText, Member] : Entry.Members)
+      Text += std::visit(Formatter{Name, LabelText}, Member);
   }
   return Text;
 }
--- a/Libraries/LibMetrics/Registry.h
+++ b/Libraries/LibMetrics/Registry.h
@@ -1,8 +1,8 @@
 //===- Registry.h - Metrics of one process ----------------------*- C++ -*-===//
 //
-// Names the metrics of a process and prints them in Prometheus' text format
-// for GET /metrics. Metrics are made once and kept by reference; the registry
-// is not asked on the path of a request.
+// Holds the metrics of a process by name and formats them as Prometheus text
+// for GET /metrics. Metrics are created once and used by reference; requests do
+// not access the registry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,29 +22,30 @@
 
 namespace figlift::metrics {
 
-/// {"code", "201"} and the like. Values come from bounded sets, never from a
-/// request: each new value costs memory for good.
+/// Label names and values, such as {"code", "201"}. Values must come from
+/// bounded sets, never from requests, because every new value occupies memory
+/// permanently.
 using Labels = std::vector<std::pair<std::string, std::string>>;
 
-/// Members may be called from any thread. Asking again for the same name and
-/// labels gives the same metric; \p Help counts the first time. References
-/// stay valid as long as the registry.
+/// Members may be called from any thread. The same name and labels always
+/// return the same metric; \p Help is taken from the first call. References are
+/// valid as long as the registry exists.
 class Registry {
 public:
   Counter &counter(const std::string &Name, const std::string &Help,
-                   const Labels &Which = {});
+                   const Labels &MetricLabels = {});
   Gauge &gauge(const std::string &Name, const std::string &Help,
-               const Labels &Which = {});
+               const Labels &MetricLabels = {});
   Summary &summary(const std::string &Name, const std::string &Help,
-                   const Labels &Which = {});
+                   const Labels &MetricLabels = {});
 
   using Reader = std::function<double()>;
-  /// A number that is read when the metrics are printed; \p Read must not
-  /// call the registry.
-  void readCounter(const std::string &Name, const std::string &Help,
-                   Reader Read, const Labels &Which = {});
-  void readGauge(const std::string &Name, const std::string &Help, Reader Read,
-                 const Labels &Which = {});
+  /// Registers a metric whose value is read by \p Read when the metrics are
+  /// formatted; \p Read must not call the registry.
+  void registerCounter(const std::string &Name, const std::string &Help,
+                       Reader Read, const Labels &MetricLabels = {});
+  void registerGauge(const std::string &Name, const std::string &Help,
+                     Reader Read, const Labels &MetricLabels = {});
 
   /// Text exposition format 0.0.4; see PrometheusContentType.
   std::string prometheusText() const;
@@ -55,15 +56,16 @@
   struct Family {
     std::string Help;
     std::string Type;
-    /// Keyed by the printed labels.
+    /// Keyed by the formatted labels.
     std::map<std::string, Metric> Members;
   };
 
   template <typename T>
   T &find(const std::string &Name, const std::string &Help,
-          std::string_view Type, const Labels &Which);
+          std::string_view Type, const Labels &MetricLabels);
   void setReader(const std::string &Name, const std::string &Help,
-                 std::string_view Type, Reader Read, const Labels &Which);
+                 std::string_view Type, Reader Read,
+                 const Labels &MetricLabels);
 
   mutable std::mutex m_Mutex;
   std::map<std::string, Family> m_Families;
--- a/Libraries/LibMetrics/Summary.cpp
+++ b/Libraries/LibMetrics/Summary.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Threads are numbered in the order of their first value.
+/// Numbers threads in the order of their first value.
 size_t threadNumber() {
   static std::atomic<size_t> Next{0};
   thread_local const size_t Number = Next.fetch_add(1);
@@ -24,25 +24,25 @@
 
 Summary::Summary(std::chrono::milliseconds Window, Clock Now)
     : m_Now(std::move(Now)), m_Window(Window) {
-  for (Shard &Each : m_Shards)
-    Each.Values.reserve(BufferedValues);
+  for (Shard &Buffer : m_Shards)
+    Buffer.Values.reserve(BufferedValues);
 }
 
 void Summary::observe(double Value) {
-  Shard &Own = m_Shards[threadNumber() % ShardCount];
+  Shard &Buffer = m_Shards[threadNumber() % ShardCount];
   std::vector<double> Full;
   {
-    std::lock_guard Lock(Own.Mutex);
-    Own.Values.push_back(Value);
-    if (Own.Values.size() < BufferedValues)
+    std::lock_guard Lock(Buffer.Mutex);
+    Buffer.Values.push_back(Value);
+    if (Buffer.Values.size() < BufferedValues)
       return;
     Full.reserve(BufferedValues);
-    Full.swap(Own.Values);
+    Full.swap(Buffer.Values);
   }
-  absorb(Full);
+  merge(Full);
 }
 
-void Summary::absorb(const std::vector<double> &Values) {
+void Summary::merge(const std::vector<double> &Values) {
   BootTime Now = m_Now();
   std::lock_guard Lock(m_Mutex);
   for (double Value : Values) {
@@ -52,14 +52,14 @@
   m_Count += Values.size();
 }
 
-Summary::Reading Summary::read() {
-  for (Shard &Each : m_Shards) {
+Summary::Snapshot Summary::read() {
+  for (Shard &Buffer : m_Shards) {
     std::vector<double> Pending;
     {
-      std::lock_guard Lock(Each.Mutex);
-      Pending.swap(Each.Values);
+      std::lock_guard Lock(Buffer.Mutex);
+      Pending.swap(Buffer.Values);
     }
-    absorb(Pending);
+    merge(Pending);
   }
   BootTime Now = m_Now();
   std::lock_guard Lock(m_Mutex);
--- a/Libraries/LibMetrics/Summary.h
+++ b/Libraries/LibMetrics/Summary.h
@@ -1,9 +1,9 @@
 //===- Summary.h - Quantiles of values from many threads --------*- C++ -*-===//
 //
-// Threads add values to small buffers, one for a few threads each; a full
-// buffer, or a reader, carries them into the common estimate. So the request
-// path takes a lock that is hardly ever held by another, and the costly
-// estimate runs once in many values.
+// Threads add values to small sharded buffers, which are merged into the common
+// estimate when full or when the summary is read. The request path therefore
+// takes a lock with little contention, and the expensive estimate is updated in
+// batches.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,21 +28,21 @@
   explicit Summary(std::chrono::milliseconds Window = DefaultWindow,
                    Clock Now = BootClock::now);
 
-  /// Any thread.
+  /// May be called from any thread.
   void observe(double Value);
-  /// Observes in seconds, the unit of Prometheus.
+  /// Records a duration in seconds, the base unit of Prometheus.
   void observe(std::chrono::nanoseconds Time) {
     observe(std::chrono::duration<double>(Time).count());
   }
 
-  struct Reading {
-    /// Since the start.
+  struct Snapshot {
+    /// Since the start, as is Sum.
     uint64_t Count = 0;
     double Sum = 0;
-    /// Of the window, in the order of ReportedQuantiles; NaN when empty.
+    /// Over the window, in the order of ReportedQuantiles; NaN when empty.
     std::array<double, ReportedQuantiles.size()> Quantiles{};
   };
-  Reading read();
+  Snapshot read();
 
 private:
   static constexpr size_t ShardCount = 16;
@@ -53,13 +53,14 @@
     std::vector<double> Values;
   };
 
-  /// Called without any shard's lock: the order is always one or the other.
-  void absorb(const std::vector<double> &Values);
+  /// Must be called without a shard's lock: shard locks and m_Mutex are never
+  /// held together.
+  void merge(const std::vector<double> &Values);
 
   const Clock m_Now;
   std::array<Shard, ShardCount> m_Shards;
   std::mutex m_Mutex;
-  /// Guarded by m_Mutex, as the two below.
+  /// This and the two members below are guarded by m_Mutex.
   QuantileWindow m_Window;
   uint64_t m_Count = 0;
   double m_Sum = 0;
--- a/Services/figlift-agent/Gate.cpp
+++ b/Services/figlift-agent/Gate.cpp
@@ -15,9 +15,10 @@
       m_Refused(Shared.Metrics.counter(
           "agent_work_refused_total",
           "Requests refused before they were handed to the target.")) {
-  Shared.Metrics.readGauge("agent_requests_in_flight",
-                           "Requests queued or at the target, as last seen.",
-                           [this] { return double(m_InFlight.load()); });
+  Shared.Metrics.registerGauge(
+      "agent_requests_in_flight",
+      "Requests queued or at the target, as last seen.",
+      [this] { return double(m_InFlight.load()); });
 }
 
 void Gate::step(const admission::Event &What) {
--- a/Services/figlift-entry/Entry.cpp
+++ b/Services/figlift-entry/Entry.cpp
@@ -91,16 +91,17 @@
 
 void Entry::registerMetrics() {
   metrics::registerProcessMetrics(m_Metrics);
-  m_Metrics.readGauge(
+  m_Metrics.registerGauge(
       "entry_revision", "Configuration revision in force.", [this] {
         return m_Configuration
                    ? static_cast<double>(m_Configuration->revision())
                    : 0.0;
       });
-  m_Metrics.readGauge("entry_retry_budget", "Retries that may be spent now.",
-                      [this] { return m_Budget.remaining(); });
+  m_Metrics.registerGauge("entry_retry_budget",
+                          "Retries that may be spent now.",
+                          [this] { return m_Budget.remaining(); });
   metrics::registerControlBytes(m_Metrics, [this] { return controlBytes(); });
-  m_Metrics.readCounter(
+  m_Metrics.registerCounter(
       "wire_bytes_total", "Bytes exchanged with agents and entries.", [this] {
         return m_Transport ? static_cast<double>(m_Transport->bytesSent() +
                                                  m_Transport->bytesReceived())
--- a/Services/figlift-gateway/GatewayMetrics.cpp
+++ b/Services/figlift-gateway/GatewayMetrics.cpp
@@ -23,81 +23,86 @@
 
 void Gateway::describeMetrics() {
   metrics::Registry &Metrics = m_Shared.Metrics;
-  Metrics.readGauge("figlift_gateway_store_age_seconds",
-                    "Age of what is known of the store's list of servers",
-                    [this] {
-                      return std::chrono::duration<double>(
-                                 BootClock::now() - m_ServerJournal.knownAt())
-                          .count();
-                    });
-  Metrics.readGauge("figlift_gateway_configuration_version",
-                    "Version in force; 0 for none", [this] {
-                      return m_Shared.Configuration
-                                 ? double(m_Shared.Configuration->Version)
-                                 : 0;
-                    });
-  Metrics.readGauge("figlift_gateway_targets", "Servers that are listed",
-                    [this] { return double(m_Shared.Targets.all().size()); });
-  Metrics.readGauge(
+  Metrics.registerGauge(
+      "figlift_gateway_store_age_seconds",
+      "Age of what is known of the store's list of servers", [this] {
+        return std::chrono::duration<double>(BootClock::now() -
+                                             m_ServerJournal.knownAt())
+            .count();
+      });
+  Metrics.registerGauge("figlift_gateway_configuration_version",
+                        "Version in force; 0 for none", [this] {
+                          return m_Shared.Configuration
+                                     ? double(m_Shared.Configuration->Version)
+                                     : 0;
+                        });
+  Metrics.registerGauge(
+      "figlift_gateway_targets", "Servers that are listed",
+      [this] { return double(m_Shared.Targets.all().size()); });
+  Metrics.registerGauge(
       "figlift_gateway_live_gateways", "Gateways heard lately, this one too",
       [this] { return double(m_Peers.liveCount(BootClock::now())); });
-  Metrics.readGauge("figlift_gateway_callers", "Open connections of callers",
-                    [this] { return double(m_Callers.size()); });
-  Metrics.readGauge("figlift_gateway_connections_open",
-                    "Open connections to servers", [this] {
-                      size_t Sum = 0;
-                      for (const auto &[Id, Pool] : m_Shared.Pools)
-                        Sum += Pool->open();
-                      return double(Sum);
-                    });
-  Metrics.readCounter("figlift_gateway_connections_opened_total",
-                      "Connections made to the servers that are listed",
-                      [this] {
-                        uint64_t Sum = 0;
-                        for (const auto &[Id, Pool] : m_Shared.Pools)
-                          Sum += Pool->opened();
-                        return double(Sum);
-                      });
-  Metrics.readCounter("figlift_gateway_server_entries_refused_total",
-                      "Entries in the list of servers that name none to use",
-                      [this] { return double(m_RejectedEntries); });
-  Metrics.readCounter("figlift_gateway_datagrams_refused_total",
-                      "Datagrams that no gateway of this fleet has sealed",
-                      [this] { return double(m_PeerLink.rejected()); });
-  Metrics.readCounter("figlift_gateway_server_crashes_total",
-                      "Servers that ended under requests of this gateway",
-                      [this] { return double(m_Shared.Crashes.crashes()); });
-  Metrics.readGauge(
+  Metrics.registerGauge("figlift_gateway_callers",
+                        "Open connections of callers",
+                        [this] { return double(m_Callers.size()); });
+  Metrics.registerGauge("figlift_gateway_connections_open",
+                        "Open connections to servers", [this] {
+                          size_t Sum = 0;
+                          for (const auto &[Id, Pool] : m_Shared.Pools)
+                            Sum += Pool->open();
+                          return double(Sum);
+                        });
+  Metrics.registerCounter("figlift_gateway_connections_opened_total",
+                          "Connections made to the servers that are listed",
+                          [this] {
+                            uint64_t Sum = 0;
+                            for (const auto &[Id, Pool] : m_Shared.Pools)
+                              Sum += Pool->opened();
+                            return double(Sum);
+                          });
+  Metrics.registerCounter(
+      "figlift_gateway_server_entries_refused_total",
+      "Entries in the list of servers that name none to use",
+      [this] { return double(m_RejectedEntries); });
+  Metrics.registerCounter("figlift_gateway_datagrams_refused_total",
+                          "Datagrams that no gateway of this fleet has sealed",
+                          [this] { return double(m_PeerLink.rejected()); });
+  Metrics.registerCounter(
+      "figlift_gateway_server_crashes_total",
+      "Servers that ended under requests of this gateway",
+      [this] { return double(m_Shared.Crashes.crashes()); });
+  Metrics.registerGauge(
       "figlift_gateway_suspected_requests",
       "Requests under which servers ended, of the whole fleet",
       [this] { return double(m_Shared.Crashes.suspects().size()); });
-  Metrics.readCounter("figlift_gateway_requests_held_back_total",
-                      "Requests refused because servers ended under them",
-                      [this] { return double(m_Shared.Crashes.rejected()); });
-  Metrics.readGauge("figlift_gateway_limited_servers",
-                    "Servers that name how many requests they take", [this] {
-                      return double(m_Shared.Limits.activeLimits().size());
-                    });
-  Metrics.readGauge("figlift_gateway_store_era",
-                    "Rises whenever the store comes back from a copy",
-                    [this] { return double(m_Store.era()); });
-  Metrics.readCounter("figlift_gateway_store_calls_total",
-                      "Calls to the platform's store",
-                      [this] { return double(m_Store.calls()); });
-  Metrics.readCounter(
+  Metrics.registerCounter(
+      "figlift_gateway_requests_held_back_total",
+      "Requests refused because servers ended under them",
+      [this] { return double(m_Shared.Crashes.rejected()); });
+  Metrics.registerGauge(
+      "figlift_gateway_limited_servers",
+      "Servers that name how many requests they take",
+      [this] { return double(m_Shared.Limits.activeLimits().size()); });
+  Metrics.registerGauge("figlift_gateway_store_era",
+                        "Rises whenever the store comes back from a copy",
+                        [this] { return double(m_Store.era()); });
+  Metrics.registerCounter("figlift_gateway_store_calls_total",
+                          "Calls to the platform's store",
+                          [this] { return double(m_Store.calls()); });
+  Metrics.registerCounter(
       "figlift_gateway_loop_delay_seconds_total",
       "Time by which ten looks a second at the clock were late", [this] {
         return std::chrono::duration<double>(m_TotalLoopDelay).count();
       });
-  Metrics.readCounter("figlift_gateway_reloads_total",
-                      "Changes of the settings that were taken",
-                      [this] { return double(m_Reloads); });
-  Metrics.readCounter("figlift_gateway_log_lines_left_out_total",
-                      "Lines beyond the allowance of their kind",
-                      [this] { return double(m_Shared.Log.suppressed()); });
-  Metrics.readCounter("figlift_gateway_log_lines_dropped_total",
-                      "Lines that standard output did not take",
-                      [this] { return double(m_Output.dropped()); });
+  Metrics.registerCounter("figlift_gateway_reloads_total",
+                          "Changes of the settings that were taken",
+                          [this] { return double(m_Reloads); });
+  Metrics.registerCounter("figlift_gateway_log_lines_left_out_total",
+                          "Lines beyond the allowance of their kind",
+                          [this] { return double(m_Shared.Log.suppressed()); });
+  Metrics.registerCounter("figlift_gateway_log_lines_dropped_total",
+                          "Lines that standard output did not take",
+                          [this] { return double(m_Output.dropped()); });
 }
 
 /// Registers the gauges of each service; services change with the
@@ -106,7 +111,7 @@
   metrics::Registry &Metrics = m_Shared.Metrics;
   for (const dispatch::Service &Service : m_Shared.Configuration->Services) {
     const metrics::Labels Labels = {{"service", Service.Name}};
-    Metrics.readGauge(
+    Metrics.registerGauge(
         "figlift_gateway_repeat_budget_left", "Repeats that may be sent now",
         [this, Name = Service.Name] {
           return m_Shared.Budget.remaining(Name, BootClock::now());
@@ -117,15 +122,15 @@
     const auto Costs = [this, Name = Service.Name] {
       return m_Shared.EngineModels[Name].figures(BootClock::now());
     };
-    Metrics.readGauge(
+    Metrics.registerGauge(
         "figlift_gateway_engine_read_fixed_seconds",
         "Learned: fixed part of reading a prompt",
         [Costs] { return Costs().ReadFixed.count() / 1000; }, Labels);
-    Metrics.readGauge(
+    Metrics.registerGauge(
         "figlift_gateway_engine_read_thousand_tokens_seconds",
         "Learned: reading a thousand tokens of a prompt",
         [Costs] { return Costs().ReadThousandTokens.count() / 1000; }, Labels);
-    Metrics.readGauge(
+    Metrics.registerGauge(
         "figlift_gateway_start_lag_seconds",
         "Lateness of first events that plans allow for",
         [this, Name = Service.Name] {
@@ -133,7 +138,7 @@
                  1000;
         },
         Labels);
-    Metrics.readGauge(
+    Metrics.registerGauge(
         "figlift_gateway_engine_start_seconds",
         "Learned: from a run whose prompt was read to its first event",
         [Costs] { return Costs().StartFixed.count() / 1000; }, Labels);
--- a/Tests/LibMetrics/TestMetrics.cpp
+++ b/Tests/LibMetrics/TestMetrics.cpp
@@ -1,7 +1,8 @@
-//===- TestMetrics.cpp - Numbers and their output ---------------*- C++ -*-===//
+//===- TestRegistered.cpp - Metrics and their text format ----------*- C++
+//-*-===//
 //
-// Quantiles against known distributions, counting over threads, and the text
-// that Prometheus reads.
+// Quantiles of known distributions, updates from several threads, and the
+// Prometheus text format.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,28 +23,28 @@
 
 TEST_GROUP(Metrics) {
   BootTime Now{seconds(1000)};
-  /// Not a plain member: CppUTest makes its groups by a `new` of its own, which
-  /// does not keep the alignment of a cache line.
-  std::unique_ptr<Summary> Held =
+  /// Allocated separately because CppUTest creates test groups with its own
+  /// operator new, which ignores the alignment to cache lines.
+  std::unique_ptr<Summary> Storage =
       std::make_unique<Summary>(seconds(60), [this] { return Now; });
-  Summary &Values = *Held;
+  Summary &Values = *Storage;
 
-  void expectNear(double Wanted, double Found, double Tolerance) {
-    DOUBLES_EQUAL(Wanted, Found, Tolerance);
+  void expectNear(double Expected, double Actual, double Tolerance) {
+    DOUBLES_EQUAL(Expected, Actual, Tolerance);
   }
 };
 
 TEST(Metrics, QuantilesOfFewValuesAreExact) {
-  // Symptom: wild latencies in the first seconds of a process. Cause: the
-  // estimate is undefined until it has seen as many values as it has markers.
+  // Guards against wrong latencies in the first seconds of a process: the
+  // estimate is undefined for fewer values than it has markers.
   CHECK(std::isnan(Values.read().Quantiles[0]));
   for (double Value : {5., 1., 4., 2., 3.})
     Values.observe(Value);
-  auto Read = Values.read();
-  LONGS_EQUAL(5, Read.Count);
-  expectNear(15, Read.Sum, 0);
-  expectNear(3, Read.Quantiles[0], 0);
-  expectNear(5, Read.Quantiles[2], 0);
+  auto Snapshot = Values.read();
+  LONGS_EQUAL(5, Snapshot.Count);
+  expectNear(15, Snapshot.Sum, 0);
+  expectNear(3, Snapshot.Quantiles[0], 0);
+  expectNear(5, Snapshot.Quantiles[2], 0);
 }
 
 TEST(Metrics, QuantilesOfManyValuesAreClose) {
@@ -51,15 +52,15 @@
   std::exponential_distribution<double> Latency(1.0);
   for (int I = 0; I < 100000; ++I)
     Values.observe(Latency(Random));
-  auto Read = Values.read();
+  auto Snapshot = Values.read();
   // Quantiles of the exponential distribution are -ln(1 - p).
-  expectNear(0.693, Read.Quantiles[0], 0.03);
-  expectNear(2.303, Read.Quantiles[1], 0.1);
-  expectNear(4.605, Read.Quantiles[2], 0.3);
+  expectNear(0.693, Snapshot.Quantiles[0], 0.03);
+  expectNear(2.303, Snapshot.Quantiles[1], 0.1);
+  expectNear(4.605, Snapshot.Quantiles[2], 0.3);
 }
 
-TEST(Metrics, OldValuesLeaveTheQuantiles) {
-  // Symptom: a slow minute of yesterday still shows as today's latency.
+TEST(Metrics, OldValuesDoNotAffectTheQuantiles) {
+  // Guards against a past slow minute that still affects the reported latency.
   for (int I = 0; I < 1000; ++I)
     Values.observe(100);
   expectNear(100, Values.read().Quantiles[0], 1);
@@ -75,10 +76,10 @@
   LONGS_EQUAL(3000, Values.read().Count);
 }
 
-TEST(Metrics, ThreadsLoseNothing) {
-  Registry Names;
-  Counter &Count = Names.counter("requests_total", "Requests.");
-  Summary &Times = Names.summary("seconds", "Time.");
+TEST(Metrics, ConcurrentUpdatesAreNotLost) {
+  Registry Registered;
+  Counter &Count = Registered.counter("requests_total", "Requests.");
+  Summary &Times = Registered.summary("seconds", "Time.");
   {
     std::vector<std::jthread> Threads;
     for (int I = 0; I < 4; ++I)
@@ -95,14 +96,15 @@
   LONGS_EQUAL(40000, Times.read().Count);
 }
 
-TEST(Metrics, PrintsWhatPrometheusReads) {
-  Registry Names;
-  Names.counter("refused_total", "Refusals.", {{"code", "201"}}).add(2);
-  Names.counter("refused_total", "ignored", {{"code", "201"}}).add(1);
-  Names.gauge("odd", "A \\ and\na break.", {{"name", "a\"b\\c\nd"}}).set(-1.5);
-  Names.summary("wait_seconds", "Wait.")
+TEST(Metrics, FormatsPrometheusText) {
+  Registry Registered;
+  Registered.counter("refused_total", "Refusals.", {{"code", "201"}}).add(2);
+  Registered.counter("refused_total", "ignored", {{"code", "201"}}).add(1);
+  Registered.gauge("odd", "A \\ and\na break.", {{"name", "a\"b\\c\nd"}})
+      .set(-1.5);
+  Registered.summary("wait_seconds", "Wait.")
       .observe(std::chrono::milliseconds(250));
-  Names.readGauge("read", "Read late.", [] { return 7.0; });
+  Registered.registerGauge("read", "Read late.", [] { return 7.0; });
   STRCMP_EQUAL("# HELP odd A \\\\ and\\na break.\n"
                "# TYPE odd gauge\n"
                "odd{name=\"a\\\"b\\\\c\\nd\"} -1.5\n"
@@ -119,14 +121,14 @@
                "wait_seconds{quantile=\"0.99\"} 0.25\n"
                "wait_seconds_sum 0.25\n"
                "wait_seconds_count 1\n",
-               Names.prometheusText().c_str());
+               Registered.prometheusText().c_str());
 }
 
-TEST(Metrics, MeasuresTheProcess) {
-  Registry Names;
-  registerProcessMetrics(Names);
-  registerControlBytes(Names, [] { return uint64_t{5'000'000'000}; });
-  Counter &Control = controlCpuSeconds(Names);
+TEST(Metrics, ReportsProcessMetrics) {
+  Registry Registered;
+  registerProcessMetrics(Registered);
+  registerControlBytes(Registered, [] { return uint64_t{5'000'000'000}; });
+  Counter &Control = controlCpuSeconds(Registered);
   {
     ControlCpuScope Scope(Control);
     volatile double Work = 0;
@@ -134,7 +136,7 @@
       Work = Work + 1;
   }
   CHECK(Control.value() > 0 && Control.value() < 60);
-  std::string Text = Names.prometheusText();
+  std::string Text = Registered.prometheusText();
   for (const char *Line :
        {"control_bytes_total 5000000000\n", "\ncontrol_cpu_seconds ",
         "\nprocess_cpu_seconds_total ", "\nprocess_threads 1\n"})
