--- a/Libraries/LibSettings/CommandLine.cpp
+++ b/Libraries/LibSettings/CommandLine.cpp
@@ -1,6 +1,6 @@
-//===- CommandLine.cpp - Command line shared by entry and agent -----------===//
+//===- CommandLine.cpp - Command line shared by the services --------------===//
 //
-// Exceptions of cxxopts end here.
+// Converts exceptions of cxxopts to errors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,21 +26,23 @@
   if (File)
     return std::string{std::istreambuf_iterator<char>(File), {}};
   return invalid("cannot read the file \"" + Name + "\"", "--settings");
-} catch (const std::ios_base::failure &Thrown) {
-  // Reading a directory throws, although exceptions are off for the stream.
-  return invalid("cannot read \"" + Name + "\": " + Thrown.what(),
+} catch (const std::ios_base::failure &Exception) {
+  // Reading a directory throws although the stream's exceptions are disabled.
+  return invalid("cannot read \"" + Name + "\": " + Exception.what(),
                  "--settings");
 }
 
 cxxopts::Options describeOptions(const std::string &Program,
                                  const std::string &Purpose) {
-  cxxopts::Options Described(Program, Purpose);
-  Described.add_options()("settings", "Settings file, JSON with comments",
-                          cxxopts::value<std::string>(), "FILE")(
+  cxxopts::Options Options(Program, Purpose);
+  Options.add_options()("settings", "Settings file, JSON with comments",
+                        cxxopts::value<std::string>(), "FILE")(
       "check-config", "Check the settings file and exit")(
-      "print-config", "Print the settings in force, with defaults, and exit")(
-      "version", "Print the version and exit")("help", "Print this and exit");
-  return Described;
+      "print-config",
+      "Print the active settings, including defaults, and exit")(
+      "version", "Print the version and exit")("help",
+                                               "Print this help and exit");
+  return Options;
 }
 
 template <typename Settings>
@@ -48,27 +50,26 @@
 readCommandLine(const std::string &Program, const std::string &Purpose,
                 Result<Settings> (*Parse)(std::string_view), int ArgumentCount,
                 const char *const *Arguments) try {
-  cxxopts::Options Described = describeOptions(Program, Purpose);
-  cxxopts::ParseResult Given = Described.parse(ArgumentCount, Arguments);
-  if (Given.count("help"))
-    return ExitRequest{Described.help()};
-  if (Given.count("version"))
+  cxxopts::Options Options = describeOptions(Program, Purpose);
+  cxxopts::ParseResult Parsed = Options.parse(ArgumentCount, Arguments);
+  if (Parsed.count("help"))
+    return ExitRequest{Options.help()};
+  if (Parsed.count("version"))
     return ExitRequest{Program + " " + std::string(version()) + "\n"};
-  if (!Given.unmatched().empty())
-    return invalid("found \"" + Given.unmatched().front() +
-                   "\"; allowed are the options that --help lists");
-  if (!Given.count("settings"))
-    return invalid("found nothing; allowed is the name of a file",
-                   "--settings");
-  FIGLIFT_TRY(Text, readFile(Given["settings"].as<std::string>()));
-  FIGLIFT_TRY(InForce, Parse(Text));
-  if (Given.count("print-config"))
-    return ExitRequest{printSettings(InForce)};
-  if (Given.count("check-config"))
+  if (!Parsed.unmatched().empty())
+    return invalid("found \"" + Parsed.unmatched().front() +
+                   "\"; expected one of the options listed by --help");
+  if (!Parsed.count("settings"))
+    return invalid("found nothing; expected the name of a file", "--settings");
+  FIGLIFT_TRY(Text, readFile(Parsed["settings"].as<std::string>()));
+  FIGLIFT_TRY(Active, Parse(Text));
+  if (Parsed.count("print-config"))
+    return ExitRequest{printSettings(Active)};
+  if (Parsed.count("check-config"))
     return ExitRequest{"settings are valid\n"};
-  return InForce;
-} catch (const cxxopts::exceptions::exception &Thrown) {
-  return invalid(Thrown.what());
+  return Active;
+} catch (const cxxopts::exceptions::exception &Exception) {
+  return invalid(Exception.what());
 }
 
 } // namespace
@@ -76,14 +77,14 @@
 Result<Startup<EntrySettings>>
 readEntryCommandLine(int ArgumentCount, const char *const *Arguments) {
   return readCommandLine("figlift-entry",
-                         "Takes callers' requests and operators' records.",
+                         "Accepts callers' requests and operators' records.",
                          parseEntrySettings, ArgumentCount, Arguments);
 }
 
 Result<Startup<AgentSettings>>
 readAgentCommandLine(int ArgumentCount, const char *const *Arguments) {
   return readCommandLine("figlift-agent",
-                         "The only writer to the target beside it.",
+                         "Controls one target as its only writer.",
                          parseAgentSettings, ArgumentCount, Arguments);
 }
 
--- a/Libraries/LibSettings/CommandLine.h
+++ b/Libraries/LibSettings/CommandLine.h
@@ -1,7 +1,7 @@
 //===- CommandLine.h - Command line shared by the services ------*- C++ -*-===//
 //
-// --settings FILE, --check-config, --print-config, --version and --help. The
-// main program gets either settings to run with or the status to exit with.
+// Parses --settings FILE, --check-config, --print-config, --version and --help.
+// Returns either the settings to run with or a request to exit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace figlift::settings {
 
-/// Everything was done by reading the command line: print and exit.
+/// The program should print \p Output and exit with \p Status.
 struct ExitRequest {
   std::string Output;
   int Status = 0;
@@ -27,7 +27,7 @@
 template <typename Settings>
 using Startup = std::variant<Settings, ExitRequest>;
 
-/// Fail with SettingsInvalid; see reportFailure().
+/// These fail with SettingsInvalid; see reportFailure().
 Result<Startup<EntrySettings>>
 readEntryCommandLine(int ArgumentCount, const char *const *Arguments);
 Result<Startup<AgentSettings>>
@@ -35,28 +35,27 @@
 Result<Startup<GatewaySettings>>
 readGatewayCommandLine(int ArgumentCount, const char *const *Arguments);
 
-/// Exit status of a program whose settings or command line are wrong.
+/// Exit status for invalid settings or command lines.
 inline constexpr int SettingsExitStatus = 2;
 
-/// Prints one line for a person on standard error and returns the status to
-/// exit with.
+/// Prints the error on one line to standard error and returns the exit status.
 int reportFailure(std::string_view Program, const Error &Reason);
 
-/// The end of each program's main(): runs \p Body with the settings, or does
-/// what the command line asked for instead. The result is the exit status.
+/// Last call of each program's main(): runs \p Body with the settings, or
+/// prints what the command line requested. Returns the exit status.
 template <typename Settings, typename Run>
-int runProgram(std::string_view Program, Result<Startup<Settings>> Read,
+int runProgram(std::string_view Program, Result<Startup<Settings>> Parsed,
                Run Body) {
-  if (!Read)
-    return reportFailure(Program, Read.error());
-  if (const auto *Exit = std::get_if<ExitRequest>(&Read.value())) {
+  if (!Parsed)
+    return reportFailure(Program, Parsed.error());
+  if (const auto *Exit = std::get_if<ExitRequest>(&Parsed.value())) {
     std::fputs(Exit->Output.c_str(), stdout);
     return Exit->Status;
   }
-  return Body(std::get<Settings>(Read.value()));
+  return Body(std::get<Settings>(Parsed.value()));
 }
 
-/// Version of this build, "0.1.0".
+/// Version of this build, such as "0.1.0".
 std::string_view version();
 
 } // namespace figlift::settings
--- a/Libraries/LibSettings/FieldTable.cpp
+++ b/Libraries/LibSettings/FieldTable.cpp
@@ -1,7 +1,7 @@
-//===- FieldTable.cpp - Table-driven reading of settings ------------------===//
+//===- FieldTable.cpp - Table-driven settings -----------------------------===//
 //
-// Walks the JSON once to find keys that no row knows, and the rows once to
-// store their values. Exceptions of the JSON library end here.
+// Checks the JSON for unknown keys, then stores the value of each row. Converts
+// exceptions of the JSON library to errors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,9 +31,8 @@
   return std::string(Parent) + "." + std::string(Key);
 }
 
-/// Finds keys that stand twice in one object. The JSON library keeps one of
-/// them without a word, so an operator's edit of the other would have no
-/// effect.
+/// Finds duplicate keys within one object. The JSON library silently keeps one
+/// of them, so an operator's edit of the other would have no effect.
 class DuplicateFinder {
 public:
   bool operator()(int, Json::parse_event_t Event, Json &Parsed) {
@@ -42,18 +41,18 @@
     else if (Event == Json::parse_event_t::object_end)
       m_Open.pop_back();
     else if (Event == Json::parse_event_t::key)
-      noteKey(Parsed.get<std::string>());
+      recordKey(Parsed.get<std::string>());
     return true;
   }
   const std::string &duplicate() const { return m_Duplicate; }
 
 private:
-  void noteKey(const std::string &Key) {
+  void recordKey(const std::string &Key) {
     if (!m_Open.back().insert(Key).second && m_Duplicate.empty())
       m_Duplicate = Key;
   }
 
-  /// Keys of the objects that are being read, outermost first.
+  /// Keys of the objects being parsed, outermost first.
   std::vector<std::set<std::string>> m_Open;
   std::string m_Duplicate;
 };
@@ -68,14 +67,14 @@
       true, true);
   if (!Finder.duplicate().empty())
     return invalid("found the key \"" + Finder.duplicate() +
-                       "\" twice in one object; allowed is once",
+                       "\" twice in one object; expected it once",
                    Finder.duplicate());
   if (!Parsed.is_object())
-    return invalid("found no JSON object; allowed is one object");
+    return invalid("found no JSON object; expected one object");
   return Parsed;
-} catch (const Json::exception &Thrown) {
-  // The text of the exception names the line and the column.
-  return invalid(Thrown.what());
+} catch (const Json::exception &Exception) {
+  // The exception's text contains the line and the column.
+  return invalid(Exception.what());
 }
 
 const FieldRow *findRow(const FieldTable &Rows, const std::string &Path) {
@@ -83,7 +82,7 @@
   return Row == Rows.end() ? nullptr : &*Row;
 }
 
-/// The keys that rows allow directly below \p Parent.
+/// The valid keys directly below \p Parent.
 std::string allowedKeys(const FieldTable &Rows, const std::string &Parent) {
   std::string Prefix = Parent.empty() ? "" : Parent + ".";
   std::vector<std::string_view> Keys;
@@ -111,11 +110,11 @@
       return Row.Path.starts_with(Path + ".");
     });
     if (!IsGroup)
-      return invalid("found an unknown key; allowed here are " +
+      return invalid("found an unknown key; expected one of " +
                          allowedKeys(Rows, Parent),
                      Path);
     if (!Value.is_object())
-      return invalid("found " + Value.dump() + "; allowed is an object with " +
+      return invalid("found " + Value.dump() + "; expected an object with " +
                          allowedKeys(Rows, Path),
                      Path);
     FIGLIFT_TRY(checkKeys(Rows, Value, Path));
@@ -124,43 +123,42 @@
 }
 
 const Json *findValue(const Json &Root, std::string_view Path) {
-  const Json *Here = &Root;
+  const Json *Current = &Root;
   while (true) {
     auto Dot = Path.find('.');
-    auto Found = Here->find(std::string(Path.substr(0, Dot)));
-    if (Found == Here->end())
+    auto Found = Current->find(std::string(Path.substr(0, Dot)));
+    if (Found == Current->end())
       return nullptr;
-    Here = &*Found;
+    Current = &*Found;
     if (Dot == std::string_view::npos)
-      return Here;
+      return Current;
     Path.remove_prefix(Dot + 1);
   }
 }
 
 Result<void> readRow(const FieldRow &Row, const Json &Root) {
   const Json *Value = findValue(Root, Row.Path);
-  if (!Value && Row.Wanted == Presence::Optional)
+  if (!Value && Row.FieldPresence == Presence::Optional)
     return success();
   std::string Path(Row.Path);
   if (!Value)
-    return invalid("found nothing; allowed is " + describeAllowed(Row), Path);
-  if (!store(Row, *Value))
-    return invalid("found " + Value->dump() + "; allowed is " +
-                       describeAllowed(Row),
-                   Path);
+    return invalid("found nothing; expected " + describeAllowed(Row), Path);
+  if (!storeValue(Row, *Value))
+    return invalid(
+        "found " + Value->dump() + "; expected " + describeAllowed(Row), Path);
   return success();
 }
 
-Json::json_pointer pointerOf(std::string_view Path) {
+Json::json_pointer jsonPointer(std::string_view Path) {
   std::string Pointer = "/" + std::string(Path);
   std::ranges::replace(Pointer, '.', '/');
   return Json::json_pointer(Pointer);
 }
 
 std::string defaultText(const FieldRow &Row) {
-  if (Row.Wanted == Presence::Required)
+  if (Row.FieldPresence == Presence::Required)
     return "required";
-  return "`" + load(Row).dump() + "`";
+  return "`" + loadValue(Row).dump() + "`";
 }
 
 } // namespace
@@ -177,11 +175,11 @@
 std::string printFields(const FieldTable &Rows) {
   Json Root = Json::object();
   for (const FieldRow &Row : Rows)
-    Root[pointerOf(Row.Path)] = load(Row);
+    Root[jsonPointer(Row.Path)] = loadValue(Row);
   return Root.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-std::string documentFields(const FieldTable &Rows) {
+std::string describeFields(const FieldTable &Rows) {
   std::string Text = "| field | value | default | meaning |\n"
                      "|---|---|---|---|\n";
   for (const FieldRow &Row : Rows)
--- a/Libraries/LibSettings/FieldTable.h
+++ b/Libraries/LibSettings/FieldTable.h
@@ -1,8 +1,8 @@
-//===- FieldTable.h - Table-driven reading of settings ----------*- C++ -*-===//
+//===- FieldTable.h - Table-driven settings ---------------------*- C++ -*-===//
 //
-// One row for each field of a settings file. The same rows read and check the
-// file, print what is in force and write the documentation, so that the three
-// cannot disagree.
+// Has one row per field of a settings file. The same rows read and validate the
+// file, print the active settings and generate the documentation, which keeps
+// the three consistent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace figlift::settings {
 
-/// Where a field's value is kept, which also is its type.
+/// Pointer to a field's value; its type is the field's type.
 using ValueReference =
     std::variant<std::string *, Endpoint *, std::vector<Endpoint> *,
                  std::chrono::milliseconds *, ByteSize *, unsigned *,
@@ -30,37 +30,37 @@
 
 enum class Presence { Required, Optional };
 
-/// Smallest and greatest value: milliseconds, bytes or a plain number by the
-/// field's type (PlainSeconds: seconds). Not used for the other types.
+/// Minimum and maximum in milliseconds, bytes or plain numbers, depending on
+/// the field's type (PlainSeconds: seconds). Not used for other types.
 struct Range {
   uint64_t Minimum = 0;
   uint64_t Maximum = 0;
 };
 
 struct FieldRow {
-  /// "limits.requestBytes".
+  /// Such as "limits.requestBytes".
   std::string_view Path;
   ValueReference Value;
-  Presence Wanted = Presence::Optional;
+  Presence FieldPresence = Presence::Optional;
   Range Allowed;
   std::string_view Meaning;
 };
 
 using FieldTable = std::vector<FieldRow>;
 
-/// The rows of a settings object. They point into it, so its initial values
-/// are the defaults.
-FieldTable fieldsOf(EntrySettings &Of);
-FieldTable fieldsOf(AgentSettings &Of);
-FieldTable fieldsOf(GatewaySettings &Of);
+/// Field table of a settings object. The rows point into the object, whose
+/// initial values are the defaults.
+FieldTable fieldTable(EntrySettings &Settings);
+FieldTable fieldTable(AgentSettings &Settings);
+FieldTable fieldTable(GatewaySettings &Settings);
 
-/// Reads JSON with comments into the objects that the rows point to.
+/// Parses JSON with comments into the objects that the rows point to.
 Result<void> readFields(const FieldTable &Rows, std::string_view Json);
 
 /// All fields with their values as JSON.
 std::string printFields(const FieldTable &Rows);
 
 /// A Markdown table of the rows.
-std::string documentFields(const FieldTable &Rows);
+std::string describeFields(const FieldTable &Rows);
 
 } // namespace figlift::settings
--- a/Libraries/LibSettings/GatewaySettings.cpp
+++ b/Libraries/LibSettings/GatewaySettings.cpp
@@ -1,6 +1,6 @@
-//===- GatewaySettings.cpp - The fields of the gateway's settings ---------===//
+//===- GatewaySettings.cpp - Fields of the gateway's settings -------------===//
 //
-// The rows that read, print and document them.
+// The field table used to read, print and document the settings.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,93 +12,98 @@
 
 using enum Presence;
 
-FieldTable fieldsOf(GatewaySettings &Of) {
+FieldTable fieldTable(GatewaySettings &Settings) {
   return {
       {"process.id",
-       &Of.Process.Id,
+       &Settings.Process.Id,
        Required,
        {},
        "Name of this process, unique in the system."},
       {"process.zone",
-       &Of.Process.Zone,
+       &Settings.Process.Zone,
        Required,
        {},
        "Availability zone of this VM."},
       {"listen.callers",
-       &Of.Listen.Callers,
+       &Settings.Listen.Callers,
        Required,
        {},
-       "Where callers connect."},
+       "Address for callers' HTTP requests."},
       {"listen.ready",
-       &Of.Listen.Ready,
+       &Settings.Listen.Ready,
        Required,
        {},
-       "Where the platform asks whether this process takes new connections."},
+       "Address of the readiness probe: whether this process accepts new "
+       "connections."},
       {"listen.metrics",
-       &Of.Listen.Metrics,
+       &Settings.Listen.Metrics,
        Optional,
        {},
-       "Prometheus metrics, over HTTP."},
+       "Address of the Prometheus metrics over HTTP."},
       {"listen.peers",
-       &Of.Listen.Peers,
+       &Settings.Listen.Peers,
        Required,
        {},
-       "UDP address at which other gateways reach this one."},
+       "UDP address for messages from other gateways."},
       {"store.address",
-       &Of.Store,
+       &Settings.Store,
        Required,
        {},
        "The platform's metadata store."},
       {"fleet.starts",
-       &Of.Fleet.Starts,
+       &Settings.Fleet.Starts,
        Optional,
        {},
        "Whether the whole fleet starts for the first time, so that no earlier "
-       "process has spent any of the retry budget."},
+       "process has used any of the retry budget."},
       {"retry.ratio",
-       &Of.Retry.Ratio,
+       &Settings.Retry.Ratio,
        Optional,
        {0, 1},
-       "Repeats that each request adds to the fleet's budget."},
+       "Retries that each request adds to the fleet's retry budget."},
       {"retry.base",
-       &Of.Retry.Base,
+       &Settings.Retry.Base,
        Optional,
        {0, 100000},
-       "Repeats in each window that the whole fleet has besides."},
+       "Additional retries of the whole fleet per window."},
       {"retry.windowSeconds",
-       &Of.Retry.Window,
+       &Settings.Retry.Window,
        Optional,
        {1, 600},
        "Sliding window of the retry budget."},
       {"drain.graceSeconds",
-       &Of.Drain.Grace,
+       &Settings.Drain.Grace,
        Optional,
        {1, 600},
-       "From SIGTERM to the moment at which the platform kills the process."},
+       "Time from SIGTERM until the platform kills the process."},
       {"orders.leaseMilliseconds",
-       &Of.Orders.Lease,
+       &Settings.Orders.Lease,
        Optional,
        {500, 60000},
-       "How long an engine must have heard nothing from one giver of orders "
-       "before another may give one."},
-      {"log.level", &Of.Log.Level, Optional, {}, "Least severe level logged."},
+       "Time without orders from one gateway after which an engine accepts "
+       "orders from another."},
+      {"log.level",
+       &Settings.Log.Level,
+       Optional,
+       {},
+       "Least severe level logged."},
       {"log.plainLinesPerSecond",
-       &Of.Log.PlainLinesPerSecond,
+       &Settings.Log.PlainLinesPerSecond,
        Optional,
        {0, 100000},
-       "Lines a second for requests that went as planned; refusals, failures "
-       "and late answers have ten times as many."}};
+       "Log lines per second for requests that ended as planned; refusals, "
+       "failures and late responses have ten times as many."}};
 }
 
 Result<GatewaySettings> parseGatewaySettings(std::string_view Json) {
-  GatewaySettings Read;
-  FIGLIFT_TRY(readFields(fieldsOf(Read), Json));
-  return Read;
+  GatewaySettings Parsed;
+  FIGLIFT_TRY(readFields(fieldTable(Parsed), Json));
+  return Parsed;
 }
 
-std::string printSettings(const GatewaySettings &InForce) {
-  GatewaySettings Copy = InForce;
-  return printFields(fieldsOf(Copy));
+std::string printSettings(const GatewaySettings &Settings) {
+  GatewaySettings Copy = Settings;
+  return printFields(fieldTable(Copy));
 }
 
 } // namespace figlift::settings
--- a/Libraries/LibSettings/GatewaySettings.h
+++ b/Libraries/LibSettings/GatewaySettings.h
@@ -1,9 +1,9 @@
 //===- GatewaySettings.h - Settings of figlift-gateway ----------*- C++ -*-===//
 //
-// What the gateway is told at its start. The platform fills these in from its
-// own settings by a template (deploy/gateway-settings.json.in), whose numbers
-// may have fractions; so bounds are plain numbers here, with the unit in their
-// name.
+// Settings read at the start of the gateway. The platform generates the file
+// from its own settings with a template (deploy/gateway-settings.json.in). Its
+// numbers may have fractions, so durations are plain numbers here, with the
+// unit in the name of the field.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,12 +31,12 @@
   Endpoint Callers;
   Endpoint Ready;
   Endpoint Metrics{"0.0.0.0", 9464};
-  /// UDP, for what gateways tell each other.
+  /// UDP, for messages between gateways.
   Endpoint Peers;
 };
 
 struct GatewayFleet {
-  /// The whole fleet starts for the first time.
+  /// Whether the whole fleet starts for the first time.
   bool Starts = false;
 };
 
@@ -47,19 +47,20 @@
 };
 
 struct GatewayDrain {
-  /// From SIGTERM to the kill.
+  /// Time from SIGTERM until the platform kills the process.
   PlainSeconds Grace{8};
 };
 
 struct GatewayOrders {
-  /// Holders of the authority over engines may not take turns faster.
+  /// Minimum time without orders from one gateway before another may send
+  /// orders to an engine.
   PlainMilliseconds Lease{3000};
 };
 
 struct GatewayLog {
   log::Level Level = log::Level::Info;
-  /// Log lines a second of requests that ended as planned. Refusals, failures
-  /// and late answers have ten times as many.
+  /// Log lines per second for requests that ended as planned. Refusals,
+  /// failures and late responses have ten times as many.
   unsigned PlainLinesPerSecond = 20;
 };
 
@@ -76,6 +77,6 @@
 
 /// Fails with SettingsInvalid; see parseEntrySettings().
 Result<GatewaySettings> parseGatewaySettings(std::string_view Json);
-std::string printSettings(const GatewaySettings &InForce);
+std::string printSettings(const GatewaySettings &Active);
 
 } // namespace figlift::settings
--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -1,9 +1,9 @@
 //===- Settings.h - Settings of entries and agents --------------*- C++ -*-===//
 //
-// Typed settings, read once at the start of a process from JSON with comments.
-// The initialisers here are the defaults; what each field means, its range and
-// whether it must be given stand in the table of SettingsTable.cpp, which also
-// makes docs/SETTINGS.md.
+// Typed settings, read from JSON with comments at the start of a process. The
+// initializers here are the defaults. The tables in SettingsTable.cpp define
+// the meaning and range of each field and whether it is required;
+// docs/SETTINGS.md is generated from them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -59,7 +59,7 @@
   milliseconds Timeout{60000};
 };
 
-/// What every process has.
+/// Settings common to entries and agents.
 struct CommonSettings {
   ProcessSettings Process;
   PlatformSettings Platform;
@@ -91,7 +91,7 @@
   milliseconds Margin{1000};
 };
 
-/// Arms of a measurement. Deployments keep the defaults.
+/// Policies, for measurements only. Deployments keep the defaults.
 struct PolicySettings {
   /// One of RoutingArms.
   std::string Routing = "figlift";
@@ -99,14 +99,14 @@
   std::string Roles = "figlift";
 };
 
-/// Ways to choose a target: figlift's, its baselines, and figlift's with one
-/// mechanism off.
-inline constexpr std::array<std::string_view, 8> RoutingArms = {
+/// Routing policies: figlift's, the baselines, and figlift's with one mechanism
+/// disabled.
+inline constexpr std::array<std::string_view, 8> RoutingPolicies = {
     "figlift",         "random",         "round-robin",
     "least-loaded",    "without-prefix", "without-in-flight",
     "without-refusal", "without-classes"};
-/// Ways to plan roles.
-inline constexpr std::array<std::string_view, 3> RoleArms = {
+/// Role planning policies.
+inline constexpr std::array<std::string_view, 3> RolePolicies = {
     "figlift", "static", "threshold"};
 
 struct EntrySettings : CommonSettings {
@@ -151,14 +151,14 @@
   AgentLimits Limits;
 };
 
-/// Read settings from the text of a file. All fail with SettingsInvalid; the
-/// error names the line or the field, what was found and what is allowed.
+/// Parse the text of a settings file. They fail with SettingsInvalid; the error
+/// names the line or the field, the value found and the value expected.
 Result<EntrySettings> parseEntrySettings(std::string_view Json);
 Result<AgentSettings> parseAgentSettings(std::string_view Json);
 
-/// What is in force, defaults included, as JSON that can be read again.
-std::string printSettings(const EntrySettings &InForce);
-std::string printSettings(const AgentSettings &InForce);
+/// The settings, including defaults, as JSON that can be parsed again.
+std::string printSettings(const EntrySettings &Active);
+std::string printSettings(const AgentSettings &Active);
 
 /// The page docs/SETTINGS.md.
 std::string settingsPage();
--- a/Libraries/LibSettings/Units.cpp
+++ b/Libraries/LibSettings/Units.cpp
@@ -1,4 +1,4 @@
-//===- Units.cpp - Durations and sizes as people write them ---------------===//
+//===- Units.cpp - Durations and sizes with units -------------------------===//
 //
 // See Units.h.
 //
@@ -57,7 +57,7 @@
     return std::chrono::milliseconds(*Number);
   return failure(ResultCode::InvalidInput,
                  "found \"" + std::string(Text) +
-                     "\"; allowed is a whole number with a unit of ms, s, m "
+                     "\"; expected a whole number with a unit of ms, s, m "
                      "or h, such as \"250ms\"");
 }
 
@@ -66,7 +66,7 @@
     return ByteSize{*Number};
   return failure(ResultCode::InvalidInput,
                  "found \"" + std::string(Text) +
-                     "\"; allowed is a whole number with a unit of B, KiB, "
+                     "\"; expected a whole number with a unit of B, KiB, "
                      "MiB or GiB, such as \"8MiB\"");
 }
 
--- a/Libraries/LibSettings/Units.h
+++ b/Libraries/LibSettings/Units.h
@@ -1,7 +1,8 @@
-//===- Units.h - Durations and sizes as people write them -------*- C++ -*-===//
+//===- Units.h - Durations and sizes with units -----------------*- C++ -*-===//
 //
-// "250ms", "4s", "1m", "2h" and "512KiB", "8MiB". A number without a unit is
-// an error: 500 might mean seconds to one operator and milliseconds to another.
+// Parses and formats values such as "250ms", "4s", "512KiB" and "8MiB". A
+// number without a unit is an error, because 500 may be meant as seconds or as
+// milliseconds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,7 @@
 /// Units B, KiB, MiB and GiB; whole numbers. Fails with InvalidInput.
 Result<ByteSize> parseSize(std::string_view Text);
 
-/// In the largest unit that gives a whole number.
+/// Formats the value in the largest unit that gives a whole number.
 std::string toString(std::chrono::milliseconds Time);
 std::string toString(ByteSize Size);
 
--- a/Libraries/LibSettings/ValueType.cpp
+++ b/Libraries/LibSettings/ValueType.cpp
@@ -1,6 +1,6 @@
-//===- ValueType.cpp - The types that a setting may have ------------------===//
+//===- ValueType.cpp - Value types of settings ----------------------------===//
 //
-// One overload of read, write and describe for each type.
+// Visitors with one overload per type to read, write and describe values.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,11 +15,11 @@
 using Json = nlohmann::ordered_json;
 using std::chrono::milliseconds;
 
-bool isIn(uint64_t Number, Range Allowed) {
+bool isInRange(uint64_t Number, Range Allowed) {
   return Number >= Allowed.Minimum && Number <= Allowed.Maximum;
 }
 
-/// The string inside a JSON value, or nothing for another type.
+/// The string in a JSON value; nothing for another type.
 std::optional<std::string> text(const Json &Value) {
   if (!Value.is_string())
     return std::nullopt;
@@ -27,14 +27,15 @@
 }
 
 template <typename T>
-bool assign(T &Into, const Json &Value, Result<T> (*Parse)(std::string_view)) {
+bool assign(T &Destination, const Json &Value,
+            Result<T> (*Parse)(std::string_view)) {
   auto Text = text(Value);
   if (!Text)
     return false;
   auto Parsed = Parse(*Text);
   if (!Parsed)
     return false;
-  Into = Parsed.value();
+  Destination = Parsed.value();
   return true;
 }
 
@@ -43,115 +44,118 @@
     return TargetType::Engine;
   if (Text == "service")
     return TargetType::Service;
-  return failure(ResultCode::InvalidInput, "not a type of target");
+  return failure(ResultCode::InvalidInput, "unknown target type");
 }
 
 struct Reader {
   const Json &Value;
   Range Allowed;
 
-  bool operator()(std::string *Into) const {
+  bool operator()(std::string *Destination) const {
     auto Text = text(Value);
     if (!Text || Text->empty())
       return false;
-    *Into = *Text;
+    *Destination = *Text;
     return true;
   }
-  bool operator()(Endpoint *Into) const {
-    return assign(*Into, Value, Endpoint::parse);
+  bool operator()(Endpoint *Destination) const {
+    return assign(*Destination, Value, Endpoint::parse);
   }
-  bool operator()(std::vector<Endpoint> *Into) const {
+  bool operator()(std::vector<Endpoint> *Destination) const {
     if (!Value.is_array())
       return false;
-    std::vector<Endpoint> Read(Value.size());
-    for (size_t I = 0; I < Read.size(); ++I)
-      if (!assign(Read[I], Value[I], Endpoint::parse))
+    std::vector<Endpoint> Parsed(Value.size());
+    for (size_t I = 0; I < Parsed.size(); ++I)
+      if (!assign(Parsed[I], Value[I], Endpoint::parse))
         return false;
-    *Into = std::move(Read);
+    *Destination = std::move(Parsed);
     return true;
   }
-  bool operator()(milliseconds *Into) const {
-    milliseconds Read{};
-    if (!assign(Read, Value, parseDuration) ||
-        !isIn(static_cast<uint64_t>(Read.count()), Allowed))
+  bool operator()(milliseconds *Destination) const {
+    milliseconds Parsed{};
+    if (!assign(Parsed, Value, parseDuration) ||
+        !isInRange(static_cast<uint64_t>(Parsed.count()), Allowed))
       return false;
-    *Into = Read;
+    *Destination = Parsed;
     return true;
   }
-  bool operator()(ByteSize *Into) const {
-    ByteSize Read;
-    if (!assign(Read, Value, parseSize) || !isIn(Read.Bytes, Allowed))
+  bool operator()(ByteSize *Destination) const {
+    ByteSize Parsed;
+    if (!assign(Parsed, Value, parseSize) || !isInRange(Parsed.Bytes, Allowed))
       return false;
-    *Into = Read;
+    *Destination = Parsed;
     return true;
   }
-  bool operator()(unsigned *Into) const {
-    if (!Value.is_number_unsigned() || !isIn(Value.get<uint64_t>(), Allowed))
+  bool operator()(unsigned *Destination) const {
+    if (!Value.is_number_unsigned() ||
+        !isInRange(Value.get<uint64_t>(), Allowed))
       return false;
-    *Into = Value.get<unsigned>();
+    *Destination = Value.get<unsigned>();
     return true;
   }
-  bool operator()(bool *Into) const {
+  bool operator()(bool *Destination) const {
     if (!Value.is_boolean())
       return false;
-    *Into = Value.get<bool>();
+    *Destination = Value.get<bool>();
     return true;
   }
-  bool operator()(double *Into) const {
+  bool operator()(double *Destination) const {
     if (!Value.is_number())
       return false;
-    const auto Read = Value.get<double>();
-    if (!(Read >= static_cast<double>(Allowed.Minimum) &&
-          Read <= static_cast<double>(Allowed.Maximum)))
+    const auto Parsed = Value.get<double>();
+    if (!(Parsed >= static_cast<double>(Allowed.Minimum) &&
+          Parsed <= static_cast<double>(Allowed.Maximum)))
       return false;
-    *Into = Read;
+    *Destination = Parsed;
     return true;
   }
   template <typename Period>
-  bool operator()(std::chrono::duration<double, Period> *Into) const {
-    double Read = 0;
-    if (!(*this)(&Read))
+  bool operator()(std::chrono::duration<double, Period> *Destination) const {
+    double Parsed = 0;
+    if (!(*this)(&Parsed))
       return false;
-    *Into = std::chrono::duration<double, Period>(Read);
+    *Destination = std::chrono::duration<double, Period>(Parsed);
     return true;
   }
-  bool operator()(log::Format *Into) const {
-    return assign(*Into, Value, log::parseFormat);
+  bool operator()(log::Format *Destination) const {
+    return assign(*Destination, Value, log::parseFormat);
   }
-  bool operator()(log::Level *Into) const {
-    return assign(*Into, Value, log::parseLevel);
+  bool operator()(log::Level *Destination) const {
+    return assign(*Destination, Value, log::parseLevel);
   }
-  bool operator()(TargetType *Into) const {
-    return assign(*Into, Value, parseTargetType);
+  bool operator()(TargetType *Destination) const {
+    return assign(*Destination, Value, parseTargetType);
   }
 };
 
 struct Writer {
-  Json operator()(const std::string *From) const { return *From; }
-  Json operator()(const Endpoint *From) const { return From->toString(); }
-  Json operator()(const std::vector<Endpoint> *From) const {
+  Json operator()(const std::string *Source) const { return *Source; }
+  Json operator()(const Endpoint *Source) const { return Source->toString(); }
+  Json operator()(const std::vector<Endpoint> *Source) const {
     Json List = Json::array();
-    for (const Endpoint &Each : *From)
-      List.push_back(Each.toString());
+    for (const Endpoint &Listed : *Source)
+      List.push_back(Listed.toString());
     return List;
   }
-  Json operator()(const milliseconds *From) const { return toString(*From); }
-  Json operator()(const ByteSize *From) const { return toString(*From); }
-  Json operator()(const unsigned *From) const { return *From; }
-  Json operator()(const bool *From) const { return *From; }
-  Json operator()(const double *From) const { return *From; }
+  Json operator()(const milliseconds *Source) const {
+    return toString(*Source);
+  }
+  Json operator()(const ByteSize *Source) const { return toString(*Source); }
+  Json operator()(const unsigned *Source) const { return *Source; }
+  Json operator()(const bool *Source) const { return *Source; }
+  Json operator()(const double *Source) const { return *Source; }
   template <typename Period>
-  Json operator()(const std::chrono::duration<double, Period> *From) const {
-    return From->count();
+  Json operator()(const std::chrono::duration<double, Period> *Source) const {
+    return Source->count();
   }
-  Json operator()(const log::Format *From) const {
-    return *From == log::Format::Json ? "json" : "text";
+  Json operator()(const log::Format *Source) const {
+    return *Source == log::Format::Json ? "json" : "text";
   }
-  Json operator()(const log::Level *From) const {
-    return std::string(log::toString(*From));
+  Json operator()(const log::Level *Source) const {
+    return std::string(log::toString(*Source));
   }
-  Json operator()(const TargetType *From) const {
-    return *From == TargetType::Engine ? "engine" : "service";
+  Json operator()(const TargetType *Source) const {
+    return *Source == TargetType::Engine ? "engine" : "service";
   }
 };
 
@@ -159,7 +163,7 @@
   Range Allowed;
 
   std::string operator()(const std::string *) const {
-    return "a string that is not empty";
+    return "a non-empty string";
   }
   std::string operator()(const Endpoint *) const {
     return "an address such as \"127.0.0.1:8080\"";
@@ -187,8 +191,8 @@
   std::string operator()(const PlainMilliseconds *) const {
     return number("a number of milliseconds");
   }
-  std::string number(const std::string &What) const {
-    return What + " from " + std::to_string(Allowed.Minimum) + " to " +
+  std::string number(const std::string &Noun) const {
+    return Noun + " from " + std::to_string(Allowed.Minimum) + " to " +
            std::to_string(Allowed.Maximum);
   }
   std::string operator()(const log::Format *) const {
@@ -205,11 +209,11 @@
 
 } // namespace
 
-bool store(const FieldRow &Row, const Json &Value) {
+bool storeValue(const FieldRow &Row, const Json &Value) {
   return std::visit(Reader{Value, Row.Allowed}, Row.Value);
 }
 
-Json load(const FieldRow &Row) { return std::visit(Writer{}, Row.Value); }
+Json loadValue(const FieldRow &Row) { return std::visit(Writer{}, Row.Value); }
 
 std::string describeAllowed(const FieldRow &Row) {
   return std::visit(Describer{Row.Allowed}, Row.Value);
--- a/Libraries/LibSettings/ValueType.h
+++ b/Libraries/LibSettings/ValueType.h
@@ -1,7 +1,7 @@
-//===- ValueType.h - The types that a setting may have ----------*- C++ -*-===//
+//===- ValueType.h - Value types of settings --------------------*- C++ -*-===//
 //
-// How a value of each type is read from JSON, written to JSON and described
-// to a person.
+// Reads values of each type from JSON, writes them to JSON and describes the
+// valid range in messages and documentation.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,14 +13,14 @@
 
 namespace figlift::settings {
 
-/// Stores a JSON value in the field; false when its type or range is wrong,
-/// and then nothing was stored.
-bool store(const FieldRow &Row, const nlohmann::ordered_json &Value);
+/// Stores a JSON value in the field; false, without storing, when its type or
+/// range is invalid.
+bool storeValue(const FieldRow &Row, const nlohmann::ordered_json &Value);
 
-/// The field's present value.
-nlohmann::ordered_json load(const FieldRow &Row);
+/// The field's current value.
+nlohmann::ordered_json loadValue(const FieldRow &Row);
 
-/// "a duration from 10ms to 1m" and the like.
+/// Such as "a duration from "10ms" to "1m"".
 std::string describeAllowed(const FieldRow &Row);
 
 } // namespace figlift::settings
--- a/Tests/LibSettings/TestCommandLine.cpp
+++ b/Tests/LibSettings/TestCommandLine.cpp
@@ -1,6 +1,6 @@
-//===- TestCommandLine.cpp - Command line of entry and agent ----*- C++ -*-===//
+//===- TestCommandLine.cpp - Command line of the services -------*- C++ -*-===//
 //
-// What main programs get for each way to call them.
+// Results of valid and invalid command lines.
 //
 //===----------------------------------------------------------------------===//
 
@@ -46,20 +46,20 @@
     std::string().swap(Name);
   }
   std::string outputOf(std::vector<const char *> Arguments) {
-    auto Read = start(std::move(Arguments));
-    CHECK(Read.has_value());
-    auto &Exit = std::get<ExitRequest>(Read.value());
+    auto Parsed = start(std::move(Arguments));
+    CHECK(Parsed.has_value());
+    auto &Exit = std::get<ExitRequest>(Parsed.value());
     LONGS_EQUAL(0, Exit.Status);
     return Exit.Output;
   }
 };
 
-TEST(CommandLine, GivesSettingsToRunWith) {
-  auto Read = start({"--settings", Name.c_str()});
-  CHECK(std::get<EntrySettings>(Read.value()).Process.Id == "e");
+TEST(CommandLine, ReturnsSettings) {
+  auto Parsed = start({"--settings", Name.c_str()});
+  CHECK(std::get<EntrySettings>(Parsed.value()).Process.Id == "e");
 }
 
-TEST(CommandLine, AnswersAndExits) {
+TEST(CommandLine, PrintsAndExits) {
   STRCMP_CONTAINS("--check-config", outputOf({"--help"}).c_str());
   STRCMP_CONTAINS("figlift-entry 0.", outputOf({"--version"}).c_str());
   STRCMP_CONTAINS(
@@ -70,7 +70,7 @@
       outputOf({"--settings", Name.c_str(), "--print-config"}).c_str());
 }
 
-TEST(CommandLine, RefusesWhatItDoesNotKnow) {
+TEST(CommandLine, RejectsInvalidArguments) {
   for (const auto &Arguments : std::vector<std::vector<const char *>>{
            {},
            {"--settings"},
@@ -78,9 +78,9 @@
            {"--settings", "/"},
            {"--setting", Name.c_str()},
            {"--settings", Name.c_str(), "extra"}}) {
-    auto Read = start(Arguments);
-    CHECK(!Read);
-    CHECK(Read.error().Code == ResultCode::SettingsInvalid);
-    CHECK(!Read.error().Message.empty());
+    auto Parsed = start(Arguments);
+    CHECK(!Parsed);
+    CHECK(Parsed.error().Code == ResultCode::SettingsInvalid);
+    CHECK(!Parsed.error().Message.empty());
   }
 }
