--- a/Libraries/LibConfig/OperatorClient.cpp
+++ b/Libraries/LibConfig/OperatorClient.cpp
@@ -13,12 +13,12 @@
 
 namespace figlift::config {
 
-using platform::HttpAnswer;
-using platform::HttpCalls;
+using platform::BoundedHttpClient;
 using platform::HttpFailure;
+using platform::HttpMethod;
 using platform::HttpOutcome;
-using platform::HttpQuestion;
-using platform::HttpVerb;
+using platform::HttpRequest;
+using platform::HttpResponse;
 
 OperatorClient::OperatorClient(OperatorClientOptions Options)
     : m_Options(std::move(Options)) {
@@ -26,7 +26,7 @@
     platform::HttpCallOptions Each;
     Each.Server = Entry;
     Each.Timeout = m_Options.Timeout;
-    m_Calls.push_back(std::make_shared<HttpCalls>(Each));
+    m_Calls.push_back(std::make_shared<BoundedHttpClient>(Each));
   }
 }
 
@@ -35,7 +35,7 @@
     Each->stop();
 }
 
-HttpOutcome OperatorClient::ask(size_t Entry, HttpQuestion Question) {
+HttpOutcome OperatorClient::ask(size_t Entry, HttpRequest Question) {
   std::promise<HttpOutcome> Promise;
   m_Calls[Entry]->submit(std::move(Question), [&Promise](HttpOutcome Outcome) {
     Promise.set_value(std::move(Outcome));
@@ -44,7 +44,7 @@
 }
 
 /// The error in a problem answer.
-static Error problemOf(const HttpAnswer &Answer) {
+static Error problemOf(const HttpResponse &Answer) {
   auto Body = nlohmann::json::parse(Answer.Body, nullptr, false);
   Error Why{ResultCode::Internal,
             "status " + std::to_string(Answer.Status),
@@ -67,7 +67,7 @@
 static Result<std::string> bodyOf(HttpOutcome Outcome) {
   if (auto *Failure = std::get_if<HttpFailure>(&Outcome))
     return failure(ResultCode::PeerUnreachable, std::move(Failure->Message));
-  auto &Answer = std::get<HttpAnswer>(Outcome);
+  auto &Answer = std::get<HttpResponse>(Outcome);
   if (Answer.Status == 200)
     return std::move(Answer.Body);
   return outcome::failure(problemOf(Answer));
@@ -77,7 +77,7 @@
   Result<std::string> Last =
       failure(ResultCode::PeerUnreachable, "no entry was given");
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
-    Last = bodyOf(ask(Entry, {HttpVerb::Get, Path, {}}));
+    Last = bodyOf(ask(Entry, {HttpMethod::Get, Path, {}}));
     if (Last || Last.error().Code == ResultCode::RecordNotFound)
       return Last;
   }
@@ -88,7 +88,7 @@
   std::vector<std::future<HttpOutcome>> Asked;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry)
     Asked.push_back(std::async(std::launch::async, [this, Entry, &Path] {
-      return ask(Entry, {HttpVerb::Get, Path, {}});
+      return ask(Entry, {HttpMethod::Get, Path, {}});
     }));
   std::vector<EntryAnswer> Answers;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
@@ -120,7 +120,7 @@
 /// Once one attempt may have done the change, a later entry's failure proves
 /// nothing: the first may still be at work on it. To report that failure would
 /// tell the operator that a change was refused which is then in force.
-Result<std::string> OperatorClient::write(HttpVerb Verb,
+Result<std::string> OperatorClient::write(HttpMethod Verb,
                                           const std::string &Path,
                                           const std::string &Body) {
   bool MayBeDone = false;
--- a/Libraries/LibConfig/OperatorClient.h
+++ b/Libraries/LibConfig/OperatorClient.h
@@ -9,7 +9,7 @@
 
 #include "LibCore/Endpoint.h"
 #include "LibCore/Result.h"
-#include "LibPlatform/HttpCalls.h"
+#include "LibPlatform/BoundedHttpClient.h"
 
 #include <chrono>
 #include <functional>
@@ -49,14 +49,14 @@
   /// Sends a write; \p Path or \p Body carries its operation id, so that
   /// sending it to several entries does it once. StoreOutcomeUnknown: one of
   /// them may have done it. Every other error: nothing was done.
-  Result<std::string> write(platform::HttpVerb Verb, const std::string &Path,
+  Result<std::string> write(platform::HttpMethod Verb, const std::string &Path,
                             const std::string &Body);
 
 private:
-  platform::HttpOutcome ask(size_t Entry, platform::HttpQuestion Question);
+  platform::HttpOutcome ask(size_t Entry, platform::HttpRequest Question);
 
   const OperatorClientOptions m_Options;
-  std::vector<std::shared_ptr<platform::HttpCalls>> m_Calls;
+  std::vector<std::shared_ptr<platform::BoundedHttpClient>> m_Calls;
 };
 
 } // namespace figlift::config
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -1,7 +1,6 @@
-//===- HttpPlatform.cpp - The platform over HTTP --------------------------===//
+//===- HttpPlatform.cpp - Platform client over HTTP -----------------------===//
 //
-// Builds the questions, reads the answers, and turns their failures into
-// result codes.
+// Builds requests, parses responses and maps failures to result codes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-static std::string encoded(const std::string &Text) {
+static std::string percentEncode(const std::string &Text) {
   return web::uri::encode_data_string(Text);
 }
 
@@ -22,53 +21,54 @@
   return {ResultCode::StoreUnavailable, std::move(Message), {}, std::nullopt};
 }
 
-/// A question whose answer grows with the fleet or its configuration.
-static HttpQuestion largeQuestion(std::string Path) {
-  HttpQuestion Question;
-  Question.Path = std::move(Path);
-  Question.HasLargeAnswer = true;
-  return Question;
+/// A request whose response grows with the fleet or its configuration.
+static HttpRequest largeRequest(std::string Path) {
+  HttpRequest Request;
+  Request.Path = std::move(Path);
+  Request.HasLargeResponse = true;
+  return Request;
 }
 
-/// The body of a 200 answer to a question that changes nothing.
-static Result<std::string> readAnswer(HttpOutcome Outcome) {
+/// The body of a 200 response to a read.
+static Result<std::string> readResult(HttpOutcome Outcome) {
   if (auto *Failure = std::get_if<HttpFailure>(&Outcome))
     return outcome::failure(unavailable(std::move(Failure->Message)));
-  auto &Answer = std::get<HttpAnswer>(Outcome);
-  if (Answer.Status == 200)
-    return std::move(Answer.Body);
-  Error Why = unavailable("status " + std::to_string(Answer.Status));
-  Why.RetryAfter = Answer.RetryAfter;
-  return outcome::failure(std::move(Why));
+  auto &Response = std::get<HttpResponse>(Outcome);
+  if (Response.Status == 200)
+    return std::move(Response.Body);
+  Error Reason = unavailable("status " + std::to_string(Response.Status));
+  Reason.RetryAfter = Response.RetryAfter;
+  return outcome::failure(std::move(Reason));
 }
 
-/// Success, or whether the write may have happened.
-static Result<std::monostate> writeAnswer(const HttpOutcome &Outcome) {
+/// Success, or an error that says whether the write may have been executed.
+static Result<std::monostate> writeResult(const HttpOutcome &Outcome) {
   if (const auto *Failure = std::get_if<HttpFailure>(&Outcome))
     return failure(Failure->MayHaveBeenProcessed
                        ? ResultCode::StoreOutcomeUnknown
                        : ResultCode::StoreUnavailable,
                    Failure->Message);
-  const auto &Answer = std::get<HttpAnswer>(Outcome);
-  if (Answer.Status >= 200 && Answer.Status < 300)
+  const auto &Response = std::get<HttpResponse>(Outcome);
+  if (Response.Status >= 200 && Response.Status < 300)
     return std::monostate();
-  std::string Message = "status " + std::to_string(Answer.Status);
-  if (Answer.Status == 409)
-    return failure(ResultCode::StoreConflict, Answer.Body);
-  if (Answer.Status >= 400 && Answer.Status < 500 && Answer.Status != 429 &&
-      Answer.Status != 408)
-    return failure(ResultCode::Internal, Message + ": " + Answer.Body);
-  if (Answer.Status != 503 && Answer.Status != 429)
+  std::string Message = "status " + std::to_string(Response.Status);
+  if (Response.Status == 409)
+    return failure(ResultCode::StoreConflict, Response.Body);
+  if (Response.Status >= 400 && Response.Status < 500 &&
+      Response.Status != 429 && Response.Status != 408)
+    return failure(ResultCode::Internal, Message + ": " + Response.Body);
+  if (Response.Status != 503 && Response.Status != 429)
     return failure(ResultCode::StoreOutcomeUnknown, Message);
-  Error Why = unavailable(std::move(Message));
-  Why.RetryAfter = Answer.RetryAfter;
-  return outcome::failure(std::move(Why));
+  Error Reason = unavailable(std::move(Message));
+  Reason.RetryAfter = Response.RetryAfter;
+  return outcome::failure(std::move(Reason));
 }
 
-/// Parses a good answer with \p Read; malformed JSON counts as unavailable.
+/// Parses a successful response with \p Read; malformed JSON is reported as
+/// StoreUnavailable.
 template <typename T, typename Reader>
-static Result<T> parsed(HttpOutcome Outcome, Reader Read) {
-  FIGLIFT_TRY(Body, readAnswer(std::move(Outcome)));
+static Result<T> parseResponse(HttpOutcome Outcome, Reader Read) {
+  FIGLIFT_TRY(Body, readResult(std::move(Outcome)));
   try {
     return Read(Json::parse(Body));
   } catch (const Json::exception &Exception) {
@@ -76,68 +76,68 @@
   }
 }
 
-static Row rowFrom(const Json &Value) {
+static Row parseRow(const Json &Value) {
   return {Value.at("key").get<std::string>(),
           Value.at("version").get<uint64_t>(),
           Value.at("value").get<std::string>()};
 }
 
-static std::vector<Row> rowsFrom(const Json &Value) {
+static std::vector<Row> parseRows(const Json &Value) {
   std::vector<Row> Rows;
-  for (const Json &Each : Value.at("rows"))
-    Rows.push_back(rowFrom(Each));
+  for (const Json &Item : Value.at("rows"))
+    Rows.push_back(parseRow(Item));
   return Rows;
 }
 
-static VmState stateFrom(const std::string &Text) {
+static VmState parseState(const std::string &Text) {
   if (Text == "live")
     return VmState::Live;
   return Text == "leaving" ? VmState::Leaving : VmState::Gone;
 }
 
-/// Absent when the line names no usable address.
-static std::optional<Vm> vmFrom(const Json &Value) {
+/// Nothing when the entry has no valid address.
+static std::optional<Vm> parseVm(const Json &Value) {
   auto Peer = Endpoint::parse(Value.at("peer").get<std::string>());
   if (!Peer)
     return std::nullopt;
-  Vm Line;
-  Line.Id = Value.at("id");
-  Line.Kind = Value.at("kind") == "entry" ? VmKind::Entry : VmKind::Target;
-  Line.BackEnd = Value.value("backEnd", "");
-  Line.Zone = Value.value("zone", "");
-  Line.Region = Value.value("region", "");
-  Line.Peer = Peer.value();
-  Line.State = stateFrom(Value.at("state"));
-  return Line;
-}
-
-static std::vector<Vm> vmsFrom(const Json &Value) {
-  std::vector<Vm> Lines;
-  for (const Json &Each : Value.at("vms"))
-    if (auto Line = vmFrom(Each))
-      Lines.push_back(std::move(*Line));
-  return Lines;
-}
-
-static std::string bodyOf(const Transaction &What) {
+  Vm Entry;
+  Entry.Id = Value.at("id");
+  Entry.Kind = Value.at("kind") == "entry" ? VmKind::Entry : VmKind::Target;
+  Entry.BackEnd = Value.value("backEnd", "");
+  Entry.Zone = Value.value("zone", "");
+  Entry.Region = Value.value("region", "");
+  Entry.Peer = Peer.value();
+  Entry.State = parseState(Value.at("state"));
+  return Entry;
+}
+
+static std::vector<Vm> parseVms(const Json &Value) {
+  std::vector<Vm> Entries;
+  for (const Json &Item : Value.at("vms"))
+    if (auto Entry = parseVm(Item))
+      Entries.push_back(std::move(*Entry));
+  return Entries;
+}
+
+static std::string encodeTransaction(const Transaction &Changes) {
   Json Body = {{"conditions", Json::array()}, {"writes", Json::array()}};
-  for (const auto &[Key, Version] : What.Conditions)
+  for (const auto &[Key, Version] : Changes.Conditions)
     Body["conditions"].push_back({{"key", Key}, {"version", Version}});
-  for (const auto &[Key, Value] : What.Writes) {
-    Json Line = {{"key", Key}};
+  for (const auto &[Key, Value] : Changes.Writes) {
+    Json Entry = {{"key", Key}};
     if (Value)
-      Line["value"] = *Value;
+      Entry["value"] = *Value;
     else
-      Line["delete"] = true;
-    Body["writes"].push_back(std::move(Line));
+      Entry["delete"] = true;
+    Body["writes"].push_back(std::move(Entry));
   }
   return Body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// The VM list as it was read last, with the tag that the platform gave it.
-/// Every process reads the list, and it rarely changes: sent whole each time,
-/// it would take several times a daemon's budget of control bytes in a fleet
-/// of a thousand VMs. A platform without tags is read whole.
+/// The last VM list read, with its ETag. Every process polls the list, which
+/// rarely changes. Transferring it completely each time would exceed a
+/// process's budget of control bytes several times in a fleet of a thousand
+/// VMs. Without an ETag from the platform, the complete list is read each time.
 class HttpPlatform::ListCache {
 public:
   std::string tag() const {
@@ -145,19 +145,20 @@
     return m_Tag;
   }
 
-  Result<std::vector<Vm>> take(HttpOutcome Outcome) {
-    const auto *Answer = std::get_if<HttpAnswer>(&Outcome);
-    const bool Unchanged = Answer && Answer->Status == NotModified;
-    const std::string Tag = Answer ? Answer->ETag : std::string();
+  Result<std::vector<Vm>> update(HttpOutcome Outcome) {
+    const auto *Response = std::get_if<HttpResponse>(&Outcome);
+    const bool Unchanged = Response && Response->Status == NotModified;
+    const std::string Tag = Response ? Response->ETag : std::string();
     if (!Unchanged) {
-      FIGLIFT_TRY(Read, parsed<std::vector<Vm>>(std::move(Outcome), vmsFrom));
+      FIGLIFT_TRY(Read,
+                  parseResponse<std::vector<Vm>>(std::move(Outcome), parseVms));
       const std::lock_guard Lock(m_Mutex);
       m_Tag = Tag;
-      m_Lines = std::move(Read);
-      return m_Lines;
+      m_Entries = std::move(Read);
+      return m_Entries;
     }
     const std::lock_guard Lock(m_Mutex);
-    return m_Lines;
+    return m_Entries;
   }
 
 private:
@@ -165,7 +166,7 @@
 
   mutable std::mutex m_Mutex;
   std::string m_Tag;
-  std::vector<Vm> m_Lines;
+  std::vector<Vm> m_Entries;
 };
 
 Result<std::unique_ptr<HttpPlatform>>
@@ -175,66 +176,69 @@
                    "the timeout must be greater than 0", "platform.timeout");
   try {
     return std::unique_ptr<HttpPlatform>(
-        new HttpPlatform(std::make_shared<HttpCalls>(Options)));
+        new HttpPlatform(std::make_shared<BoundedHttpClient>(Options)));
   } catch (const std::exception &Exception) {
     return failure(ResultCode::SettingsInvalid, Exception.what(),
                    "platform.address");
   }
 }
 
-HttpPlatform::HttpPlatform(std::shared_ptr<HttpCalls> Calls)
-    : m_Calls(std::move(Calls)), m_List(std::make_shared<ListCache>()) {}
+HttpPlatform::HttpPlatform(std::shared_ptr<BoundedHttpClient> Client)
+    : m_Client(std::move(Client)), m_ListCache(std::make_shared<ListCache>()) {}
 
-HttpPlatform::~HttpPlatform() { m_Calls->stop(); }
+HttpPlatform::~HttpPlatform() { m_Client->stop(); }
 
 void HttpPlatform::read(std::string Key, Callback<Row> Done) {
-  m_Calls->submit({HttpVerb::Get, "/v1/table/row?key=" + encoded(Key), {}},
-                  [Done = std::move(Done)](HttpOutcome Outcome) {
-                    Done(parsed<Row>(std::move(Outcome), rowFrom));
-                  });
+  m_Client->submit(
+      {HttpMethod::Get, "/v1/table/row?key=" + percentEncode(Key), {}},
+      [Done = std::move(Done)](HttpOutcome Outcome) {
+        Done(parseResponse<Row>(std::move(Outcome), parseRow));
+      });
 }
 
 void HttpPlatform::readRange(std::string Prefix, std::string After,
                              size_t Limit, Callback<std::vector<Row>> Done) {
-  std::string Path = "/v1/table/range?prefix=" + encoded(Prefix) +
-                     "&after=" + encoded(After) +
+  std::string Path = "/v1/table/range?prefix=" + percentEncode(Prefix) +
+                     "&after=" + percentEncode(After) +
                      "&limit=" + std::to_string(Limit);
-  m_Calls->submit(largeQuestion(std::move(Path)), [Done = std::move(Done)](
+  m_Client->submit(largeRequest(std::move(Path)), [Done = std::move(Done)](
                                                       HttpOutcome Outcome) {
-    Done(parsed<std::vector<Row>>(std::move(Outcome), rowsFrom));
+    Done(parseResponse<std::vector<Row>>(std::move(Outcome), parseRows));
   });
 }
 
-void HttpPlatform::commit(Transaction What, Callback<std::monostate> Done) {
-  m_Calls->submit({HttpVerb::Post, "/v1/table/commit", bodyOf(What), false},
-                  [Done = std::move(Done)](HttpOutcome Outcome) {
-                    Done(writeAnswer(Outcome));
-                  });
+void HttpPlatform::commit(Transaction Changes, Callback<std::monostate> Done) {
+  m_Client->submit(
+      {HttpMethod::Post, "/v1/table/commit", encodeTransaction(Changes), false},
+      [Done = std::move(Done)](HttpOutcome Outcome) {
+        Done(writeResult(Outcome));
+      });
 }
 
 void HttpPlatform::put(std::string Name, std::string Body,
                        Callback<std::monostate> Done) {
-  m_Calls->submit(
-      {HttpVerb::Put, "/v1/objects/" + encoded(Name), std::move(Body)},
+  m_Client->submit(
+      {HttpMethod::Put, "/v1/objects/" + percentEncode(Name), std::move(Body)},
       [Done = std::move(Done)](HttpOutcome Outcome) {
-        Done(writeAnswer(Outcome));
+        Done(writeResult(Outcome));
       });
 }
 
 void HttpPlatform::get(std::string Name, Callback<std::string> Done) {
-  m_Calls->submit(largeQuestion("/v1/objects/" + encoded(Name)),
-                  [Done = std::move(Done)](HttpOutcome Outcome) {
-                    Done(readAnswer(std::move(Outcome)));
-                  });
+  m_Client->submit(largeRequest("/v1/objects/" + percentEncode(Name)),
+                   [Done = std::move(Done)](HttpOutcome Outcome) {
+                     Done(readResult(std::move(Outcome)));
+                   });
 }
 
 void HttpPlatform::list(Callback<std::vector<Vm>> Done) {
-  HttpQuestion Question = largeQuestion("/v1/vms");
-  Question.IfNoneMatch = m_List->tag();
-  m_Calls->submit(std::move(Question), [Cache = m_List, Done = std::move(Done)](
-                                           HttpOutcome Outcome) {
-    Done(Cache->take(std::move(Outcome)));
-  });
+  HttpRequest Request = largeRequest("/v1/vms");
+  Request.IfNoneMatch = m_ListCache->tag();
+  m_Client->submit(
+      std::move(Request),
+      [Cache = m_ListCache, Done = std::move(Done)](HttpOutcome Outcome) {
+        Done(Cache->update(std::move(Outcome)));
+      });
 }
 
 } // namespace figlift::platform
--- a/Libraries/LibPlatform/HttpPlatform.h
+++ b/Libraries/LibPlatform/HttpPlatform.h
@@ -1,15 +1,14 @@
-//===- HttpPlatform.h - The platform over HTTP ------------------*- C++ -*-===//
+//===- HttpPlatform.h - Platform client over HTTP ---------------*- C++ -*-===//
 //
-// Table, object store and VM list of the platform behind its HTTP and JSON
-// interface. What a failed call means for a write is decided here, once:
-// refused connection or 503 means that nothing was written, a lost answer
-// that nobody knows.
+// Client for the platform's table, object store and VM list over HTTP and JSON.
+// Maps failed writes to result codes: a refused connection or status 503 means
+// that nothing was written; after a lost response the outcome is unknown.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
-#include "LibPlatform/HttpCalls.h"
+#include "LibPlatform/BoundedHttpClient.h"
 #include "LibPlatform/Platform.h"
 
 #include <memory>
@@ -18,32 +17,32 @@
 
 class HttpPlatform : public Table, public ObjectStore, public VmList {
 public:
-  /// \p Options name the platform's endpoint and the timeout of each call.
+  /// \p Options contain the platform's endpoint and the timeout of each call.
   static Result<std::unique_ptr<HttpPlatform>>
   create(const HttpCallOptions &Options);
 
-  /// Waits for the calls in flight, at most their timeout.
+  /// Waits for the calls in flight, at most for their timeout.
   ~HttpPlatform() override;
 
   void read(std::string Key, Callback<Row> Done) override;
   void readRange(std::string Prefix, std::string After, size_t Limit,
                  Callback<std::vector<Row>> Done) override;
-  void commit(Transaction What, Callback<std::monostate> Done) override;
+  void commit(Transaction Changes, Callback<std::monostate> Done) override;
   void put(std::string Name, std::string Body,
            Callback<std::monostate> Done) override;
   void get(std::string Name, Callback<std::string> Done) override;
   void list(Callback<std::vector<Vm>> Done) override;
 
   /// Bytes exchanged with the platform since the start.
-  uint64_t bytes() const { return m_Calls->bytes(); }
+  uint64_t bytes() const { return m_Client->bytes(); }
 
 private:
-  explicit HttpPlatform(std::shared_ptr<HttpCalls> Calls);
+  explicit HttpPlatform(std::shared_ptr<BoundedHttpClient> Client);
 
   class ListCache;
 
-  std::shared_ptr<HttpCalls> m_Calls;
-  const std::shared_ptr<ListCache> m_List;
+  std::shared_ptr<BoundedHttpClient> m_Client;
+  const std::shared_ptr<ListCache> m_ListCache;
 };
 
 } // namespace figlift::platform
--- a/Libraries/LibPlatform/Platform.h
+++ b/Libraries/LibPlatform/Platform.h
@@ -1,12 +1,12 @@
-//===- Platform.h - What the platform gives ---------------------*- C++ -*-===//
+//===- Platform.h - Interfaces to the platform ------------------*- C++ -*-===//
 //
-// Interfaces to the platform's transactional table, object store, VM list and
-// weight store. Tests put mocks behind them; processes use HttpPlatform.
+// Interfaces to the platform's transactional table, object store and VM list.
+// Processes use HttpPlatform; tests use mocks.
 //
-// All calls are asynchronous: the callback runs on a platform thread, exactly
-// once: within the call's timeout for single rows and writes, and within that
-// silence of the platform for what may be large. No call is ever made for a
-// single request of a caller.
+// All calls are asynchronous. The callback runs exactly once, on a platform
+// thread: within the call's timeout for single rows and writes, and for
+// possibly large responses at the latest after receiving no data for that time.
+// No call is made for an individual caller's request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,13 +25,13 @@
 
 namespace figlift::platform {
 
-/// A row of the table. Versions grow by one with each write; 0 means absent.
+/// A row of the table. Each write increments the version; 0 means absent.
 struct Row {
   std::string Key;
   uint64_t Version = 0;
   std::string Value;
-  /// Rises when the store comes back from a copy, and versions begin to be
-  /// given out again; 0 for a store that never does.
+  /// Increases when the store is restored from a backup, after which versions
+  /// are assigned again; 0 for a store without restores.
   uint64_t Era = 0;
 };
 
@@ -43,11 +43,11 @@
 
 struct Write {
   std::string Key;
-  /// Absent: the row is removed.
+  /// Nothing to delete the row.
   std::optional<std::string> Value;
 };
 
-/// All conditions hold and all writes happen, or nothing happens.
+/// Atomic: all writes are executed if all conditions hold, otherwise none.
 struct Transaction {
   std::vector<Condition> Conditions;
   std::vector<Write> Writes;
@@ -58,16 +58,16 @@
 class Table {
 public:
   virtual ~Table() = default;
-  /// An absent row comes back with Version 0. Error: StoreUnavailable.
+  /// An absent row is returned with Version 0. Error: StoreUnavailable.
   virtual void read(std::string Key, Callback<Row> Done) = 0;
-  /// Rows whose key begins with \p Prefix and is greater than \p After, in key
-  /// order, at most \p Limit.
+  /// At most \p Limit rows, in key order, whose key starts with \p Prefix and
+  /// is greater than \p After.
   virtual void readRange(std::string Prefix, std::string After, size_t Limit,
                          Callback<std::vector<Row>> Done) = 0;
   /// Errors: StoreConflict (a condition failed, nothing was written),
-  /// StoreUnavailable (nothing was written), StoreOutcomeUnknown (the answer
-  /// was lost; the writes may have happened).
-  virtual void commit(Transaction What, Callback<std::monostate> Done) = 0;
+  /// StoreUnavailable (nothing was written), StoreOutcomeUnknown (the response
+  /// was lost; the writes may have been executed).
+  virtual void commit(Transaction Changes, Callback<std::monostate> Done) = 0;
 };
 
 class ObjectStore {
@@ -81,15 +81,15 @@
 enum class VmState { Live, Leaving, Gone };
 enum class VmKind { Entry, Target };
 
-/// One line of the platform's list, which lags behind the truth.
+/// An entry of the platform's VM list, which may be out of date.
 struct Vm {
   std::string Id;
   VmKind Kind = VmKind::Target;
-  /// Tag that names the back end of a target; empty for an entry.
+  /// Back end of a target, from a tag of the VM; empty for an entry.
   std::string BackEnd;
   std::string Zone;
   std::string Region;
-  /// Where the figlift process of the VM listens for its peers.
+  /// Where the VM's figlift process listens for peers.
   Endpoint Peer;
   VmState State = VmState::Live;
 };
--- a/Tests/LibConfig/TestOperatorClient.cpp
+++ b/Tests/LibConfig/TestOperatorClient.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr auto Says = Step::What::Answer;
+constexpr auto Says = Step::Action::Respond;
 const Step Committed{Says, 200, R"({"revision":4})"};
 const Step StoreDown{Says, 503, R"({"code":601,"detail":"down"})"};
 const Step Unknown{Says, 504, R"({"code":603,"detail":"lost"})"};
 const Step Conflict{Says, 409, R"({"code":402,"detail":"version 3"})"};
 const Step Invalid{Says, 422, R"({"code":401,"detail":"bad","field":"spec"})"};
-const Step Lost{Step::What::CloseWithoutAnswer};
-const Step Silent{Step::What::Silence};
+const Step Lost{Step::Action::CloseConnection};
+const Step Silent{Step::Action::NoResponse};
 
 Result<std::string> writeTo(std::vector<uint16_t> Ports) {
   OperatorClientOptions Options;
@@ -33,7 +33,7 @@
     Options.Entries.push_back({"127.0.0.1", Port});
   Options.Timeout = 300ms;
   Options.Rounds = 1;
-  return OperatorClient(Options).write(platform::HttpVerb::Post, "/x", "{}");
+  return OperatorClient(Options).write(platform::HttpMethod::Post, "/x", "{}");
 }
 
 EntryAnswer status(const std::string &Body) {
--- a/Tests/LibPlatform/RawServer.h
+++ b/Tests/LibPlatform/RawServer.h
@@ -1,8 +1,7 @@
-//===- RawServer.h - A scripted server for transport faults -----*- C++ -*-===//
+//===- RawServer.h - Scripted server for transport failures -----*- C++ -*-===//
 //
-// Accepts connections on a free loopback port, reads one request after
-// another and answers each by the next step of its script: some bytes, a
-// closed connection, or silence.
+// Accepts connections on a free loopback port and handles each request with the
+// next step of its script: a response, a closed connection, or no response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,15 +22,15 @@
 
 namespace figlift::test {
 
-/// What happens to one request.
+/// How the server handles one request.
 struct Step {
-  enum class What { Answer, CloseWithoutAnswer, Silence } Kind;
+  enum class Action { Respond, CloseConnection, NoResponse } Kind;
   int Status = 200;
   std::string Body = "{}";
-  /// Lines with their ends.
+  /// Header lines, each with CRLF.
   std::string Headers{};
-  /// Before each of twenty pieces of the body; without it all leave at once.
-  std::chrono::milliseconds Pace{0};
+  /// Delay before each of twenty parts of the body; zero sends it at once.
+  std::chrono::milliseconds Delay{0};
 };
 
 class RawServer {
@@ -48,7 +47,7 @@
   }
 
   uint16_t port() const { return m_Acceptor.local_endpoint().port(); }
-  /// Requests that arrived whole.
+  /// Requests received completely.
   unsigned requests() const { return m_Requests; }
   std::string lastHead() {
     std::lock_guard Lock(m_Mutex);
@@ -77,86 +76,93 @@
     });
   }
 
-  void receive(const Pointer &From) {
+  void receive(const Pointer &Peer) {
     boost::asio::async_read_until(
-        From->Socket, boost::asio::dynamic_buffer(From->Buffer), "\r\n\r\n",
-        [this, From](auto Code, size_t Length) {
+        Peer->Socket, boost::asio::dynamic_buffer(Peer->Buffer), "\r\n\r\n",
+        [this, Peer](auto Code, size_t Length) {
           if (!Code)
-            receiveBody(From, Length);
+            receiveBody(Peer, Length);
         });
   }
 
-  void receiveBody(const Pointer &From, size_t HeadLength) {
+  void receiveBody(const Pointer &Peer, size_t HeadLength) {
     size_t Length = 0;
-    if (auto At = From->Buffer.find("Content-Length: "); At < HeadLength)
-      Length = std::stoul(From->Buffer.substr(At + 16));
-    size_t Whole = HeadLength + Length;
-    size_t Missing =
-        From->Buffer.size() < Whole ? Whole - From->Buffer.size() : 0;
+    if (auto Position = Peer->Buffer.find("Content-Length: ");
+        Position < HeadLength)
+      Length = std::stoul(Peer->Buffer.substr(Position + 16));
+    size_t TotalLength = HeadLength + Length;
+    size_t Missing = Peer->Buffer.size() < TotalLength
+                         ? TotalLength - Peer->Buffer.size()
+                         : 0;
     boost::asio::async_read(
-        From->Socket, boost::asio::dynamic_buffer(From->Buffer),
+        Peer->Socket, boost::asio::dynamic_buffer(Peer->Buffer),
         boost::asio::transfer_exactly(Missing),
-        [this, From, HeadLength, Whole](auto Code, size_t) {
+        [this, Peer, HeadLength, TotalLength](auto Code, size_t) {
           if (Code)
             return;
           {
             std::lock_guard Lock(m_Mutex);
-            m_LastHead = From->Buffer.substr(0, HeadLength);
-            m_LastBody = From->Buffer.substr(HeadLength, Whole - HeadLength);
+            m_LastHead = Peer->Buffer.substr(0, HeadLength);
+            m_LastBody =
+                Peer->Buffer.substr(HeadLength, TotalLength - HeadLength);
           }
-          From->Buffer.erase(0, Whole);
+          Peer->Buffer.erase(0, TotalLength);
           ++m_Requests;
-          perform(From);
+          runStep(Peer);
         });
   }
 
-  void perform(const Pointer &From) {
-    Step Now{Step::What::Silence};
+  void runStep(const Pointer &Peer) {
+    Step Current{Step::Action::NoResponse};
     if (!m_Script.empty()) {
-      Now = m_Script.front();
+      Current = m_Script.front();
       m_Script.pop_front();
     }
-    if (Now.Kind == Step::What::CloseWithoutAnswer)
-      return From->Socket.close();
-    if (Now.Kind == Step::What::Silence) {
-      m_Silent.push_back(From);
+    if (Current.Kind == Step::Action::CloseConnection)
+      return Peer->Socket.close();
+    if (Current.Kind == Step::Action::NoResponse) {
+      m_Unanswered.push_back(Peer);
       return;
     }
-    auto Text = std::make_shared<std::string>(
-        "HTTP/1.1 " + std::to_string(Now.Status) +
+    auto Response = std::make_shared<std::string>(
+        "HTTP/1.1 " + std::to_string(Current.Status) +
         " X\r\nContent-Type: application/json\r\nRetry-After: 2\r\n"
         "Content-Length: " +
-        std::to_string(Now.Body.size()) + "\r\n" + Now.Headers + "\r\n" +
-        Now.Body);
-    write(From, Text, 0, Text->size() - Now.Body.size(), Now.Pace);
+        std::to_string(Current.Body.size()) + "\r\n" + Current.Headers +
+        "\r\n" + Current.Body);
+    write(Peer, Response, 0, Response->size() - Current.Body.size(),
+          Current.Delay);
   }
 
-  /// Writes \p Text from \p Begin on, first up to \p End.
-  void write(const Pointer &From, std::shared_ptr<std::string> Text,
-             size_t Begin, size_t End, std::chrono::milliseconds Pace) {
-    if (Pace == std::chrono::milliseconds(0))
-      End = Text->size();
+  /// Writes \p Text from \p Begin, in parts of which the first ends at \p End.
+  void write(const Pointer &Peer, std::shared_ptr<std::string> Response,
+             size_t Begin, size_t End, std::chrono::milliseconds Delay) {
+    if (Delay == std::chrono::milliseconds(0))
+      End = Response->size();
     boost::asio::async_write(
-        From->Socket, boost::asio::buffer(Text->data() + Begin, End - Begin),
-        [this, From, Text, End, Pace](auto Code, size_t) {
+        Peer->Socket,
+        boost::asio::buffer(Response->data() + Begin, End - Begin),
+        [this, Peer, Response, End, Delay](auto Code, size_t) {
           if (Code)
             return;
-          if (End == Text->size())
-            return receive(From);
+          if (End == Response->size())
+            return receive(Peer);
           auto Timer = std::make_shared<boost::asio::steady_timer>(m_Context);
-          Timer->expires_after(Pace);
-          Timer->async_wait([this, From, Text, End, Pace, Timer](auto Stopped) {
-            if (!Stopped)
-              write(From, Text, End,
-                    std::min(Text->size(), End + 1 + Text->size() / 20), Pace);
+          Timer->expires_after(Delay);
+          Timer->async_wait([this, Peer, Response, End, Delay,
+                             Timer](auto TimerCode) {
+            if (!TimerCode)
+              write(Peer, Response, End,
+                    std::min(Response->size(), End + 1 + Response->size() / 20),
+                    Delay);
           });
         });
   }
 
-  /// First, so that every socket is gone before it.
+  /// Declared first, so that it is destroyed after every socket.
   boost::asio::io_context m_Context;
   std::deque<Step> m_Script;
-  std::deque<Pointer> m_Silent;
+  std::deque<Pointer> m_Unanswered;
   std::atomic<unsigned> m_Requests = 0;
   std::mutex m_Mutex;
   std::string m_LastHead;
--- a/Tests/LibPlatform/TestHttpPlatform.cpp
+++ b/Tests/LibPlatform/TestHttpPlatform.cpp
@@ -1,7 +1,6 @@
-//===- TestHttpPlatform.cpp - What a failed call to the platform means ----===//
+//===- TestHttpPlatform.cpp - Failures of calls to the platform -----------===//
 //
-// Each test scripts the server's side of the connection and looks at the code
-// that the caller gets.
+// Each test scripts the server and checks the result code of the call.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,16 +21,15 @@
 
 namespace {
 
-std::unique_ptr<HttpPlatform> platformAt(uint16_t Port,
-                                         std::chrono::milliseconds Timeout = 5s,
-                                         size_t Concurrent = 16,
-                                         size_t Queued = 256) {
-  return HttpPlatform::create(
-             {Endpoint{"127.0.0.1", Port}, Timeout, Concurrent, Queued})
+std::unique_ptr<HttpPlatform>
+connectPlatform(uint16_t Port, std::chrono::milliseconds Timeout = 5s,
+                size_t ConcurrentCalls = 16, size_t QueuedCalls = 256) {
+  return HttpPlatform::create({Endpoint{"127.0.0.1", Port}, Timeout,
+                               ConcurrentCalls, QueuedCalls})
       .value();
 }
 
-template <typename T> struct Answer {
+template <typename T> struct PendingResult {
   std::shared_ptr<std::promise<Result<T>>> Promise =
       std::make_shared<std::promise<Result<T>>>();
   Callback<T> callback() {
@@ -42,187 +40,185 @@
   Result<T> get() { return Promise->get_future().get(); }
 };
 
-ResultCode codeOfCommit(HttpPlatform &Platform) {
-  Answer<std::monostate> Done;
+ResultCode commitResult(HttpPlatform &Platform) {
+  PendingResult<std::monostate> Done;
   Platform.commit({{{"a", 1}}, {{"a", "x"}, {"b", std::nullopt}}},
                   Done.callback());
   auto Outcome = Done.get();
   return Outcome ? ResultCode::Success : Outcome.error().Code;
 }
 
-constexpr auto Says = Step::What::Answer;
+constexpr auto Respond = Step::Action::Respond;
 
 } // namespace
 
-// The pool of cpprestsdk lives as long as the process and allocates on its own
-// threads; CppUTest's leak detector can follow neither.
-[[maybe_unused]] static const bool LeakDetectorIsOff =
+// cpprestsdk's thread pool exists until the process exits and allocates on its
+// own threads; CppUTest's leak detector supports neither.
+[[maybe_unused]] static const bool LeakDetectorDisabled =
     (MemoryLeakWarningPlugin::turnOffNewDeleteOverloads(), true);
 
 TEST_GROUP(HttpPlatform){};
 
 TEST(HttpPlatform, ReadsRowsAndTheVmList) {
   RawServer Server(
-      {{Says, 200, R"({"key":"a b","version":3,"value":"v"})"},
-       {Says, 200, R"({"vms":[{"id":"e1","kind":"target","backEnd":"lm-desk",
+      {{Respond, 200, R"({"key":"a b","version":3,"value":"v"})"},
+       {Respond, 200, R"({"vms":[{"id":"e1","kind":"target","backEnd":"lm-desk",
           "zone":"hall-a","region":"blue-ridge","peer":"127.0.0.1:9",
           "state":"leaving"},{"id":"e2","kind":"entry","peer":"nowhere",
           "state":"live"}]})"}});
-  auto Platform = platformAt(Server.port());
-  Answer<Row> Read;
-  Platform->read("a b", Read.callback());
-  CHECK_EQUAL(3u, Read.get().value().Version);
-  Answer<std::vector<Vm>> Listed;
-  Platform->list(Listed.callback());
-  auto Vms = Listed.get().value();
+  auto Platform = connectPlatform(Server.port());
+  PendingResult<Row> RowResult;
+  Platform->read("a b", RowResult.callback());
+  CHECK_EQUAL(3u, RowResult.get().value().Version);
+  PendingResult<std::vector<Vm>> ListResult;
+  Platform->list(ListResult.callback());
+  auto Vms = ListResult.get().value();
   CHECK_EQUAL(1u, Vms.size());
   CHECK_TRUE(Vms[0].State == VmState::Leaving);
 }
 
-TEST(HttpPlatform, ReadsAnUnchangedVmListOnlyOnce) {
-  // Symptom: control traffic far above its budget in a fleet of a thousand
-  // VMs. Events: every process polls the list, which has not changed. Cause:
-  // the whole list in each answer. A failed read must not lose the list, and
-  // a changed one must replace it.
-  const std::string One = R"({"vms":[{"id":"e1","kind":"entry",
+TEST(HttpPlatform, DownloadsAnUnchangedVmListOnce) {
+  // Guards against control traffic far above its budget in a fleet of a
+  // thousand VMs, where every process polls the list: an unchanged list must
+  // not be sent again. A failed read must keep the list, and a changed one must
+  // replace it.
+  const std::string ListBody = R"({"vms":[{"id":"e1","kind":"entry",
       "peer":"127.0.0.1:9","state":"live"}]})";
-  RawServer Server({{Says, 200, One, "ETag: \"7\"\r\n"},
-                    {Says, 304, "", "ETag: \"7\"\r\n"},
-                    {Says, 503},
-                    {Says, 304, "", "ETag: \"7\"\r\n"},
-                    {Says, 200, R"({"vms":[]})", "ETag: \"8\"\r\n"}});
-  auto Platform = platformAt(Server.port());
-  const std::optional<size_t> Expected[] = {1, 1, std::nullopt, 1, 0};
-  for (const auto &Lines : Expected) {
-    Answer<std::vector<Vm>> Listed;
-    Platform->list(Listed.callback());
-    const auto Read = Listed.get();
-    CHECK_EQUAL(Lines.has_value(), Read.has_value());
-    if (Lines)
-      CHECK_EQUAL(*Lines, Read.value().size());
+  RawServer Server({{Respond, 200, ListBody, "ETag: \"7\"\r\n"},
+                    {Respond, 304, "", "ETag: \"7\"\r\n"},
+                    {Respond, 503},
+                    {Respond, 304, "", "ETag: \"7\"\r\n"},
+                    {Respond, 200, R"({"vms":[]})", "ETag: \"8\"\r\n"}});
+  auto Platform = connectPlatform(Server.port());
+  const std::optional<size_t> ExpectedSizes[] = {1, 1, std::nullopt, 1, 0};
+  for (const auto &Expected : ExpectedSizes) {
+    PendingResult<std::vector<Vm>> ListResult;
+    Platform->list(ListResult.callback());
+    const auto RowResult = ListResult.get();
+    CHECK_EQUAL(Expected.has_value(), RowResult.has_value());
+    if (Expected)
+      CHECK_EQUAL(*Expected, RowResult.value().size());
   }
-  // cpprestsdk writes no space behind the colon.
+  // cpprestsdk writes no space after the colon.
   STRCMP_CONTAINS("If-None-Match:\"7\"", Server.lastHead().c_str());
-  CHECK(Platform->bytes() > 2 * One.size());
+  CHECK(Platform->bytes() > 2 * ListBody.size());
 }
 
-TEST(HttpPlatform, TellsWhetherAWriteMayHaveHappened) {
+TEST(HttpPlatform, ReportsWhetherAWriteMayHaveBeenExecuted) {
   struct Case {
     Step Server;
     ResultCode Expected;
   };
   const Case Cases[] = {
-      {{Says, 200}, ResultCode::Success},
-      {{Says, 409, R"({"conflict":"a"})"}, ResultCode::StoreConflict},
-      {{Says, 503}, ResultCode::StoreUnavailable},
-      {{Says, 500}, ResultCode::StoreOutcomeUnknown},
-      {{Step::What::CloseWithoutAnswer}, ResultCode::StoreOutcomeUnknown},
-      {{Step::What::Silence}, ResultCode::StoreOutcomeUnknown},
+      {{Respond, 200}, ResultCode::Success},
+      {{Respond, 409, R"({"conflict":"a"})"}, ResultCode::StoreConflict},
+      {{Respond, 503}, ResultCode::StoreUnavailable},
+      {{Respond, 500}, ResultCode::StoreOutcomeUnknown},
+      {{Step::Action::CloseConnection}, ResultCode::StoreOutcomeUnknown},
+      {{Step::Action::NoResponse}, ResultCode::StoreOutcomeUnknown},
   };
   for (const auto &[Script, Expected] : Cases) {
     RawServer Server({Script});
-    auto Platform = platformAt(Server.port(), 300ms);
+    auto Platform = connectPlatform(Server.port(), 300ms);
     CHECK_EQUAL(static_cast<int>(Expected),
-                static_cast<int>(codeOfCommit(*Platform)));
+                static_cast<int>(commitResult(*Platform)));
   }
 }
 
-TEST(HttpPlatform, KnowsThatNothingWasWrittenWhenTheConnectionIsRefused) {
+TEST(HttpPlatform, RefusedConnectionMeansNothingWasWritten) {
   uint16_t Port = RawServer({}).port();
-  auto Platform = platformAt(Port);
-  CHECK_TRUE(codeOfCommit(*Platform) == ResultCode::StoreUnavailable);
+  auto Platform = connectPlatform(Port);
+  CHECK_TRUE(commitResult(*Platform) == ResultCode::StoreUnavailable);
 }
 
 TEST(HttpPlatform, NeverSendsACommitTwice) {
-  // Symptom: a commit that took effect comes back as a conflict.
-  // Sequence: a read leaves a pooled connection; the commit goes out on it;
-  // the server commits and dies; the client library sends the same request
-  // again on a new connection, where its condition no longer holds.
-  // Cause: the library takes a close on a reused connection for proof that
-  // the request was not processed.
-  RawServer Server({{Says, 200, R"({"key":"a","version":0,"value":""})"},
-                    {Step::What::CloseWithoutAnswer},
-                    {Says, 409, "{}"}});
-  auto Platform = platformAt(Server.port());
-  Answer<Row> Read;
-  Platform->read("a", Read.callback());
-  CHECK_TRUE(Read.get().has_value());
-  CHECK_TRUE(codeOfCommit(*Platform) == ResultCode::StoreOutcomeUnknown);
+  // Guards against a successful commit that is reported as a conflict: the
+  // commit is sent on a pooled connection, the server commits and crashes, and
+  // the client library, which treats the close of a reused connection as proof
+  // that the request was not processed, sends it again, when its condition no
+  // longer holds.
+  RawServer Server({{Respond, 200, R"({"key":"a","version":0,"value":""})"},
+                    {Step::Action::CloseConnection},
+                    {Respond, 409, "{}"}});
+  auto Platform = connectPlatform(Server.port());
+  PendingResult<Row> RowResult;
+  Platform->read("a", RowResult.callback());
+  CHECK_TRUE(RowResult.get().has_value());
+  CHECK_TRUE(commitResult(*Platform) == ResultCode::StoreOutcomeUnknown);
   CHECK_EQUAL(2u, Server.requests());
 }
 
-TEST(HttpPlatform, AnswersEveryCallWithinItsTimeoutWhenTheStoreHangs) {
-  // Symptom: calls pile up without bound while the store is slow.
-  // Sequence: the server accepts and says nothing; many more calls follow.
-  // Cause: no bound on calls in flight, or a timeout that starts only when a
-  // waiting call is sent.
+TEST(HttpPlatform, CompletesEveryCallWithinItsTimeoutWhenTheStoreHangs) {
+  // Guards against calls that accumulate while the store does not respond:
+  // calls in flight must be limited, and the timeout must include the time in
+  // the queue.
   RawServer Server({});
-  auto Platform = platformAt(Server.port(), 200ms, 2, 4);
-  std::vector<Answer<Row>> Answers(8);
+  auto Platform = connectPlatform(Server.port(), 200ms, 2, 4);
+  std::vector<PendingResult<Row>> Answers(8);
   auto Start = std::chrono::steady_clock::now();
-  for (auto &Each : Answers)
-    Platform->read("a", Each.callback());
-  for (auto &Each : Answers)
-    CHECK_TRUE(Each.get().error().Code == ResultCode::StoreUnavailable);
+  for (auto &Pending : Answers)
+    Platform->read("a", Pending.callback());
+  for (auto &Pending : Answers)
+    CHECK_TRUE(Pending.get().error().Code == ResultCode::StoreUnavailable);
   CHECK_TRUE(std::chrono::steady_clock::now() - Start < 2s);
   CHECK_TRUE(Server.requests() <= 2);
 }
 
-// Failure: rows, objects and the VM list that take longer than the timeout of a
-// call are broken off and asked for again, for ever.
-TEST(HttpPlatform, ReadsAnswersThatOutgrowTheirLink) {
-  // Each answer takes three times the timeout.
-  const auto Slowly = [](const std::string &Body) {
-    return Step{Says, 200, Body + std::string(100'000, ' '), {}, 45ms};
+// Guards against endless retries of rows, objects and the VM list when their
+// transfer takes longer than the timeout of a call.
+TEST(HttpPlatform, ReceivesLargeResponsesOverASlowLink) {
+  // Each response takes three times the timeout.
+  const auto SlowResponse = [](const std::string &Body) {
+    return Step{Respond, 200, Body + std::string(100'000, ' '), {}, 45ms};
   };
-  RawServer Server(
-      {Slowly(R"({"rows":[]})"), Slowly("object"), Slowly(R"({"vms":[]})")});
-  auto Platform = platformAt(Server.port(), 300ms);
-  Answer<std::vector<Row>> Range;
+  RawServer Server({SlowResponse(R"({"rows":[]})"), SlowResponse("object"),
+                    SlowResponse(R"({"vms":[]})")});
+  auto Platform = connectPlatform(Server.port(), 300ms);
+  PendingResult<std::vector<Row>> Range;
   Platform->readRange("a", "", 10, Range.callback());
   CHECK_TRUE(Range.get().has_value());
-  Answer<std::string> Object;
+  PendingResult<std::string> Object;
   Platform->get("o", Object.callback());
   CHECK_TRUE(Object.get().has_value());
-  Answer<std::vector<Vm>> List;
+  PendingResult<std::vector<Vm>> List;
   Platform->list(List.callback());
   CHECK_TRUE(List.get().has_value());
 }
 
-// Failure: a lease is judged by a row whose answer took longer than the timeout
-// of its call.
-TEST(HttpPlatform, BoundsTheWholeAnswerOfASingleRow) {
+// Guards against a lease decision based on a row whose response took longer
+// than the timeout of its call.
+TEST(HttpPlatform, LimitsTheTotalTimeOfASingleRow) {
   const std::string Body = R"({"key":"a","version":0,"value":""})";
-  RawServer Server({{Says, 200, Body + std::string(400, ' '), {}, 45ms}});
-  auto Platform = platformAt(Server.port(), 300ms);
-  Answer<Row> Read;
-  const auto Begun = std::chrono::steady_clock::now();
-  Platform->read("a", Read.callback());
-  CHECK_TRUE(Read.get().error().Code == ResultCode::StoreUnavailable);
-  CHECK_TRUE(std::chrono::steady_clock::now() - Begun < 900ms);
+  RawServer Server({{Respond, 200, Body + std::string(400, ' '), {}, 45ms}});
+  auto Platform = connectPlatform(Server.port(), 300ms);
+  PendingResult<Row> RowResult;
+  const auto Start = std::chrono::steady_clock::now();
+  Platform->read("a", RowResult.callback());
+  CHECK_TRUE(RowResult.get().error().Code == ResultCode::StoreUnavailable);
+  CHECK_TRUE(std::chrono::steady_clock::now() - Start < 900ms);
 }
 
-// Failure: an answer that falls silent is waited for without end.
-TEST(HttpPlatform, GivesAnAnswerUpThatFallsSilent) {
-  RawServer Server({{Says, 200, R"({"rows":[]})", {}, 10s}});
-  auto Platform = platformAt(Server.port(), 300ms);
-  Answer<std::vector<Row>> Range;
-  const auto Begun = std::chrono::steady_clock::now();
+// Guards against waiting forever for a response that stalls.
+TEST(HttpPlatform, TimesOutWhenAResponseStalls) {
+  RawServer Server({{Respond, 200, R"({"rows":[]})", {}, 10s}});
+  auto Platform = connectPlatform(Server.port(), 300ms);
+  PendingResult<std::vector<Row>> Range;
+  const auto Start = std::chrono::steady_clock::now();
   Platform->readRange("a", "", 10, Range.callback());
   CHECK_TRUE(Range.get().error().Code == ResultCode::StoreUnavailable);
-  CHECK_TRUE(std::chrono::steady_clock::now() - Begun < 3s);
+  CHECK_TRUE(std::chrono::steady_clock::now() - Start < 3s);
 }
 
-// Failure: a process does not end while an answer trickles in.
-TEST(HttpPlatform, EndsThoughAnAnswerTricklesIn) {
-  RawServer Server({{Says, 200, std::string(100'000, ' '), {}, 200ms}});
-  auto Platform = platformAt(Server.port(), 300ms);
-  Answer<std::vector<Row>> Range;
+// Guards against a process that cannot exit while a response arrives slowly.
+TEST(HttpPlatform, StopsWhileAResponseArrivesSlowly) {
+  RawServer Server({{Respond, 200, std::string(100'000, ' '), {}, 200ms}});
+  auto Platform = connectPlatform(Server.port(), 300ms);
+  PendingResult<std::vector<Row>> Range;
   Platform->readRange("a", "", 10, Range.callback());
   while (Server.requests() == 0)
     std::this_thread::yield();
-  const auto Begun = std::chrono::steady_clock::now();
+  const auto Start = std::chrono::steady_clock::now();
   Platform.reset();
-  CHECK_TRUE(std::chrono::steady_clock::now() - Begun < 3s);
+  CHECK_TRUE(std::chrono::steady_clock::now() - Start < 3s);
   CHECK_TRUE(Range.get().error().Code == ResultCode::StoreUnavailable);
 }
--- a/Tests/LibTarget/TestHttpService.cpp
+++ b/Tests/LibTarget/TestHttpService.cpp
@@ -50,10 +50,10 @@
   // sends the same request again on a new connection.
   // Cause: the library takes a close on a reused connection for proof that
   // the request was not processed.
-  RawServer Server({{Step::What::Answer},
-                    {Step::What::Answer},
-                    {Step::What::CloseWithoutAnswer},
-                    {Step::What::Answer}});
+  RawServer Server({{Step::Action::Respond},
+                    {Step::Action::Respond},
+                    {Step::Action::CloseConnection},
+                    {Step::Action::Respond}});
   HttpService Service({"127.0.0.1", Server.port()});
   CHECK_TRUE(call(Service, true).has_value());
   CHECK_TRUE(call(Service, false).has_value());
@@ -65,7 +65,7 @@
   // Symptom: "not run" is said of a call that the service took.
   // Sequence: the service reads the call and says nothing until the timeout.
   // Cause: a timeout is taken for a connection that never came into being.
-  RawServer Server({{Step::What::Silence}});
+  RawServer Server({{Step::Action::NoResponse}});
   HttpService Service({"127.0.0.1", Server.port()});
   checkError(call(Service, false), Execution::MayHaveRun);
 }
--- a/Utilities/figlift-ctl/Runner.cpp
+++ b/Utilities/figlift-ctl/Runner.cpp
@@ -16,7 +16,7 @@
 
 namespace figlift::control {
 
-using platform::HttpVerb;
+using platform::HttpMethod;
 
 static const std::string Prefix = "/operator/v1/";
 static constexpr std::chrono::milliseconds WaitInterval{100};
@@ -88,13 +88,13 @@
     }
     Body["records"].push_back(*Text);
   }
-  return write(HttpVerb::Post, Prefix + "records",
+  return write(HttpMethod::Post, Prefix + "records",
                Body.dump(-1, ' ', false, Json::error_handler_t::replace), "");
 }
 
 ExitCode Runner::on(const Withdraw &Wanted) {
   return write(
-      HttpVerb::Delete,
+      HttpMethod::Delete,
       withOperation(Prefix + "records/" + Wanted.Kind + "/" + Wanted.Name), "",
       "");
 }
@@ -104,12 +104,12 @@
   std::string Path = Prefix + "targets/" + Wanted.Target + "/" +
                      Verbs[static_cast<int>(Wanted.Wanted)];
   bool Drains = Wanted.Wanted != Wish::Undrain;
-  return write(HttpVerb::Post, withOperation(Path), "",
+  return write(HttpMethod::Post, withOperation(Path), "",
                Drains ? Wanted.Target : "");
 }
 
 /// \p Draining: the target that has to drain before a wait ends, or empty.
-ExitCode Runner::write(HttpVerb Verb, const std::string &Path,
+ExitCode Runner::write(HttpMethod Verb, const std::string &Path,
                        const std::string &Body, const std::string &Draining) {
   auto Answer = m_Client.write(Verb, Path, Body);
   if (!Answer) {
--- a/Utilities/figlift-ctl/Runner.h
+++ b/Utilities/figlift-ctl/Runner.h
@@ -42,7 +42,7 @@
   ExitCode on(const Explain &Wanted);
   ExitCode on(const Print &Wanted);
 
-  ExitCode write(platform::HttpVerb Verb, const std::string &Path,
+  ExitCode write(platform::HttpMethod Verb, const std::string &Path,
                  const std::string &Body, const std::string &Draining);
   ExitCode show(const std::string &Path, std::string (*Table)(const Json &));
   ExitCode waitUntilInForce(uint64_t Revision, const std::string &Draining);
