--- a/Libraries/LibSettings/FieldTable.cpp
+++ b/Libraries/LibSettings/FieldTable.cpp
@@ -126,10 +126,10 @@
   const Json *Current = &Root;
   while (true) {
     auto Dot = Path.find('.');
-    auto Found = Current->find(std::string(Path.substr(0, Dot)));
-    if (Found == Current->end())
+    auto Member = Current->find(std::string(Path.substr(0, Dot)));
+    if (Member == Current->end())
       return nullptr;
-    Current = &*Found;
+    Current = &*Member;
     if (Dot == std::string_view::npos)
       return Current;
     Path.remove_prefix(Dot + 1);
--- a/Libraries/LibSettings/GatewaySettings.cpp
+++ b/Libraries/LibSettings/GatewaySettings.cpp
@@ -49,7 +49,7 @@
        &Settings.Store,
        Required,
        {},
-       "The platform's metadata store."},
+       "Address of the platform's metadata store."},
       {"fleet.starts",
        &Settings.Fleet.Starts,
        Optional,
--- a/Libraries/LibSettings/SettingsTable.cpp
+++ b/Libraries/LibSettings/SettingsTable.cpp
@@ -45,7 +45,7 @@
        &Settings.Platform.Address,
        Required,
        {},
-       "The platform's table service, object store and VM list."},
+       "Address of the platform's table service, object store and VM list."},
       {"platform.timeout",
        &Settings.Platform.Timeout,
        Optional,
@@ -140,11 +140,11 @@
 }
 
 /// Checks that a name is in a list.
-Result<void> checkName(std::string_view Path, const std::string &Found,
+Result<void> checkName(std::string_view Path, const std::string &Value,
                        std::span<const std::string_view> Allowed) {
-  if (std::ranges::find(Allowed, Found) != Allowed.end())
+  if (std::ranges::find(Allowed, Value) != Allowed.end())
     return success();
-  std::string Message = "found \"" + Found + "\"; expected one of";
+  std::string Message = "found \"" + Value + "\"; expected one of";
   for (std::string_view Name : Allowed)
     Message += " \"" + std::string(Name) + "\"";
   return invalid(std::move(Message), std::string(Path));
