--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -150,11 +150,11 @@
     const bool Unchanged = Response && Response->Status == NotModified;
     const std::string Tag = Response ? Response->ETag : std::string();
     if (!Unchanged) {
-      FIGLIFT_TRY(Read,
+      FIGLIFT_TRY(Vms,
                   parseResponse<std::vector<Vm>>(std::move(Outcome), parseVms));
       const std::lock_guard Lock(m_Mutex);
       m_Tag = Tag;
-      m_Entries = std::move(Read);
+      m_Entries = std::move(Vms);
       return m_Entries;
     }
     const std::lock_guard Lock(m_Mutex);
