--- a/Tests/BadInput/TestBadInput.cpp
+++ b/Tests/BadInput/TestBadInput.cpp
@@ -410,13 +410,13 @@
   wire::ClientOptions Options;
   auto Client = wire::test::makeClient(Options);
   for (const Endpoint &Port : peerPorts()) {
-    auto Channel = wire::test::upChannel(*Client, Port);
+    auto Channel = wire::test::connectedChannel(*Client, Port);
     for (auto Method :
          {wire::Method::Run, wire::Method::Resume, wire::Method::Order,
           wire::Method::Sync, wire::Method::Drain, wire::Method::Handover,
           wire::Method::Configuration})
       for (const std::string &Message : Messages) {
-        auto Listener = std::make_shared<wire::test::Recorder>();
+        auto Listener = std::make_shared<wire::test::StreamRecorder>();
         auto Stream = Channel->open(Method, Message, Listener);
         // A stream that was taken for good ends with its sender.
         Listener->end(milliseconds(100));
