--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -93,9 +93,9 @@
 
 /// Policies, for measurements only. Deployments keep the defaults.
 struct PolicySettings {
-  /// One of RoutingArms.
+  /// One of RoutingPolicies.
   std::string Routing = "figlift";
-  /// One of RoleArms.
+  /// One of RolePolicies.
   std::string Roles = "figlift";
 };
 
