--- a/Libraries/LibConfig/OperatorClient.cpp
+++ b/Libraries/LibConfig/OperatorClient.cpp
@@ -13,12 +13,12 @@
 
 namespace figlift::config {
 
-using platform::HttpAnswer;
-using platform::HttpCalls;
+using platform::BoundedHttpClient;
 using platform::HttpFailure;
+using platform::HttpMethod;
 using platform::HttpOutcome;
-using platform::HttpQuestion;
-using platform::HttpVerb;
+using platform::HttpRequest;
+using platform::HttpResponse;
 
 OperatorClient::OperatorClient(OperatorClientOptions Options)
     : m_Options(std::move(Options)) {
@@ -26,7 +26,7 @@
     platform::HttpCallOptions CallOptions;
     CallOptions.Server = Entry;
     CallOptions.Timeout = m_Options.Timeout;
-    m_Calls.push_back(std::make_shared<HttpCalls>(CallOptions));
+    m_Calls.push_back(std::make_shared<BoundedHttpClient>(CallOptions));
   }
 }
 
@@ -35,7 +35,7 @@
     Calls->stop();
 }
 
-HttpOutcome OperatorClient::send(size_t Entry, HttpQuestion Request) {
+HttpOutcome OperatorClient::send(size_t Entry, HttpRequest Request) {
   std::promise<HttpOutcome> Promise;
   m_Calls[Entry]->submit(std::move(Request), [&Promise](HttpOutcome Outcome) {
     Promise.set_value(std::move(Outcome));
@@ -44,7 +44,7 @@
 }
 
 /// The error in a problem response.
-static Error errorOf(const HttpAnswer &Response) {
+static Error errorOf(const HttpResponse &Response) {
   auto Body = nlohmann::json::parse(Response.Body, nullptr, false);
   Error Parsed{ResultCode::Internal,
                "status " + std::to_string(Response.Status),
@@ -67,7 +67,7 @@
 static Result<std::string> bodyOf(HttpOutcome Outcome) {
   if (auto *Failure = std::get_if<HttpFailure>(&Outcome))
     return failure(ResultCode::PeerUnreachable, std::move(Failure->Message));
-  auto &Response = std::get<HttpAnswer>(Outcome);
+  auto &Response = std::get<HttpResponse>(Outcome);
   if (Response.Status == 200)
     return std::move(Response.Body);
   return outcome::failure(errorOf(Response));
@@ -77,7 +77,7 @@
   Result<std::string> Last =
       failure(ResultCode::PeerUnreachable, "no entry was given");
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
-    Last = bodyOf(send(Entry, {HttpVerb::Get, Path, {}}));
+    Last = bodyOf(send(Entry, {HttpMethod::Get, Path, {}}));
     if (Last || Last.error().Code == ResultCode::RecordNotFound)
       return Last;
   }
@@ -88,7 +88,7 @@
   std::vector<std::future<HttpOutcome>> Pending;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry)
     Pending.push_back(std::async(std::launch::async, [this, Entry, &Path] {
-      return send(Entry, {HttpVerb::Get, Path, {}});
+      return send(Entry, {HttpMethod::Get, Path, {}});
     }));
   std::vector<EntryResponse> Responses;
   for (size_t Entry = 0; Entry < m_Calls.size(); ++Entry) {
@@ -121,7 +121,7 @@
 /// conclusive, because the first entry may still be processing the change. If
 /// that error were reported, the operator would assume that a change was
 /// rejected although it takes effect.
-Result<std::string> OperatorClient::write(HttpVerb Verb,
+Result<std::string> OperatorClient::write(HttpMethod Verb,
                                           const std::string &Path,
                                           const std::string &Body) {
   bool MayHaveTakenEffect = false;
--- a/Libraries/LibConfig/OperatorClient.h
+++ b/Libraries/LibConfig/OperatorClient.h
@@ -9,7 +9,7 @@
 
 #include "LibCore/Endpoint.h"
 #include "LibCore/Result.h"
-#include "LibPlatform/HttpCalls.h"
+#include "LibPlatform/BoundedHttpClient.h"
 
 #include <chrono>
 #include <functional>
@@ -50,14 +50,14 @@
   /// takes effect once even if several entries receive it.
   /// StoreOutcomeUnknown: the write may have taken effect. Any other error: it
   /// has not taken effect.
-  Result<std::string> write(platform::HttpVerb Verb, const std::string &Path,
+  Result<std::string> write(platform::HttpMethod Verb, const std::string &Path,
                             const std::string &Body);
 
 private:
-  platform::HttpOutcome send(size_t Entry, platform::HttpQuestion Request);
+  platform::HttpOutcome send(size_t Entry, platform::HttpRequest Request);
 
   const OperatorClientOptions m_Options;
-  std::vector<std::shared_ptr<platform::HttpCalls>> m_Calls;
+  std::vector<std::shared_ptr<platform::BoundedHttpClient>> m_Calls;
 };
 
 } // namespace figlift::config
--- a/Services/figlift-entry/PolicyByName.h
+++ b/Services/figlift-entry/PolicyByName.h
@@ -14,11 +14,11 @@
 
 namespace figlift::entry {
 
-/// \p Name is one of settings::RoutingArms. Unknown names select the production
-/// policy.
+/// \p Name is one of settings::RoutingPolicies. Unknown names select the
+/// production policy.
 route::Policy routingPolicyByName(std::string_view Name);
-/// \p Name is one of settings::RoleArms. Unknown names select the production
-/// policy.
+/// \p Name is one of settings::RolePolicies. Unknown names select the
+/// production policy.
 plan::PlanPolicy rolePolicyByName(std::string_view Name);
 
 } // namespace figlift::entry
--- a/Tests/LibTarget/TestHttpService.cpp
+++ b/Tests/LibTarget/TestHttpService.cpp
@@ -48,10 +48,10 @@
   // connection, and the service runs it and dies before it answers. The client
   // library treats the close of a reused connection as proof that the request
   // was not processed, and resends it on a new connection.
-  RawServer Server({{Step::What::Answer},
-                    {Step::What::Answer},
-                    {Step::What::CloseWithoutAnswer},
-                    {Step::What::Answer}});
+  RawServer Server({{Step::Action::Respond},
+                    {Step::Action::Respond},
+                    {Step::Action::CloseConnection},
+                    {Step::Action::Respond}});
   HttpService Service({"127.0.0.1", Server.port()});
   CHECK_TRUE(call(Service, true).has_value());
   CHECK_TRUE(call(Service, false).has_value());
@@ -63,7 +63,7 @@
   // Guards against "not run" for a call that the service received: the service
   // reads the call and does not answer before the time-out, which must not be
   // treated as a failure to connect.
-  RawServer Server({{Step::What::Silence}});
+  RawServer Server({{Step::Action::NoResponse}});
   HttpService Service({"127.0.0.1", Server.port()});
   checkError(call(Service, false), Execution::MayHaveRun);
 }
