--- a/Libraries/LibExplain/LogLines.cpp
+++ b/Libraries/LibExplain/LogLines.cpp
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/// "2026-06-29T04:50:03.047Z"
+/// Parses a time such as "2026-06-29T04:50:03.047Z".
 std::optional<WallTime> parseTime(const std::string &Text) {
   int Year = 0;
   unsigned Month = 0;
@@ -42,8 +42,8 @@
 }
 
 std::string text(const Json &Line, const char *Name) {
-  const auto Found = Line.find(Name);
-  return Found != Line.end() && Found->is_string() ? Found->get<std::string>()
+  const auto Value = Line.find(Name);
+  return Value != Line.end() && Value->is_string() ? Value->get<std::string>()
                                                    : std::string();
 }
 
@@ -55,23 +55,23 @@
   return {timeline::SubjectType::Process, text(Line, "process")};
 }
 
-std::optional<timeline::Event> readLine(std::string_view Line) {
+std::optional<timeline::Event> parseLine(std::string_view Line) {
   const Json Parsed = Json::parse(Line, nullptr, /*allow_exceptions=*/false);
   if (!Parsed.is_object())
     return std::nullopt;
-  const auto When = parseTime(text(Parsed, "time"));
-  if (!When || text(Parsed, "event").empty())
+  const auto Time = parseTime(text(Parsed, "time"));
+  if (!Time || text(Parsed, "event").empty())
     return std::nullopt;
-  timeline::Event Read;
-  Read.When = timeline::Stamp::of(*When);
-  Read.ProcessId = text(Parsed, "process");
-  Read.Kind = text(Parsed, "event");
-  Read.About = subjectOf(Parsed);
+  timeline::Event Result;
+  Result.When = timeline::Stamp::of(*Time);
+  Result.ProcessId = text(Parsed, "process");
+  Result.Kind = text(Parsed, "event");
+  Result.About = subjectOf(Parsed);
   for (const auto &[Name, Value] : Parsed.items())
     if (Name != "time" && Name != "process" && Name != "event" &&
         Name != "request" && Name != "level")
-      Read.Fields.push_back({Name, timeline::valueFromJson(Value)});
-  return Read;
+      Result.Fields.push_back({Name, timeline::valueFromJson(Value)});
+  return Result;
 }
 
 } // namespace
@@ -83,13 +83,13 @@
     Text.remove_prefix(std::min(End + 1, Text.size()));
     const size_t Brace = Line.find('{');
     if (Brace == std::string_view::npos) {
-      Unread += Line.empty() ? 0 : 1;
+      UnparsedLines += Line.empty() ? 0 : 1;
       continue;
     }
-    if (auto Read = readLine(Line.substr(Brace)))
-      Events.push_back(std::move(*Read));
+    if (auto Parsed = parseLine(Line.substr(Brace)))
+      Events.push_back(std::move(*Parsed));
     else
-      ++Unread;
+      ++UnparsedLines;
   }
 }
 
--- a/Libraries/LibExplain/LogLines.h
+++ b/Libraries/LibExplain/LogLines.h
@@ -1,7 +1,7 @@
 //===- LogLines.h - Reads the log lines of gateways -------------*- C++ -*-===//
 //
-// Turns the JSON lines that processes write (docs/LOGS.md) into events of the
-// time line, so that one page can show what several processes said.
+// Parses the JSON log lines of processes (docs/LOGS.md) into timeline events,
+// so that one page can show the logs of several processes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +17,14 @@
 
 struct LogLines {
   std::vector<timeline::Event> Events;
-  /// Lines that hold no event; a log may have lines of others in it.
-  uint64_t Unread = 0;
+  /// Lines without an event; a log may also contain lines of other programs.
+  uint64_t UnparsedLines = 0;
 
-  /// Adds the lines of \p Text. What stands before a line's first brace is
-  /// left out: collectors put their own time and machine there.
+  /// Adds the lines of \p Text. Ignores everything before a line's first brace:
+  /// log collectors insert their own time and host name there.
   void add(std::string_view Text);
-  /// Sorts by time; lines of one process keep their order.
+  /// Sorts by time; the sort is stable, so lines of one process keep their
+  /// order.
   void sort();
 };
 
--- a/Utilities/figlift-explain/Main.cpp
+++ b/Utilities/figlift-explain/Main.cpp
@@ -1,12 +1,12 @@
 //===- Main.cpp - figlift-explain -----------------------------------------===//
 //
-// From log files and a request's id to what became of it and why, as text or
-// as a page.
+// Explains the outcome of a request and its cause from log files, as text or as
+// an HTML page.
 //
 //===----------------------------------------------------------------------===//
 
+#include "LibExplain/Explanation.h"
 #include "LibExplain/LogLines.h"
-#include "LibExplain/Story.h"
 
 #include <cxxopts.hpp>
 
@@ -23,25 +23,27 @@
 constexpr int ExitUsage = 2;
 
 cxxopts::Options describeOptions() {
-  cxxopts::Options Described(
+  cxxopts::Options Options(
       "figlift-explain",
-      "Tells from the logs of all processes what became of a request.\n"
-      "Exit status: 0 told, 1 no such request or a file cannot be read, "
-      "2 wrong command line.");
-  auto Add = Described.add_options();
+      "Explains the outcome of a request from the logs of all processes.\n"
+      "Exit status: 0 explained, 1 unknown request or a file cannot be read, "
+      "2 invalid command line.");
+  auto Add = Options.add_options();
   Add("request", "Id of the client attempt (X-Attempt-Id)",
       cxxopts::value<std::string>(), "ID");
-  Add("html", "Write a page with the time line to this file, too",
+  Add("html", "Also write the timeline as an HTML page to this file",
       cxxopts::value<std::string>(), "FILE");
-  Add("before-ms", "How far back what its processes believed belongs to it",
+  Add("before-ms",
+      "Include the state of the request's processes from this many "
+      "milliseconds before it",
       cxxopts::value<unsigned>()->default_value("10000"));
-  Add("files", "Logs; \"-\" is standard input",
+  Add("files", "Log files; \"-\" is standard input",
       cxxopts::value<std::vector<std::string>>());
   Add("version", "Print the version and exit");
   Add("help", "Print this and exit");
-  Described.parse_positional("files");
-  Described.positional_help("LOG...");
-  return Described;
+  Options.parse_positional("files");
+  Options.positional_help("LOG...");
+  return Options;
 }
 
 int usageError(const std::string &Message) {
@@ -49,61 +51,62 @@
   return ExitUsage;
 }
 
-bool readInto(LogLines &Lines, const std::string &Name) {
+bool readFile(LogLines &Lines, const std::string &Name) {
   std::ifstream File;
   if (Name != "-")
     File.open(Name, std::ios::binary);
-  std::istream &From = Name == "-" ? std::cin : File;
-  if (!From)
+  std::istream &Input = Name == "-" ? std::cin : File;
+  if (!Input)
     return false;
-  Lines.add(std::string(std::istreambuf_iterator<char>(From), {}));
+  Lines.add(std::string(std::istreambuf_iterator<char>(Input), {}));
   return true;
 }
 
-int run(const cxxopts::ParseResult &Given) {
+int run(const cxxopts::ParseResult &Arguments) {
   LogLines Lines;
-  for (const auto &Name : Given["files"].as<std::vector<std::string>>())
-    if (!readInto(Lines, Name)) {
+  for (const auto &Name : Arguments["files"].as<std::vector<std::string>>())
+    if (!readFile(Lines, Name)) {
       std::cerr << "figlift-explain: cannot read " << Name << "\n";
       return ExitFailure;
     }
   Lines.sort();
-  StoryOptions Options;
-  Options.Before = std::chrono::milliseconds(Given["before-ms"].as<unsigned>());
-  const auto Told =
-      tellStory(Lines.Events, Given["request"].as<std::string>(), Options);
-  if (!Told) {
-    std::cerr << "figlift-explain: " << Told.error().Message << "\n";
+  ExplanationOptions Settings;
+  Settings.ContextWindow =
+      std::chrono::milliseconds(Arguments["before-ms"].as<unsigned>());
+  const auto Outcome = explainRequest(
+      Lines.Events, Arguments["request"].as<std::string>(), Settings);
+  if (!Outcome) {
+    std::cerr << "figlift-explain: " << Outcome.error().Message << "\n";
     return ExitFailure;
   }
-  std::cout << timeline::renderText(Told.value().Lines) << "\n";
-  for (const std::string &Each : Told.value().Findings)
-    std::cout << "- " << Each << "\n";
-  if (!Given.count("html"))
+  std::cout << timeline::renderText(Outcome.value().Lines) << "\n";
+  for (const std::string &Finding : Outcome.value().Findings)
+    std::cout << "- " << Finding << "\n";
+  if (!Arguments.count("html"))
     return EXIT_SUCCESS;
-  std::ofstream Page(Given["html"].as<std::string>(), std::ios::binary);
-  if (Page << timeline::renderHtml(Told.value().Lines) << std::flush)
+  std::ofstream Html(Arguments["html"].as<std::string>(), std::ios::binary);
+  if (Html << timeline::renderHtml(Outcome.value().Lines) << std::flush)
     return EXIT_SUCCESS;
-  std::cerr << "figlift-explain: cannot write the page\n";
+  std::cerr << "figlift-explain: cannot write the HTML page\n";
   return ExitFailure;
 }
 
 int start(int ArgumentCount, const char *const *Values) try {
-  cxxopts::Options Described = describeOptions();
-  const cxxopts::ParseResult Given = Described.parse(ArgumentCount, Values);
-  if (Given.count("help")) {
-    std::cout << Described.help();
+  cxxopts::Options Options = describeOptions();
+  const cxxopts::ParseResult Arguments = Options.parse(ArgumentCount, Values);
+  if (Arguments.count("help")) {
+    std::cout << Options.help();
     return EXIT_SUCCESS;
   }
-  if (Given.count("version")) {
+  if (Arguments.count("version")) {
     std::cout << "figlift-explain " FIGLIFT_VERSION "\n";
     return EXIT_SUCCESS;
   }
-  if (!Given.count("request"))
-    return usageError("--request: found nothing; allowed is an id");
-  if (!Given.count("files"))
-    return usageError("LOG: found nothing; allowed are files");
-  return run(Given);
+  if (!Arguments.count("request"))
+    return usageError("--request: missing; expected an id");
+  if (!Arguments.count("files"))
+    return usageError("LOG: missing; expected log files");
+  return run(Arguments);
 } catch (const cxxopts::exceptions::exception &Thrown) {
   return usageError(Thrown.what());
 }
