--- a/Libraries/LibExplain/Explanation.cpp
+++ b/Libraries/LibExplain/Explanation.cpp
@@ -113,8 +113,8 @@
   }
 
   bool namesRequest(const Event &Line) const {
-    return Line.About.Type == timeline::SubjectType::Request &&
-           Line.About.Name == m_RequestId;
+    return Line.EventSubject.Type == timeline::SubjectType::Request &&
+           Line.EventSubject.Name == m_RequestId;
   }
 
   void recordLine(const Event &Line) {
@@ -128,15 +128,16 @@
   }
 
   bool isContext(const Event &Line) const {
-    if (!m_Processes.contains(Line.ProcessId) || Line.When > m_Last->When)
+    if (!m_Processes.contains(Line.ProcessId) ||
+        Line.Timestamp > m_Last->Timestamp)
       return false;
     const milliseconds Took(static_cast<int64_t>(number(*m_Last, "tookMs")));
-    if (Line.When.wallTime() <
-        m_First->When.wallTime() - Took - m_Options.ContextWindow)
+    if (Line.Timestamp.wallTime() <
+        m_First->Timestamp.wallTime() - Took - m_Options.ContextWindow)
       return false;
     return isProcessState(Line) ||
-           (Line.About.Type == timeline::SubjectType::Target &&
-            m_Targets.contains(Line.About.Name));
+           (Line.EventSubject.Type == timeline::SubjectType::Target &&
+            m_Targets.contains(Line.EventSubject.Name));
   }
 
   void addFinding(std::string Sentence) {
@@ -151,19 +152,19 @@
                    ", after " + ms(number(Line, "tookMs")) +
                    "; retry budget left " + text(Line, "budgetLeft") + ".");
       if (Line.Kind == "target-drains" || Line.Kind == "target-gone")
-        addFinding(Line.About.Name +
+        addFinding(Line.EventSubject.Name +
                    (Line.Kind == "target-gone" ? " was removed"
                                                : " started draining") +
-                   " at " + timeline::timeOfDay(Line.When) + ".");
+                   " at " + timeline::timeOfDay(Line.Timestamp) + ".");
       if (Line.Kind == "stood-still")
         addFinding("The process stalled for " + text(Line, "for") + ".");
       if (Line.Kind == "store-lost")
         addFinding("The store was unreachable from " +
-                   timeline::timeOfDay(Line.When) + " (" + text(Line, "table") +
-                   ").");
+                   timeline::timeOfDay(Line.Timestamp) + " (" +
+                   text(Line, "table") + ").");
       if (Line.Kind == "lines-left-out")
         addFinding("Log lines were suppressed at " +
-                   timeline::timeOfDay(Line.When) +
+                   timeline::timeOfDay(Line.Timestamp) +
                    ": the explanation may be incomplete.");
     }
   }
@@ -260,7 +261,7 @@
   std::map<std::string, const Event *> LastByProcess;
   const auto AddExit = [&](const Event &Line) {
     Exits.push_back(Line.ProcessId + " wrote its last line at " +
-                    timeline::timeOfDay(Line.When) +
+                    timeline::timeOfDay(Line.Timestamp) +
                     " without stopping cleanly: the ends of its requests in "
                     "flight were not logged.");
   };
@@ -272,7 +273,8 @@
   }
   for (const auto &[Process, Line] : LastByProcess)
     if (Line->Kind != "stopped" &&
-        Sorted.back().When.wallTime() - Line->When.wallTime() > MaximumLogGap)
+        Sorted.back().Timestamp.wallTime() - Line->Timestamp.wallTime() >
+            MaximumLogGap)
       AddExit(*Line);
   return Exits;
 }
--- a/Libraries/LibExplain/LogLines.cpp
+++ b/Libraries/LibExplain/LogLines.cpp
@@ -63,10 +63,10 @@
   if (!Time || text(Parsed, "event").empty())
     return std::nullopt;
   timeline::Event Result;
-  Result.When = timeline::Stamp::of(*Time);
+  Result.Timestamp = timeline::Stamp::of(*Time);
   Result.ProcessId = text(Parsed, "process");
   Result.Kind = text(Parsed, "event");
-  Result.About = subjectOf(Parsed);
+  Result.EventSubject = subjectOf(Parsed);
   for (const auto &[Name, Value] : Parsed.items())
     if (Name != "time" && Name != "process" && Name != "event" &&
         Name != "request" && Name != "level")
@@ -97,7 +97,7 @@
   std::stable_sort(
       Events.begin(), Events.end(),
       [](const timeline::Event &Left, const timeline::Event &Right) {
-        return Left.When < Right.When;
+        return Left.Timestamp < Right.Timestamp;
       });
 }
 
--- a/Libraries/LibTimeline/Event.cpp
+++ b/Libraries/LibTimeline/Event.cpp
@@ -1,6 +1,6 @@
 //===- Event.cpp - JSON form of events ------------------------------------===//
 //
-// Exceptions of the JSON library end here.
+// Catches the exceptions of the JSON library and returns errors instead.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,12 +23,12 @@
 
 Json toJson(const OwnedValue &Value) {
   return std::visit(
-      [](const auto &Held) -> Json {
-        using Type = std::decay_t<decltype(Held)>;
+      [](const auto &Alternative) -> Json {
+        using Type = std::decay_t<decltype(Alternative)>;
         if constexpr (std::is_same_v<Type, std::chrono::nanoseconds>)
-          return std::chrono::duration<double, std::milli>(Held).count();
+          return std::chrono::duration<double, std::milli>(Alternative).count();
         else
-          return Held;
+          return Alternative;
       },
       Value);
 }
@@ -61,45 +61,46 @@
 }
 
 bool isBefore(const Event &Left, const Event &Right) {
-  return std::tie(Left.When, Left.ProcessId) <
-         std::tie(Right.When, Right.ProcessId);
+  return std::tie(Left.Timestamp, Left.ProcessId) <
+         std::tie(Right.Timestamp, Right.ProcessId);
 }
 
-Json toJson(const Event &Which) {
+Json toJson(const Event &Item) {
   Json Value;
-  Value["stamp"] = Which.When.toString();
-  Value["process"] = Which.ProcessId;
-  Value["kind"] = Which.Kind;
-  Value["subject"] = {{"type", toString(Which.About.Type)},
-                      {"name", Which.About.Name}};
-  if (!Which.Cause.isNone())
-    Value["cause"] = Which.Cause.toString();
+  Value["stamp"] = Item.Timestamp.toString();
+  Value["process"] = Item.ProcessId;
+  Value["kind"] = Item.Kind;
+  Value["subject"] = {{"type", toString(Item.EventSubject.Type)},
+                      {"name", Item.EventSubject.Name}};
+  if (!Item.Cause.isNone())
+    Value["cause"] = Item.Cause.toString();
   Json &Fields = Value["fields"] = Json::object();
-  for (const auto &[Name, Held] : Which.Fields)
-    Fields[Name] = toJson(Held);
+  for (const auto &[Name, FieldValue] : Item.Fields)
+    Fields[Name] = toJson(FieldValue);
   return Value;
 }
 
 Result<Event> eventFromJson(const Json &Value) try {
-  Event Read;
-  FIGLIFT_TRY(When, Stamp::parse(Value.at("stamp").get<std::string>()));
-  Read.When = When;
-  Read.ProcessId = Value.at("process").get<std::string>();
-  Read.Kind = Value.at("kind").get<std::string>();
-  const Json &About = Value.at("subject");
-  Read.About = {subjectTypeFrom(About.at("type").get<std::string>()),
-                About.at("name").get<std::string>()};
+  Event Parsed;
+  FIGLIFT_TRY(Timestamp, Stamp::parse(Value.at("stamp").get<std::string>()));
+  Parsed.Timestamp = Timestamp;
+  Parsed.ProcessId = Value.at("process").get<std::string>();
+  Parsed.Kind = Value.at("kind").get<std::string>();
+  const Json &SubjectJson = Value.at("subject");
+  Parsed.EventSubject = {
+      subjectTypeFrom(SubjectJson.at("type").get<std::string>()),
+      SubjectJson.at("name").get<std::string>()};
   if (auto Cause = Value.find("cause"); Cause != Value.end()) {
-    FIGLIFT_TRY(Parsed, Stamp::parse(Cause->get<std::string>()));
-    Read.Cause = Parsed;
+    FIGLIFT_TRY(CauseStamp, Stamp::parse(Cause->get<std::string>()));
+    Parsed.Cause = CauseStamp;
   }
   if (auto Fields = Value.find("fields"); Fields != Value.end())
-    for (const auto &[Name, Held] : Fields->items())
-      Read.Fields.push_back({Name, valueFromJson(Held)});
-  return Read;
-} catch (const nlohmann::json::exception &Thrown) {
+    for (const auto &[Name, FieldValue] : Fields->items())
+      Parsed.Fields.push_back({Name, valueFromJson(FieldValue)});
+  return Parsed;
+} catch (const nlohmann::json::exception &Exception) {
   return failure(ResultCode::InvalidInput,
-                 std::string("not a time line event: ") + Thrown.what());
+                 std::string("invalid timeline event: ") + Exception.what());
 }
 
 } // namespace figlift::timeline
--- a/Libraries/LibTimeline/Event.h
+++ b/Libraries/LibTimeline/Event.h
@@ -1,8 +1,8 @@
-//===- Event.h - One event of the time line ---------------------*- C++ -*-===//
+//===- Event.h - One timeline event -----------------------------*- C++ -*-===//
 //
-// What a process did, when by the hybrid clock, to what, and which earlier
-// event caused it. The JSON form is what GET /timeline answers and what
-// figlift-timeline merges.
+// An event has a kind, a hybrid clock stamp, a subject and an optional cause,
+// the stamp of an earlier event. GET /timeline returns events as JSON, and
+// figlift-timeline merges them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,8 +21,8 @@
 
 namespace figlift::timeline {
 
-/// Name of an event, always a literal: names are a closed set in the source,
-/// and never hold customers' data.
+/// Name of an event. Only string literals are accepted, so the names are a
+/// closed set in the source and never contain customer data.
 class EventKind {
 public:
   consteval EventKind(const char *Literal) : m_Name(Literal) {}
@@ -32,8 +32,8 @@
   std::string_view m_Name;
 };
 
-/// Kinds that more than one process records. A process may add literals of its
-/// own in the same style.
+/// Kinds recorded by more than one process. A process may define further
+/// literals in the same style.
 namespace kinds {
 inline constexpr EventKind ProcessStarted = "process-started";
 inline constexpr EventKind ProcessStopping = "process-stopping";
@@ -76,10 +76,10 @@
 
 std::string_view toString(SubjectType Type);
 
-/// What an event is about.
+/// The object that an event concerns.
 struct Subject {
   SubjectType Type = SubjectType::Process;
-  /// Id or name; for a request its request id, never its idempotency key.
+  /// Id or name. For a request, the request id, never the idempotency key.
   std::string Name;
 
   bool operator==(const Subject &) const = default;
@@ -88,7 +88,7 @@
 using OwnedValue = std::variant<std::string, int64_t, uint64_t, double, bool,
                                 std::chrono::nanoseconds>;
 
-/// A Field that keeps its text.
+/// A Field that owns its text.
 struct OwnedField {
   std::string Name;
   OwnedValue Value;
@@ -97,28 +97,29 @@
 };
 
 struct Event {
-  Stamp When;
+  Stamp Timestamp;
   std::string ProcessId;
   std::string Kind;
-  Subject About;
-  /// Stamp of the event that caused this one; none when it is not known.
+  Subject EventSubject;
+  /// Stamp of the event that caused this one; none if unknown.
   Stamp Cause;
   std::vector<OwnedField> Fields;
 
   bool operator==(const Event &) const = default;
 };
 
-/// Causal order: by stamp, then by process id.
+/// Causal order: by timestamp, then by process id.
 bool isBefore(const Event &Left, const Event &Right);
 
 /// {"stamp","process","kind","subject":{"type","name"},"cause"?,"fields":{}}.
-/// Durations become milliseconds.
-nlohmann::ordered_json toJson(const Event &Which);
-/// The value of one field; a list or an object comes as its text.
+/// Durations are written in milliseconds.
+nlohmann::ordered_json toJson(const Event &Value);
+/// Converts the value of one field; a list or an object becomes its JSON text.
 OwnedValue valueFromJson(const nlohmann::ordered_json &Value);
 
-/// Reads toJson()'s form; durations come back as numbers. Unknown members are
-/// ignored, since the processes of a roll-out may be of two versions.
+/// Parses the output of toJson(); durations are returned as numbers. Unknown
+/// members are ignored because processes of two versions run side by side
+/// during a roll-out.
 Result<Event> eventFromJson(const nlohmann::ordered_json &Value);
 
 } // namespace figlift::timeline
--- a/Libraries/LibTimeline/HtmlPage.cpp
+++ b/Libraries/LibTimeline/HtmlPage.cpp
@@ -1,8 +1,8 @@
-//===- HtmlPage.cpp - The time line as one page ---------------------------===//
+//===- HtmlPage.cpp - HTML page of a timeline -----------------------------===//
 //
-// A drawing with a lane for each process, where a dot is an event, above a
-// table of all events in causal order. Whatever comes from a process is
-// escaped: names hold text that callers chose.
+// Renders a drawing with one lane per process and one dot per event, above a
+// table of all events in causal order. All text from processes is escaped,
+// because names may contain text chosen by callers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 constexpr double RightMargin = 30;
 constexpr double AxisHeight = 28;
 constexpr double DotRadius = 4.5;
-/// Dots nearer than this are put below each other.
+/// Dots closer than this are placed in different rows.
 constexpr double DotDistance = 10;
 constexpr size_t MaximumDotRows = 6;
 constexpr double DotRowHeight = 11;
@@ -79,8 +79,8 @@
 .fields{color:var(--soft);font-size:13px;overflow-wrap:anywhere}
 )";
 
-/// Hides the rows that do not hold the text in the box. Only reads the text of
-/// the table, so that nothing from a process is run.
+/// Hides the rows that do not contain the text in the filter box. Reads only
+/// the text content of the table, so that no text from a process is executed.
 constexpr std::string_view Script = R"(
 const box=document.getElementById('filter');
 box.addEventListener('input',()=>{const wanted=box.value.toLowerCase();
@@ -91,11 +91,12 @@
 struct Category {
   std::string_view Class;
   std::string_view Label;
-  /// Words in the kind of an event that put it here.
+  /// An event belongs to the category if its kind contains one of these words.
   std::array<std::string_view, 8> Words;
 };
 
-/// The first row that fits counts; trouble goes before what it is about.
+/// The first matching row applies. "trouble" comes first, so that a failure is
+/// shown as such regardless of its subject.
 constexpr std::array Categories = {
     Category{"trouble",
              "refusal, failure or loss",
@@ -113,19 +114,19 @@
     Category{"process", "process or peer", {}},
 };
 
-const Category &categoryOf(const Event &Which) {
-  for (const Category &Each : Categories)
-    for (std::string_view Word : Each.Words)
-      if (!Word.empty() && Which.Kind.find(Word) != std::string::npos)
-        return Each;
+const Category &categoryOf(const Event &Item) {
+  for (const Category &Candidate : Categories)
+    for (std::string_view Word : Candidate.Words)
+      if (!Word.empty() && Item.Kind.find(Word) != std::string::npos)
+        return Candidate;
   return Categories.back();
 }
 
-/// Safe in the content of an element and in a quoted attribute.
+/// The result is safe as element content and in a quoted attribute.
 std::string escape(std::string_view Text) {
   std::string Escaped;
-  for (char Each : Text) {
-    switch (Each) {
+  for (char Character : Text) {
+    switch (Character) {
     case '&':
       Escaped += "&amp;";
       break;
@@ -142,9 +143,11 @@
       Escaped += "&#39;";
       break;
     default:
-      // Other control characters are not allowed in HTML at all.
-      bool IsControl = static_cast<unsigned char>(Each) < 0x20 || Each == 0x7f;
-      Escaped += IsControl && Each != '\n' && Each != '\t' ? '?' : Each;
+      // HTML allows no other control characters.
+      bool IsControl =
+          static_cast<unsigned char>(Character) < 0x20 || Character == 0x7f;
+      Escaped +=
+          IsControl && Character != '\n' && Character != '\t' ? '?' : Character;
     }
   }
   return Escaped;
@@ -156,7 +159,7 @@
   return Text;
 }
 
-/// Wall time to horizontal position.
+/// Maps wall time to a horizontal position.
 struct Scale {
   WallTime First{};
   WallTime Last{};
@@ -164,8 +167,8 @@
   explicit Scale(const std::vector<Event> &Events) {
     if (Events.empty())
       return;
-    First = Events.front().When.wallTime();
-    Last = Events.back().When.wallTime();
+    First = Events.front().Timestamp.wallTime();
+    Last = Events.back().Timestamp.wallTime();
   }
 
   double span() const {
@@ -178,13 +181,13 @@
   }
 };
 
-/// One process: its name, its place in the drawing and its dots.
+/// The lane of one process: its labels and dots.
 struct Lane {
   std::string Title;
   std::string Subtitle;
   /// Indexes into MergedTimeline::Events.
   std::vector<size_t> Events;
-  /// Row of each dot below the top of the lane.
+  /// Row of each dot, counted from the top of the lane.
   std::vector<size_t> Rows;
   size_t RowCount = 1;
 
@@ -194,46 +197,48 @@
   }
 };
 
-/// Puts dots that would cover each other into different rows.
-void placeDots(Lane &Which, const MergedTimeline &Whole, const Scale &Axis) {
+/// Places overlapping dots in different rows.
+void placeDots(Lane &ProcessLane, const MergedTimeline &Merged,
+               const Scale &Axis) {
   std::array<double, MaximumDotRows> RowEnd;
   RowEnd.fill(-DotDistance);
-  for (size_t Index : Which.Events) {
-    double Here = Axis.position(Whole.Events[Index].When.wallTime());
+  for (size_t Index : ProcessLane.Events) {
+    double X = Axis.position(Merged.Events[Index].Timestamp.wallTime());
     size_t Row = 0;
-    while (Row + 1 < MaximumDotRows && Here - RowEnd[Row] < DotDistance)
+    while (Row + 1 < MaximumDotRows && X - RowEnd[Row] < DotDistance)
       ++Row;
-    RowEnd[Row] = Here;
-    Which.Rows.push_back(Row);
-    Which.RowCount = std::max(Which.RowCount, Row + 1);
+    RowEnd[Row] = X;
+    ProcessLane.Rows.push_back(Row);
+    ProcessLane.RowCount = std::max(ProcessLane.RowCount, Row + 1);
   }
 }
 
-std::vector<Lane> makeLanes(const MergedTimeline &Whole, const Scale &Axis) {
+std::vector<Lane> makeLanes(const MergedTimeline &Merged, const Scale &Axis) {
   std::map<std::string, size_t> LaneOf;
   std::vector<Lane> Lanes;
   auto Find = [&](const std::string &ProcessId) -> Lane & {
-    auto [Place, IsNew] = LaneOf.try_emplace(ProcessId, Lanes.size());
+    auto [Position, IsNew] = LaneOf.try_emplace(ProcessId, Lanes.size());
     if (IsNew)
       Lanes.push_back({ProcessId, "", {}, {}});
-    return Lanes[Place->second];
+    return Lanes[Position->second];
   };
-  std::vector<Source> Sources = Whole.Sources;
+  std::vector<Source> Sources = Merged.Sources;
   std::ranges::stable_sort(Sources, std::ranges::greater(),
                            &Source::ProcessKind);
-  for (const Source &Each : Sources)
-    if (!Each.Failure)
-      Find(Each.ProcessId).Subtitle = Each.ProcessKind + " · " + Each.Zone;
-  for (size_t I = 0; I < Whole.Events.size(); ++I)
-    Find(Whole.Events[I].ProcessId).Events.push_back(I);
-  for (Lane &Each : Lanes)
-    placeDots(Each, Whole, Axis);
+  for (const Source &Process : Sources)
+    if (!Process.Failure)
+      Find(Process.ProcessId).Subtitle =
+          Process.ProcessKind + " · " + Process.Zone;
+  for (size_t I = 0; I < Merged.Events.size(); ++I)
+    Find(Merged.Events[I].ProcessId).Events.push_back(I);
+  for (Lane &ProcessLane : Lanes)
+    placeDots(ProcessLane, Merged, Axis);
   return Lanes;
 }
 
-std::string describeFields(const Event &Which, std::string_view Separator) {
+std::string describeFields(const Event &Item, std::string_view Separator) {
   std::string Text;
-  for (const auto &[Name, Value] : Which.Fields) {
+  for (const auto &[Name, Value] : Item.Fields) {
     if (!Text.empty())
       Text += Separator;
     Text += Name + "=" + toString(Value);
@@ -241,19 +246,20 @@
   return Text;
 }
 
-/// What is shown while the pointer is on a dot.
-std::string hoverText(const Event &Which) {
-  std::string Text = timeOfDay(Which.When) + "  " + Which.Kind + "\n" +
-                     std::string(toString(Which.About.Type)) + " " +
-                     Which.About.Name;
-  if (!Which.Fields.empty())
-    Text += "\n" + describeFields(Which, "\n");
-  if (precedesItsCause(Which))
+/// Tooltip of a dot.
+std::string tooltip(const Event &Item) {
+  std::string Text = timeOfDay(Item.Timestamp) + "  " + Item.Kind + "\n" +
+                     std::string(toString(Item.EventSubject.Type)) + " " +
+                     Item.EventSubject.Name;
+  if (!Item.Fields.empty())
+    Text += "\n" + describeFields(Item, "\n");
+  if (precedesCause(Item))
     Text += "\nstamped before its cause: a clock ran ahead";
   return Text;
 }
 
-/// 1, 2 or 5 times a power of ten, for about eight marks.
+/// Distance of axis marks: 1, 2 or 5 times a power of ten, for about eight
+/// marks.
 double tickStep(double Span) {
   double Rough = Span / 8;
   double Power = std::pow(10, std::floor(std::log10(std::max(Rough, 1.0))));
@@ -279,107 +285,108 @@
   return Text;
 }
 
-std::string drawDot(const Event &Which, size_t Index, double X, double Y) {
+std::string drawDot(const Event &Item, size_t Index, double X, double Y) {
   return "<a href=\"#e" + std::to_string(Index) + "\"><circle class=\"" +
-         std::string(categoryOf(Which).Class) + "\" cx=\"" + number(X) +
+         std::string(categoryOf(Item).Class) + "\" cx=\"" + number(X) +
          "\" cy=\"" + number(Y) + "\" r=\"" + number(DotRadius) + "\"><title>" +
-         escape(hoverText(Which)) + "</title></circle></a>\n";
+         escape(tooltip(Item)) + "</title></circle></a>\n";
 }
 
-std::string drawLane(const Lane &Which, const MergedTimeline &Whole,
+std::string drawLane(const Lane &ProcessLane, const MergedTimeline &Merged,
                      const Scale &Axis, double Top) {
   std::string Text =
       "<rect class=\"lane\" rx=\"6\" x=\"0\" width=\"" + number(DrawingWidth) +
-      "\" y=\"" + number(Top) + "\" height=\"" + number(Which.height() - 4) +
-      "\"/><text x=\"10\" y=\"" + number(Top + 17) + "\" font-weight=\"600\">" +
-      escape(Which.Title) + "</text><text class=\"soft\" x=\"10\" y=\"" +
-      number(Top + 32) + "\">" + escape(Which.Subtitle) + "</text>\n";
-  for (size_t I = 0; I < Which.Events.size(); ++I) {
-    const Event &Each = Whole.Events[Which.Events[I]];
+      "\" y=\"" + number(Top) + "\" height=\"" +
+      number(ProcessLane.height() - 4) + "\"/><text x=\"10\" y=\"" +
+      number(Top + 17) + "\" font-weight=\"600\">" + escape(ProcessLane.Title) +
+      "</text><text class=\"soft\" x=\"10\" y=\"" + number(Top + 32) + "\">" +
+      escape(ProcessLane.Subtitle) + "</text>\n";
+  for (size_t I = 0; I < ProcessLane.Events.size(); ++I) {
+    const Event &Item = Merged.Events[ProcessLane.Events[I]];
     double Y = Top + LanePadding / 2 + DotRadius +
-               static_cast<double>(Which.Rows[I]) * DotRowHeight;
-    Text +=
-        drawDot(Each, Which.Events[I], Axis.position(Each.When.wallTime()), Y);
+               static_cast<double>(ProcessLane.Rows[I]) * DotRowHeight;
+    Text += drawDot(Item, ProcessLane.Events[I],
+                    Axis.position(Item.Timestamp.wallTime()), Y);
   }
   return Text;
 }
 
-std::string drawLanes(const MergedTimeline &Whole) {
-  Scale Axis(Whole.Events);
-  std::vector<Lane> Lanes = makeLanes(Whole, Axis);
+std::string drawLanes(const MergedTimeline &Merged) {
+  Scale Axis(Merged.Events);
+  std::vector<Lane> Lanes = makeLanes(Merged, Axis);
   double Height = AxisHeight;
-  for (const Lane &Each : Lanes)
-    Height += Each.height();
+  for (const Lane &ProcessLane : Lanes)
+    Height += ProcessLane.height();
   std::string Text = "<svg role=\"img\" aria-label=\"Events by process\" "
                      "viewBox=\"0 0 " +
                      number(DrawingWidth) + " " + number(Height) + "\">\n";
   std::string Body;
   double Top = AxisHeight;
-  for (const Lane &Each : Lanes) {
-    Body += drawLane(Each, Whole, Axis, Top);
-    Top += Each.height();
+  for (const Lane &ProcessLane : Lanes) {
+    Body += drawLane(ProcessLane, Merged, Axis, Top);
+    Top += ProcessLane.height();
   }
   Text += drawAxis(Axis, Height) + Body + "</svg>\n<div class=\"legend\">";
-  for (const Category &Each : Categories)
-    Text += "<span class=\"" + std::string(Each.Class) + "\"><i></i><span>" +
-            std::string(Each.Label) + "</span></span>";
+  for (const Category &Shown : Categories)
+    Text += "<span class=\"" + std::string(Shown.Class) + "\"><i></i><span>" +
+            std::string(Shown.Label) + "</span></span>";
   return Text + "</div>\n";
 }
 
-std::string tableRow(const Event &Which, size_t Index) {
-  std::string Fields = describeFields(Which, "  ");
-  if (precedesItsCause(Which))
+std::string tableRow(const Event &Item, size_t Index) {
+  std::string Fields = describeFields(Item, "  ");
+  if (precedesCause(Item))
     Fields += "  (stamped before its cause: a clock ran ahead)";
   return "<tr id=\"e" + std::to_string(Index) + "\"><td class=\"time\">" +
-         timeOfDay(Which.When) + "</td><td>" + escape(Which.ProcessId) +
+         timeOfDay(Item.Timestamp) + "</td><td>" + escape(Item.ProcessId) +
          "</td><td class=\"kind\"><i class=\"" +
-         std::string(categoryOf(Which).Class) + "\"></i><b>" +
-         escape(Which.Kind) + "</b></td><td class=\"about\">" +
-         std::string(toString(Which.About.Type)) + " " +
-         escape(Which.About.Name) + "<div class=\"fields\">" + escape(Fields) +
-         "</div></td></tr>\n";
+         std::string(categoryOf(Item).Class) + "\"></i><b>" +
+         escape(Item.Kind) + "</b></td><td class=\"about\">" +
+         std::string(toString(Item.EventSubject.Type)) + " " +
+         escape(Item.EventSubject.Name) + "<div class=\"fields\">" +
+         escape(Fields) + "</div></td></tr>\n";
 }
 
-std::string missingSources(const MergedTimeline &Whole) {
-  if (!Whole.isPartial())
+std::string missingSources(const MergedTimeline &Merged) {
+  if (!Merged.isPartial())
     return "";
   std::string Text = "<div class=\"card missing\"><b>Not all processes "
                      "answered; their events are missing.</b><ul>";
-  for (const Source &Each : Whole.Sources)
-    if (Each.Failure)
-      Text += "<li>" + escape(Each.Address.toString()) + ": " +
-              escape(Each.Failure->Message) + "</li>";
+  for (const Source &Process : Merged.Sources)
+    if (Process.Failure)
+      Text += "<li>" + escape(Process.Address.toString()) + ": " +
+              escape(Process.Failure->Message) + "</li>";
   return Text + "</ul></div>\n";
 }
 
-std::string facts(const MergedTimeline &Whole) {
-  std::string Text = std::to_string(Whole.Events.size()) + " events of " +
-                     std::to_string(Whole.Sources.size()) + " processes";
-  if (Whole.Events.empty())
+std::string summary(const MergedTimeline &Merged) {
+  std::string Text = std::to_string(Merged.Events.size()) + " events of " +
+                     std::to_string(Merged.Sources.size()) + " processes";
+  if (Merged.Events.empty())
     return Text;
-  return Text + ", " + timeOfDay(Whole.Events.front().When) + " to " +
-         timeOfDay(Whole.Events.back().When) + " UTC, in causal order";
+  return Text + ", " + timeOfDay(Merged.Events.front().Timestamp) + " to " +
+         timeOfDay(Merged.Events.back().Timestamp) + " UTC, in causal order";
 }
 
 } // namespace
 
-std::string renderHtml(const MergedTimeline &Whole) {
+std::string renderHtml(const MergedTimeline &Merged) {
   std::string Page = "<!doctype html>\n<html lang=\"en\"><head><meta "
                      "charset=\"utf-8\"><meta name=\"viewport\" "
-                     "content=\"width=device-width\"><title>figlift time "
-                     "line</title><style>" +
+                     "content=\"width=device-width\"><title>figlift "
+                     "timeline</title><style>" +
                      std::string(Style) +
-                     "</style></head><body><main><h1>figlift time line</h1>"
+                     "</style></head><body><main><h1>figlift timeline</h1>"
                      "<p class=\"facts\">" +
-                     facts(Whole) + "</p>\n" + missingSources(Whole) +
-                     "<div class=\"card\">" + drawLanes(Whole) +
+                     summary(Merged) + "</p>\n" + missingSources(Merged) +
+                     "<div class=\"card\">" + drawLanes(Merged) +
                      "</div>\n<div class=\"card\"><input id=\"filter\" "
                      "type=\"search\" aria-label=\"Filter\" "
-                     "placeholder=\"Show only events that hold this text\">"
+                     "placeholder=\"Show only events that contain this text\">"
                      "<table><thead><tr><th>time</th><th>process</th>"
                      "<th>event</th><th>about</th></tr></thead><tbody>\n";
-  for (size_t I = 0; I < Whole.Events.size(); ++I)
-    Page += tableRow(Whole.Events[I], I);
+  for (size_t I = 0; I < Merged.Events.size(); ++I)
+    Page += tableRow(Merged.Events[I], I);
   return Page + "</tbody></table></div></main><script>" + std::string(Script) +
          "</script></body></html>\n";
 }
--- a/Libraries/LibTimeline/HybridClock.cpp
+++ b/Libraries/LibTimeline/HybridClock.cpp
@@ -1,6 +1,6 @@
 //===- HybridClock.cpp - Hybrid logical clock -----------------------------===//
 //
-// Pure steps and their atomic wrapper.
+// Pure clock functions and their atomic wrapper.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,14 @@
 std::string Stamp::toString() const { return std::to_string(Value); }
 
 Result<Stamp> Stamp::parse(std::string_view Text) {
-  Stamp Read;
+  Stamp Parsed;
   const char *End = Text.data() + Text.size();
-  auto [Rest, Status] = std::from_chars(Text.data(), End, Read.Value);
+  auto [Rest, Status] = std::from_chars(Text.data(), End, Parsed.Value);
   if (Status == std::errc() && Rest == End)
-    return Read;
+    return Parsed;
   return failure(ResultCode::InvalidInput,
                  "found \"" + std::string(Text.substr(0, 32)) +
-                     "\"; allowed is a decimal number of 64 bits");
+                     "\"; expected a 64-bit decimal number");
 }
 
 Stamp advance(Stamp Last, WallTime Wall) {
@@ -39,7 +39,7 @@
 
 Stamp merge(Stamp Last, Stamp Received, WallTime Wall) {
   Stamp Local = advance(Last, Wall);
-  if (Received > Stamp::of(Wall + MaximumAhead))
+  if (Received > Stamp::of(Wall + MaximumClockSkew))
     return Local;
   return std::max(Local, Stamp{Received.Value + 1});
 }
--- a/Libraries/LibTimeline/HybridClock.h
+++ b/Libraries/LibTimeline/HybridClock.h
@@ -1,8 +1,8 @@
 //===- HybridClock.h - Hybrid logical clock ---------------------*- C++ -*-===//
 //
-// Stamps events so that a cause always has a smaller stamp than its effect,
-// also over processes, while stamps stay close to wall time. A stamp has 48
-// bits of Unix milliseconds above a 16 bit counter and rides on messages as
+// Hybrid logical clock. A cause always has a smaller stamp than its effect,
+// also across processes, and stamps stay close to wall time. A stamp has 48
+// bits of Unix milliseconds above a 16-bit counter. Messages carry it as
 // `uint64 clock`.
 //
 //===----------------------------------------------------------------------===//
@@ -22,8 +22,8 @@
 
 namespace figlift::timeline {
 
-/// One reading of the clock. Value 0 means "none": a message of a process that
-/// sends no stamp.
+/// One reading of the clock. Value 0 means "none", as in a message from a
+/// process that sends no stamp.
 struct Stamp {
   static constexpr unsigned CounterBits = 16;
 
@@ -36,45 +36,45 @@
   uint16_t counter() const { return static_cast<uint16_t>(Value); }
   bool isNone() const { return Value == 0; }
 
-  /// Decimal. In JSON it stands in a string: many readers of JSON round numbers
-  /// beyond 53 bits.
+  /// Decimal. JSON carries it as a string, because many JSON parsers round
+  /// integers of more than 53 bits.
   std::string toString() const;
-  /// Reads toString()'s form; fails with InvalidInput.
+  /// Parses the output of toString(); fails with InvalidInput.
   static Result<Stamp> parse(std::string_view Text);
 };
 
-/// A received stamp further ahead of the own wall clock is not adopted: one
-/// process with a wrong clock would otherwise drag all others' stamps into the
-/// future for good. Events it causes then sort before it, which shows as an
-/// effect before its cause on the time line.
-inline constexpr std::chrono::milliseconds MaximumAhead{60000};
+/// A received stamp that is further ahead of the local wall clock is not
+/// adopted. Otherwise one process with a wrong clock would permanently advance
+/// the stamps of all other processes. The events caused by such a message sort
+/// before it, so the timeline shows an effect before its cause.
+inline constexpr std::chrono::milliseconds MaximumClockSkew{60000};
 
-/// The next stamp for a local event or a message to be sent. A full counter
-/// carries into the milliseconds.
+/// Returns the next stamp for a local event or an outgoing message. A counter
+/// overflow carries into the milliseconds.
 Stamp advance(Stamp Last, WallTime Wall);
 
-/// The next stamp after a message stamped \p Received came in.
+/// Returns the next stamp after receiving a message with stamp \p Received.
 Stamp merge(Stamp Last, Stamp Received, WallTime Wall);
 
-/// The clock of one process. Any thread; lock-free.
+/// The clock of one process. Thread-safe and lock-free.
 class HybridClock {
 public:
   using WallClock = std::function<WallTime()>;
 
   explicit HybridClock(WallClock Now = wallNow) : m_Now(std::move(Now)) {}
 
-  /// Stamp of a local event.
+  /// Returns the stamp of a local event.
   Stamp tick();
-  /// Value for a message's `clock` field.
+  /// Returns the value for the `clock` field of a message.
   uint64_t encode() { return tick().Value; }
   /// Merges the `clock` field of a received message.
   Stamp mergeReceived(uint64_t Clock);
-  /// The last stamp given out.
+  /// Returns the last stamp issued.
   Stamp last() const { return {m_Last.load(std::memory_order_acquire)}; }
 
 private:
   WallClock m_Now;
-  /// Only grows.
+  /// Increases monotonically.
   std::atomic<uint64_t> m_Last{0};
 };
 
--- a/Libraries/LibTimeline/MergedTimeline.cpp
+++ b/Libraries/LibTimeline/MergedTimeline.cpp
@@ -1,6 +1,6 @@
 //===- MergedTimeline.cpp - Events of many processes ----------------------===//
 //
-// Reading, merging, and the text and JSON output.
+// Parsing, merging, and the text and JSON output.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,18 +19,19 @@
 
 using Json = nlohmann::ordered_json;
 
-/// "08:15:02.250+65535".
+/// Width of "08:15:02.250+65535".
 constexpr size_t StampWidth = 18;
 
 bool isSame(const Event &Left, const Event &Right) {
-  return Left.When == Right.When && Left.ProcessId == Right.ProcessId;
+  return Left.Timestamp == Right.Timestamp && Left.ProcessId == Right.ProcessId;
 }
 
-bool names(const Event &Which, std::string_view RequestId) {
-  if (Which.About.Type == SubjectType::Request && Which.About.Name == RequestId)
+bool namesRequest(const Event &Item, std::string_view RequestId) {
+  if (Item.EventSubject.Type == SubjectType::Request &&
+      Item.EventSubject.Name == RequestId)
     return true;
-  return std::ranges::any_of(Which.Fields, [&](const OwnedField &Each) {
-    const auto *Text = std::get_if<std::string>(&Each.Value);
+  return std::ranges::any_of(Item.Fields, [&](const OwnedField &Field) {
+    const auto *Text = std::get_if<std::string>(&Field.Value);
     return Text && *Text == RequestId;
   });
 }
@@ -45,47 +46,48 @@
   std::string operator()(auto Plain) const { return Json(Plain).dump(); }
 };
 
-/// Replaces control characters, so that a name cannot forge a line or send
-/// escape codes to a terminal.
+/// Replaces control characters, so that a name cannot forge an output line or
+/// send escape sequences to a terminal.
 std::string printable(std::string_view Text) {
   std::string Clean(Text);
-  for (char &Each : Clean)
-    if (static_cast<unsigned char>(Each) < 0x20 || Each == 0x7f)
-      Each = '?';
+  for (char &Character : Clean)
+    if (static_cast<unsigned char>(Character) < 0x20 || Character == 0x7f)
+      Character = '?';
   return Clean;
 }
 
-std::string describe(const Source &Which) {
-  if (Which.Failure)
-    return "# " + Which.Address.toString() +
-           " gave no answer: " + printable(Which.Failure->Message) + "\n";
-  std::string Text =
-      "# " + Which.Address.toString() + " is " + printable(Which.ProcessKind) +
-      " " + printable(Which.ProcessId) + " in " + printable(Which.Zone);
-  if (Which.Overwritten != 0)
-    Text += ", " + std::to_string(Which.Overwritten) +
+std::string describe(const Source &Process) {
+  if (Process.Failure)
+    return "# " + Process.Address.toString() +
+           " gave no answer: " + printable(Process.Failure->Message) + "\n";
+  std::string Text = "# " + Process.Address.toString() + " is " +
+                     printable(Process.ProcessKind) + " " +
+                     printable(Process.ProcessId) + " in " +
+                     printable(Process.Zone);
+  if (Process.Overwritten != 0)
+    Text += ", " + std::to_string(Process.Overwritten) +
             " older events were overwritten";
   return Text + "\n";
 }
 
-Json toJson(const Source &Which) {
-  Json Value{{"address", Which.Address.toString()}};
-  if (Which.Failure) {
-    Value["error"] = {{"code", static_cast<int>(Which.Failure->Code)},
-                      {"message", Which.Failure->Message}};
+Json toJson(const Source &Process) {
+  Json Value{{"address", Process.Address.toString()}};
+  if (Process.Failure) {
+    Value["error"] = {{"code", static_cast<int>(Process.Failure->Code)},
+                      {"message", Process.Failure->Message}};
     return Value;
   }
-  Value["process"] = Which.ProcessId;
-  Value["kind"] = Which.ProcessKind;
-  Value["zone"] = Which.Zone;
-  Value["overwritten"] = Which.Overwritten;
+  Value["process"] = Process.ProcessId;
+  Value["kind"] = Process.ProcessKind;
+  Value["zone"] = Process.Zone;
+  Value["overwritten"] = Process.Overwritten;
   return Value;
 }
 
-size_t widest(const MergedTimeline &Whole, std::string Event::*Member) {
+size_t widest(const MergedTimeline &Merged, std::string Event::*Member) {
   size_t Width = 0;
-  for (const Event &Each : Whole.Events)
-    Width = std::max(Width, (Each.*Member).size());
+  for (const Event &Item : Merged.Events)
+    Width = std::max(Width, (Item.*Member).size());
   return Width;
 }
 
@@ -97,59 +99,60 @@
 
 } // namespace
 
-Result<SourceAnswer> parseAnswer(const Endpoint &Address,
-                                 std::string_view Body) try {
+Result<SourceResponse> parseResponse(const Endpoint &Address,
+                                     std::string_view Body) try {
   Json Parsed = Json::parse(Body);
-  SourceAnswer Answer;
-  Answer.From.Address = Address;
-  Answer.From.ProcessId = Parsed.at("process").get<std::string>();
-  Answer.From.ProcessKind = Parsed.value("kind", "");
-  Answer.From.Zone = Parsed.value("zone", "");
-  Answer.From.Overwritten = Parsed.value("overwritten", uint64_t{0});
-  for (const Json &Each : Parsed.at("events")) {
-    FIGLIFT_TRY(Read, eventFromJson(Each));
-    Answer.Events.push_back(std::move(Read));
+  SourceResponse Response;
+  Response.Origin.Address = Address;
+  Response.Origin.ProcessId = Parsed.at("process").get<std::string>();
+  Response.Origin.ProcessKind = Parsed.value("kind", "");
+  Response.Origin.Zone = Parsed.value("zone", "");
+  Response.Origin.Overwritten = Parsed.value("overwritten", uint64_t{0});
+  for (const Json &Value : Parsed.at("events")) {
+    FIGLIFT_TRY(Item, eventFromJson(Value));
+    Response.Events.push_back(std::move(Item));
   }
-  return Answer;
-} catch (const nlohmann::json::exception &Thrown) {
+  return Response;
+} catch (const nlohmann::json::exception &Exception) {
   return failure(ResultCode::InvalidInput,
-                 std::string("the answer is no time line: ") + Thrown.what());
+                 std::string("invalid timeline response: ") + Exception.what());
 }
 
 bool MergedTimeline::isPartial() const {
-  return std::ranges::any_of(
-      Sources, [](const Source &Each) { return Each.Failure.has_value(); });
+  return std::ranges::any_of(Sources, [](const Source &Process) {
+    return Process.Failure.has_value();
+  });
 }
 
-MergedTimeline mergeAnswers(std::vector<SourceAnswer> Answers) {
-  MergedTimeline Whole;
-  for (SourceAnswer &Each : Answers) {
-    Whole.Sources.push_back(std::move(Each.From));
-    std::ranges::move(Each.Events, std::back_inserter(Whole.Events));
+MergedTimeline mergeResponses(std::vector<SourceResponse> Responses) {
+  MergedTimeline Merged;
+  for (SourceResponse &Response : Responses) {
+    Merged.Sources.push_back(std::move(Response.Origin));
+    std::ranges::move(Response.Events, std::back_inserter(Merged.Events));
   }
-  std::ranges::sort(Whole.Events, isBefore);
-  Whole.Events.erase(
-      std::unique(Whole.Events.begin(), Whole.Events.end(), isSame),
-      Whole.Events.end());
-  return Whole;
+  std::ranges::sort(Merged.Events, isBefore);
+  Merged.Events.erase(
+      std::unique(Merged.Events.begin(), Merged.Events.end(), isSame),
+      Merged.Events.end());
+  return Merged;
 }
 
-void followRequest(MergedTimeline &Whole, std::string_view RequestId) {
+void followRequest(MergedTimeline &Merged, std::string_view RequestId) {
   std::set<Stamp> Kept;
-  std::erase_if(Whole.Events, [&](const Event &Each) {
-    if (!names(Each, RequestId) && !Kept.contains(Each.Cause))
+  std::erase_if(Merged.Events, [&](const Event &Item) {
+    if (!namesRequest(Item, RequestId) && !Kept.contains(Item.Cause))
       return true;
-    Kept.insert(Each.When);
+    Kept.insert(Item.Timestamp);
     return false;
   });
 }
 
-bool precedesItsCause(const Event &Which) {
-  return !Which.Cause.isNone() && Which.When <= Which.Cause;
+bool precedesCause(const Event &Item) {
+  return !Item.Cause.isNone() && Item.Timestamp <= Item.Cause;
 }
 
-std::string timeOfDay(Stamp When) {
-  auto Wall = When.wallTime();
+std::string timeOfDay(Stamp Timestamp) {
+  auto Wall = Timestamp.wallTime();
   auto Day = std::chrono::floor<std::chrono::days>(Wall);
   std::chrono::hh_mm_ss Time(Wall - Day);
   char Text[32];
@@ -161,37 +164,37 @@
   return Text;
 }
 
-std::string renderText(const MergedTimeline &Whole) {
+std::string renderText(const MergedTimeline &Merged) {
   std::string Text;
-  for (const Source &Each : Whole.Sources)
-    Text += describe(Each);
-  size_t ProcessWidth = widest(Whole, &Event::ProcessId);
-  size_t KindWidth = widest(Whole, &Event::Kind);
-  for (const Event &Each : Whole.Events) {
-    std::string When =
-        timeOfDay(Each.When) + "+" + std::to_string(Each.When.counter());
-    Text += pad(std::move(When), StampWidth);
-    Text += " " + pad(printable(Each.ProcessId), ProcessWidth) + " " +
-            pad(printable(Each.Kind), KindWidth) + " " +
-            std::string(toString(Each.About.Type)) + "=" +
-            printable(Each.About.Name);
-    for (const auto &[Name, Value] : Each.Fields)
+  for (const Source &Process : Merged.Sources)
+    Text += describe(Process);
+  size_t ProcessWidth = widest(Merged, &Event::ProcessId);
+  size_t KindWidth = widest(Merged, &Event::Kind);
+  for (const Event &Item : Merged.Events) {
+    std::string Time = timeOfDay(Item.Timestamp) + "+" +
+                       std::to_string(Item.Timestamp.counter());
+    Text += pad(std::move(Time), StampWidth);
+    Text += " " + pad(printable(Item.ProcessId), ProcessWidth) + " " +
+            pad(printable(Item.Kind), KindWidth) + " " +
+            std::string(toString(Item.EventSubject.Type)) + "=" +
+            printable(Item.EventSubject.Name);
+    for (const auto &[Name, Value] : Item.Fields)
       Text += " " + printable(Name) + "=" + printable(toString(Value));
-    if (precedesItsCause(Each))
+    if (precedesCause(Item))
       Text += " (stamped before its cause: a clock ran ahead)";
     Text += "\n";
   }
   return Text;
 }
 
-std::string renderJson(const MergedTimeline &Whole) {
-  Json Root{{"partial", Whole.isPartial()}};
+std::string renderJson(const MergedTimeline &Merged) {
+  Json Root{{"partial", Merged.isPartial()}};
   Json &Sources = Root["sources"] = Json::array();
-  for (const Source &Each : Whole.Sources)
-    Sources.push_back(toJson(Each));
+  for (const Source &Process : Merged.Sources)
+    Sources.push_back(toJson(Process));
   Json &Events = Root["events"] = Json::array();
-  for (const Event &Each : Whole.Events)
-    Events.push_back(toJson(Each));
+  for (const Event &Item : Merged.Events)
+    Events.push_back(toJson(Item));
   return Root.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
--- a/Libraries/LibTimeline/MergedTimeline.h
+++ b/Libraries/LibTimeline/MergedTimeline.h
@@ -1,8 +1,8 @@
 //===- MergedTimeline.h - Events of many processes --------------*- C++ -*-===//
 //
-// Puts the answers of several processes to GET /timeline into one causal
-// order. A process that could not be asked stays visible as a source with an
-// error: its events are missing, which a reader must not take for silence.
+// Merges the GET /timeline responses of several processes in causal order. A
+// process that cannot be reached is kept as a source with an error, so that its
+// missing events are not mistaken for inactivity.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,57 +20,58 @@
 
 namespace figlift::timeline {
 
-/// A process that was asked.
+/// A process that was queried.
 struct Source {
   Endpoint Address;
-  /// Why there is no answer.
+  /// Set if there is no valid response.
   std::optional<Error> Failure;
   std::string ProcessId;
   /// "entry" or "agent".
   std::string ProcessKind;
   std::string Zone;
-  /// Events that the process no longer had.
+  /// Number of older events that the process had already overwritten.
   uint64_t Overwritten = 0;
 };
 
-struct SourceAnswer {
-  Source From;
+struct SourceResponse {
+  Source Origin;
   std::vector<Event> Events;
 };
 
-/// Reads the body of GET /timeline; fails with InvalidInput.
-Result<SourceAnswer> parseAnswer(const Endpoint &Address,
-                                 std::string_view Body);
+/// Parses the body of a GET /timeline response; fails with InvalidInput.
+Result<SourceResponse> parseResponse(const Endpoint &Address,
+                                     std::string_view Body);
 
 struct MergedTimeline {
   std::vector<Source> Sources;
-  /// In the order of isBefore(); no event stands twice, even if a process was
-  /// asked at two addresses.
+  /// Sorted by isBefore() and without duplicates, even if a process was queried
+  /// at two addresses.
   std::vector<Event> Events;
 
+  /// Whether the events of at least one source are missing.
   bool isPartial() const;
 };
 
-MergedTimeline mergeAnswers(std::vector<SourceAnswer> Answers);
+MergedTimeline mergeResponses(std::vector<SourceResponse> Responses);
 
-/// Keeps the events about one request: those that name it as their subject or
-/// in a field, and those that an event already kept has caused.
-void followRequest(MergedTimeline &Whole, std::string_view RequestId);
+/// Keeps only the events of one request: those that name it as their subject or
+/// in a field, and, transitively, those caused by a kept event.
+void followRequest(MergedTimeline &Merged, std::string_view RequestId);
 
-/// Whether a clock that ran ahead put this event before its own cause; see
-/// MaximumAhead.
-bool precedesItsCause(const Event &Which);
+/// Whether the event is stamped before its own cause, which happens when the
+/// clock skew exceeds MaximumClockSkew.
+bool precedesCause(const Event &Item);
 
 /// "08:15:02.250", UTC.
-std::string timeOfDay(Stamp When);
+std::string timeOfDay(Stamp Timestamp);
 
-/// Value of a field as text.
+/// Converts the value of a field to text.
 std::string toString(const OwnedValue &Value);
 
-/// Forms of the output.
-std::string renderText(const MergedTimeline &Whole);
-std::string renderJson(const MergedTimeline &Whole);
-/// One page without references to anything outside of it.
-std::string renderHtml(const MergedTimeline &Whole);
+/// Output formats.
+std::string renderText(const MergedTimeline &Merged);
+std::string renderJson(const MergedTimeline &Merged);
+/// A self-contained HTML page.
+std::string renderHtml(const MergedTimeline &Merged);
 
 } // namespace figlift::timeline
--- a/Libraries/LibTimeline/Ring.cpp
+++ b/Libraries/LibTimeline/Ring.cpp
@@ -16,24 +16,24 @@
 
 void Ring::push(Event New) {
   uint64_t Number = m_Next.fetch_add(1, std::memory_order_relaxed);
-  Slot &Place = m_Slots[Number % m_Capacity];
-  std::lock_guard Lock(Place.Mutex);
-  if (Place.Sequence > Number)
+  Slot &Reserved = m_Slots[Number % m_Capacity];
+  std::lock_guard Lock(Reserved.Mutex);
+  if (Reserved.Sequence > Number)
     return;
-  Place.Sequence = Number + 1;
-  Place.Held = std::move(New);
+  Reserved.Sequence = Number + 1;
+  Reserved.Stored = std::move(New);
 }
 
 std::vector<Event> Ring::after(Stamp After) const {
-  std::vector<Event> Found;
+  std::vector<Event> Events;
   for (size_t I = 0; I < m_Capacity; ++I) {
-    const Slot &Place = m_Slots[I];
-    std::lock_guard Lock(Place.Mutex);
-    if (Place.Sequence != 0 && Place.Held.When > After)
-      Found.push_back(Place.Held);
+    const Slot &Source = m_Slots[I];
+    std::lock_guard Lock(Source.Mutex);
+    if (Source.Sequence != 0 && Source.Stored.Timestamp > After)
+      Events.push_back(Source.Stored);
   }
-  std::ranges::sort(Found, isBefore);
-  return Found;
+  std::ranges::sort(Events, isBefore);
+  return Events;
 }
 
 uint64_t Ring::overwritten() const {
--- a/Libraries/LibTimeline/Ring.h
+++ b/Libraries/LibTimeline/Ring.h
@@ -1,8 +1,8 @@
 //===- Ring.h - Bounded store of recent events ------------------*- C++ -*-===//
 //
-// Keeps the newest events of one process. Writers take a place by one atomic
-// addition and then lock that place alone, so two of them meet only when the
-// ring wraps around within one write; no thread ever waits for the whole ring.
+// Ring buffer of the newest events of one process. A writer reserves a slot by
+// one atomic addition and locks only that slot, so two writers contend only if
+// the ring wraps around during one write. No operation locks the whole ring.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,26 +22,27 @@
 public:
   explicit Ring(size_t Capacity);
 
-  /// Keeps \p New in place of the oldest event. Any thread.
+  /// Overwrites the oldest event with \p New. Thread-safe.
   void push(Event New);
-  /// Events after \p After in order of their stamps. Any thread.
+  /// Returns the events after \p After, sorted by timestamp. Thread-safe.
   std::vector<Event> after(Stamp After) const;
   size_t capacity() const { return m_Capacity; }
-  /// Events that were overwritten since the start.
+  /// Number of events overwritten since the process started.
   uint64_t overwritten() const;
 
 private:
   struct Slot {
     mutable std::mutex Mutex;
-    /// 1 + the number of the event held; 0 while empty. Only grows: a writer
-    /// that was paused for a whole round must not replace a newer event.
+    /// 1 + the number of the stored event; 0 while empty. Increases
+    /// monotonically: a writer that was paused while the ring wrapped around
+    /// must not replace a newer event.
     uint64_t Sequence = 0;
-    Event Held;
+    Event Stored;
   };
 
   const size_t m_Capacity;
   const std::unique_ptr<Slot[]> m_Slots;
-  /// Number of the next event; its slot is the remainder by the capacity.
+  /// Number of the next event; its slot is the number modulo the capacity.
   std::atomic<uint64_t> m_Next{0};
 };
 
--- a/Libraries/LibTimeline/Timeline.cpp
+++ b/Libraries/LibTimeline/Timeline.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-OwnedValue own(const FieldValue &Value) {
+OwnedValue toOwned(const FieldValue &Value) {
   return std::visit(
-      [](const auto &Held) -> OwnedValue {
-        using Type = std::decay_t<decltype(Held)>;
+      [](const auto &Alternative) -> OwnedValue {
+        using Type = std::decay_t<decltype(Alternative)>;
         if constexpr (std::is_same_v<Type, std::string_view>)
-          return std::string(Held);
+          return std::string(Alternative);
         else
-          return Held;
+          return Alternative;
       },
       Value);
 }
@@ -30,20 +30,20 @@
     : m_Options(std::move(Options)), m_Clock(m_Options.Now),
       m_Ring(m_Options.Capacity) {}
 
-Stamp Timeline::record(EventKind Kind, Subject About, FieldList Fields,
+Stamp Timeline::record(EventKind Kind, Subject EventSubject, FieldList Fields,
                        Stamp Cause) {
   Event New{m_Clock.tick(),
             m_Options.ProcessId,
             std::string(Kind.name()),
-            std::move(About),
+            std::move(EventSubject),
             Cause,
             {}};
   New.Fields.reserve(Fields.size());
   for (const auto &[Name, Value] : Fields)
-    New.Fields.push_back({std::string(Name), own(Value)});
-  Stamp When = New.When;
+    New.Fields.push_back({std::string(Name), toOwned(Value)});
+  Stamp Timestamp = New.Timestamp;
   m_Ring.push(std::move(New));
-  return When;
+  return Timestamp;
 }
 
 Stamp Timeline::received(uint64_t Clock) {
@@ -59,12 +59,13 @@
   Body["now"] = m_Clock.last().toString();
   Body["overwritten"] = m_Ring.overwritten();
   auto &Events = Body["events"] = nlohmann::ordered_json::array();
-  for (const Event &Which : m_Ring.after(After)) {
+  for (const Event &Item : m_Ring.after(After)) {
     if (Events.size() >= Limit)
       break;
-    Events.push_back(timeline::toJson(Which));
+    Events.push_back(timeline::toJson(Item));
   }
-  // Names may hold bytes of a caller that are not UTF-8; dump() would throw.
+  // Names may contain bytes from a caller that are not valid UTF-8, for which
+  // dump() throws by default.
   return Body.dump(-1, ' ', false,
                    nlohmann::ordered_json::error_handler_t::replace);
 }
--- a/Libraries/LibTimeline/Timeline.h
+++ b/Libraries/LibTimeline/Timeline.h
@@ -1,7 +1,7 @@
 //===- Timeline.h - Events of one process -----------------------*- C++ -*-===//
 //
-// What an entry or agent owns one of: its hybrid clock, its ring of recent
-// events and the answer to GET /timeline.
+// Event log of one process: its hybrid clock, the ring buffer of recent events
+// and the response to GET /timeline. Each entry and agent owns one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,30 +16,30 @@
 
 struct TimelineOptions {
   std::string ProcessId;
-  /// "entry" or "agent"; the lanes of the HTML page are grouped by it.
+  /// "entry" or "agent"; the HTML page groups its lanes by it.
   std::string ProcessKind;
   std::string Zone;
-  /// Events that are kept.
+  /// Number of events that are retained.
   size_t Capacity = 8192;
   HybridClock::WallClock Now = wallNow;
 };
 
-/// Members may be called from any thread.
+/// Thread-safe.
 class Timeline {
 public:
   explicit Timeline(TimelineOptions Options);
 
-  /// Records a local event and returns its stamp, to be named as the cause of
-  /// what follows from it. Fields never hold prompts, bodies or keys.
-  Stamp record(EventKind Kind, Subject About, FieldList Fields = {},
+  /// Records a local event and returns its stamp, which later events name as
+  /// their cause. Fields never contain prompts, bodies or keys.
+  Stamp record(EventKind Kind, Subject EventSubject, FieldList Fields = {},
                Stamp Cause = {});
 
-  /// Value for the `clock` field of a message about to be sent. A message that
-  /// an event stands for carries the stamp of record() in its place, so that
-  /// what it causes elsewhere can be followed back.
+  /// Returns the value for the `clock` field of an outgoing message. A message
+  /// with its own event carries the stamp returned by record() instead, so that
+  /// the receiver's events can be traced back to it.
   uint64_t clockToSend() { return m_Clock.encode(); }
-  /// Merges the `clock` field of a received message; returns the sender's
-  /// stamp as a cause for record().
+  /// Merges the `clock` field of a received message. Returns the sender's
+  /// stamp, to be passed to record() as the cause.
   Stamp received(uint64_t Clock);
 
   /// Body of GET /timeline: {"process","kind","zone","now","overwritten",
--- a/Tests/Fuzz/Decoders.cpp
+++ b/Tests/Fuzz/Decoders.cpp
@@ -103,7 +103,7 @@
   idempotency::mintTimeOf(Bytes);
   if (idempotency::sliceOf(Bytes) >= idempotency::SliceCount)
     return "a slice beyond the last";
-  if (std::string Fault = judge(timeline::parseAnswer({}, Bytes));
+  if (std::string Fault = judge(timeline::parseResponse({}, Bytes));
       !Fault.empty())
     return Fault;
   return judge(Endpoint::parse(Bytes));
--- a/Tests/LibTimeline/TestTimeline.cpp
+++ b/Tests/LibTimeline/TestTimeline.cpp
@@ -1,6 +1,6 @@
-//===- TestTimeline.cpp - Events of one and of many processes ---*- C++ -*-===//
+//===- TestTimeline.cpp - Events of one or several processes ----*- C++ -*-===//
 //
-// The ring, the answer to GET /timeline, merging and the output forms.
+// Ring buffer, the response to GET /timeline, merging and output formats.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,22 +19,23 @@
 
 namespace {
 
-const Endpoint Somewhere{"127.0.0.1", 1};
+const Endpoint TestAddress{"127.0.0.1", 1};
 constexpr const char *Hostile = "<script>alert('x')</script>\"&\x1b[2J";
 
-Event event(uint64_t When, std::string Process) {
-  return {{When}, std::move(Process), "target-up", {}, {}, {}};
+Event event(uint64_t Timestamp, std::string Process) {
+  return {{Timestamp}, std::move(Process), "target-up", {}, {}, {}};
 }
 
-SourceAnswer missing() {
-  SourceAnswer Answer;
-  Answer.From.Address = Somewhere;
-  Answer.From.Failure = Error{ResultCode::PeerUnreachable, "no answer", {}, {}};
-  return Answer;
+SourceResponse unreachableSource() {
+  SourceResponse Response;
+  Response.Origin.Address = TestAddress;
+  Response.Origin.Failure =
+      Error{ResultCode::PeerUnreachable, "no answer", {}, {}};
+  return Response;
 }
 
-/// An entry and an agent whose clocks differ, with one request between them.
-struct Pair {
+/// An entry and an agent with different clocks that exchange requests.
+struct EntryAndAgent {
   Timeline Entry{{"entry-1", "entry", "hall-a", 64,
                   [] { return WallTime(milliseconds(50400)); }}};
   Timeline Agent{{"vm-7", "agent", "hall-b", 64,
@@ -50,15 +51,15 @@
     Entry.record(kinds::RequestAnswered, Request);
   }
   MergedTimeline merged() {
-    return mergeAnswers({parseAnswer(Somewhere, Agent.toJson()).value(),
-                         parseAnswer(Somewhere, Entry.toJson()).value()});
+    return mergeResponses({parseResponse(TestAddress, Agent.toJson()).value(),
+                           parseResponse(TestAddress, Entry.toJson()).value()});
   }
 };
 
-std::string kindsOf(const MergedTimeline &Whole) {
+std::string kindsOf(const MergedTimeline &Merged) {
   std::string Text;
-  for (const Event &Each : Whole.Events)
-    Text += Each.Kind + " ";
+  for (const Event &Item : Merged.Events)
+    Text += Item.Kind + " ";
   return Text;
 }
 
@@ -66,18 +67,18 @@
 
 TEST_GROUP(Timeline){};
 
-TEST(Timeline, TheRingKeepsTheNewestEvents) {
+TEST(Timeline, RingKeepsNewestEvents) {
   Ring Recent(3);
-  for (uint64_t When : {1, 2, 3, 4, 5})
-    Recent.push(event(When, "p"));
+  for (uint64_t Timestamp : {1, 2, 3, 4, 5})
+    Recent.push(event(Timestamp, "p"));
   auto Kept = Recent.after({});
   LONGS_EQUAL(3, Kept.size());
-  LONGS_EQUAL(3, Kept.front().When.Value);
+  LONGS_EQUAL(3, Kept.front().Timestamp.Value);
   LONGS_EQUAL(1, Recent.after({4}).size());
   LONGS_EQUAL(2, Recent.overwritten());
 }
 
-TEST(Timeline, TheRingTakesManyWritersWhileItIsRead) {
+TEST(Timeline, RingSupportsConcurrentWritersAndReaders) {
   Ring Recent(128);
   {
     std::vector<std::jthread> Writers;
@@ -93,98 +94,104 @@
   LONGS_EQUAL(8000 - 128, Recent.overwritten());
 }
 
-TEST(Timeline, AnswersReadBackAndPage) {
-  Pair Both;
-  Both.runRequest("r1");
-  auto Read = parseAnswer(Somewhere, Both.Entry.toJson()).value();
-  CHECK(Read.From.ProcessId == "entry-1" && Read.From.ProcessKind == "entry");
-  LONGS_EQUAL(2, Read.Events.size());
-  CHECK(Read.Events[0].Fields.at(0) == (OwnedField{"zone", "b"}));
-  auto Rest = parseAnswer(Somewhere, Both.Entry.toJson(Read.Events[0].When));
-  CHECK(Rest.value().Events == std::vector<Event>{Read.Events[1]});
-  LONGS_EQUAL(
-      1,
-      parseAnswer(Somewhere, Both.Entry.toJson({}, 1)).value().Events.size());
+TEST(Timeline, ResponsesRoundTripAndPage) {
+  EntryAndAgent Processes;
+  Processes.runRequest("r1");
+  auto Parsed = parseResponse(TestAddress, Processes.Entry.toJson()).value();
+  CHECK(Parsed.Origin.ProcessId == "entry-1" &&
+        Parsed.Origin.ProcessKind == "entry");
+  LONGS_EQUAL(2, Parsed.Events.size());
+  CHECK(Parsed.Events[0].Fields.at(0) == (OwnedField{"zone", "b"}));
+  auto Rest = parseResponse(TestAddress,
+                            Processes.Entry.toJson(Parsed.Events[0].Timestamp));
+  CHECK(Rest.value().Events == std::vector<Event>{Parsed.Events[1]});
+  LONGS_EQUAL(1, parseResponse(TestAddress, Processes.Entry.toJson({}, 1))
+                     .value()
+                     .Events.size());
 }
 
-TEST(Timeline, OtherTextsAreNoAnswer) {
+TEST(Timeline, RejectsInvalidResponses) {
   for (const char *Body :
        {"", "[]", "{}", "null", R"({"process":"p","events":[{}]})",
         R"({"process":"p","events":[{"stamp":5}]})",
         R"({"process":"p","events":[{"stamp":"x","process":"p"}]})"})
-    CHECK_TEXT(!parseAnswer(Somewhere, Body), Body);
+    CHECK_TEXT(!parseResponse(TestAddress, Body), Body);
 }
 
 TEST(Timeline, MergesInCausalOrderDespiteSkew) {
-  // Symptom: the agent's work shows before the entry sent it. Sequence: the
-  // agent's clock is 400 ms behind. Cause: merging by wall time.
-  Pair Both;
-  Both.runRequest("r1");
-  auto Whole = Both.merged();
+  // Guards against a timeline that shows the agent's work before the entry sent
+  // it. Merging by wall time does so if the agent's clock is 400 ms behind.
+  EntryAndAgent Processes;
+  Processes.runRequest("r1");
+  auto Merged = Processes.merged();
   STRCMP_EQUAL("attempt-sent work-handed-over request-answered ",
-               kindsOf(Whole).c_str());
-  for (const Event &Each : Whole.Events)
-    CHECK(!precedesItsCause(Each));
+               kindsOf(Merged).c_str());
+  for (const Event &Item : Merged.Events)
+    CHECK(!precedesCause(Item));
 }
 
-TEST(Timeline, EqualStampsGoByProcessAndNothingStandsTwice) {
-  SourceAnswer First, Second;
+TEST(Timeline, OrdersEqualStampsByProcessAndRemovesDuplicates) {
+  SourceResponse First, Second;
   First.Events = {event(5, "b"), event(6, "b")};
   Second.Events = {event(5, "a"), event(6, "b")};
-  auto Whole = mergeAnswers({First, Second});
-  CHECK(Whole.Events ==
+  auto Merged = mergeResponses({First, Second});
+  CHECK(Merged.Events ==
         (std::vector<Event>{event(5, "a"), event(5, "b"), event(6, "b")}));
 }
 
-TEST(Timeline, FollowsARequestOverProcesses) {
-  Pair Both;
-  Both.runRequest("r1");
-  Both.runRequest("r2");
-  auto Whole = Both.merged();
-  LONGS_EQUAL(6, Whole.Events.size());
-  followRequest(Whole, "r2");
-  // The agent's event has another subject; its cause leads to it.
+TEST(Timeline, FollowsRequestAcrossProcesses) {
+  EntryAndAgent Processes;
+  Processes.runRequest("r1");
+  Processes.runRequest("r2");
+  auto Merged = Processes.merged();
+  LONGS_EQUAL(6, Merged.Events.size());
+  followRequest(Merged, "r2");
+  // The agent's event has another subject and is found through its cause.
   STRCMP_EQUAL("attempt-sent work-handed-over request-answered ",
-               kindsOf(Whole).c_str());
-  CHECK(Whole.Events[0].About.Name == "r2");
+               kindsOf(Merged).c_str());
+  CHECK(Merged.Events[0].EventSubject.Name == "r2");
 }
 
-TEST(Timeline, EveryFormShowsWhoIsMissing) {
-  // Symptom: a quiet lane is read as "nothing happened there". Sequence: one
-  // process is cut off while the time line is collected.
-  Pair Both;
-  Both.runRequest("r1");
-  auto Whole = mergeAnswers(
-      {parseAnswer(Somewhere, Both.Entry.toJson()).value(), missing()});
-  CHECK(Whole.isPartial());
+TEST(Timeline, AllFormatsShowMissingProcesses) {
+  // Guards against an empty lane being mistaken for inactivity when a process
+  // is unreachable while the timeline is collected.
+  EntryAndAgent Processes;
+  Processes.runRequest("r1");
+  auto Merged = mergeResponses(
+      {parseResponse(TestAddress, Processes.Entry.toJson()).value(),
+       unreachableSource()});
+  CHECK(Merged.isPartial());
   STRCMP_CONTAINS("127.0.0.1:1 gave no answer: no answer",
-                  renderText(Whole).c_str());
-  STRCMP_CONTAINS("Not all processes answered", renderHtml(Whole).c_str());
-  auto Json = nlohmann::json::parse(renderJson(Whole));
+                  renderText(Merged).c_str());
+  STRCMP_CONTAINS("Not all processes answered", renderHtml(Merged).c_str());
+  auto Json = nlohmann::json::parse(renderJson(Merged));
   CHECK(Json["partial"] == true && Json["sources"][1]["error"]["code"] == 604);
   LONGS_EQUAL(2, Json["events"].size());
 }
 
-TEST(Timeline, NamesCannotRunOrForgeAnything) {
-  // Symptom: opening the page runs a script, or a terminal is cleared.
-  // Sequence: a caller sends markup as its request id. Cause: unescaped text.
+TEST(Timeline, EscapesHostileNames) {
+  // Guards against unescaped text: a caller that sends markup or escape
+  // sequences as its request id must not run a script in the page or control
+  // the terminal.
   Timeline Process({Hostile, Hostile, Hostile, 8, wallNow});
   Process.record(kinds::RequestRefused, {SubjectType::Request, Hostile},
                  {{"why", Hostile}});
-  auto Whole = mergeAnswers(
-      {parseAnswer(Somewhere, Process.toJson()).value(), missing()});
-  Whole.Sources[1].Failure->Message = Hostile;
-  std::string Html = renderHtml(Whole);
+  auto Merged =
+      mergeResponses({parseResponse(TestAddress, Process.toJson()).value(),
+                      unreachableSource()});
+  Merged.Sources[1].Failure->Message = Hostile;
+  std::string Html = renderHtml(Merged);
   CHECK(Html.find("<script>alert") == std::string::npos);
   CHECK(Html.find('\x1b') == std::string::npos);
   STRCMP_CONTAINS("&lt;script&gt;alert(&#39;x&#39;)", Html.c_str());
-  CHECK(renderText(Whole).find('\x1b') == std::string::npos);
+  CHECK(renderText(Merged).find('\x1b') == std::string::npos);
 }
 
-TEST(Timeline, ProcessesWithoutEventsCanBeShown) {
+TEST(Timeline, ShowsProcessesWithoutEvents) {
   Timeline Quiet({"e", "entry", "z", 8, wallNow});
-  auto Whole = mergeAnswers({parseAnswer(Somewhere, Quiet.toJson()).value()});
-  STRCMP_CONTAINS("0 events of 1 processes", renderHtml(Whole).c_str());
-  STRCMP_CONTAINS("is entry e in z", renderText(Whole).c_str());
-  LONGS_EQUAL(0, nlohmann::json::parse(renderJson(Whole))["events"].size());
+  auto Merged =
+      mergeResponses({parseResponse(TestAddress, Quiet.toJson()).value()});
+  STRCMP_CONTAINS("0 events of 1 processes", renderHtml(Merged).c_str());
+  STRCMP_CONTAINS("is entry e in z", renderText(Merged).c_str());
+  LONGS_EQUAL(0, nlohmann::json::parse(renderJson(Merged))["events"].size());
 }
--- a/Tests/LibTimeline/TestTool.cpp
+++ b/Tests/LibTimeline/TestTimelineTool.cpp
@@ -1,7 +1,7 @@
-//===- TestTool.cpp - figlift-timeline as a process -------------*- C++ -*-===//
+//===- TestTimelineTool.cpp - figlift-timeline as a process -----*- C++ -*-===//
 //
-// The real program against a listener in this process and against addresses
-// that do not answer.
+// Runs the program against a listener in this process and against addresses
+// that do not respond.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,8 +25,8 @@
 
 namespace {
 
-/// A bound socket. Until it listens, connections are refused; until it
-/// answers, peers connect and wait.
+/// A bound socket. Connections are refused before listen() is called, and wait
+/// for a response before respond() is called.
 class Port {
 public:
   Port() : m_Socket(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -41,23 +41,23 @@
   }
   ~Port() {
     shutdown(m_Socket, SHUT_RDWR);
-    if (m_Answers.joinable())
-      m_Answers.join();
+    if (m_Responder.joinable())
+      m_Responder.join();
     ::close(m_Socket);
   }
   void listen() { ::listen(m_Socket, 8); }
-  /// Answers every connection's first request with \p Body.
-  void answer(const std::string &Body) {
+  /// Sends \p Body in response to the first request of every connection.
+  void respond(const std::string &Body) {
     listen();
-    m_Answers = std::thread([this, Body] {
+    m_Responder = std::thread([this, Body] {
       for (int Peer; (Peer = accept(m_Socket, nullptr, nullptr)) >= 0;)
-        answerOne(Peer, Body);
+        respondOnce(Peer, Body);
     });
   }
   std::string address() const { return m_Address.toString(); }
 
 private:
-  static void answerOne(int Peer, const std::string &Body) {
+  static void respondOnce(int Peer, const std::string &Body) {
     std::string Request;
     char Bytes[512];
     while (Request.find("\r\n\r\n") == std::string::npos) {
@@ -66,24 +66,25 @@
         break;
       Request.append(Bytes, static_cast<size_t>(Count));
     }
-    bool IsWanted = Request.starts_with("GET /timeline HTTP/1.1\r\n");
-    std::string Answer =
-        std::string("HTTP/1.1 ") + (IsWanted ? "200 OK" : "404 Not Found") +
+    bool IsTimelineRequest = Request.starts_with("GET /timeline HTTP/1.1\r\n");
+    std::string Response =
+        std::string("HTTP/1.1 ") +
+        (IsTimelineRequest ? "200 OK" : "404 Not Found") +
         "\r\nConnection: close\r\nContent-Type: application/json\r\n"
         "Content-Length: " +
         std::to_string(Body.size()) + "\r\n\r\n" + Body;
-    send(Peer, Answer.data(), Answer.size(), MSG_NOSIGNAL);
+    send(Peer, Response.data(), Response.size(), MSG_NOSIGNAL);
     ::close(Peer);
   }
 
   int m_Socket;
   Endpoint m_Address;
-  std::thread m_Answers;
+  std::thread m_Responder;
 };
 
 } // namespace
 
-TEST_GROUP(Tool) {
+TEST_GROUP(TimelineTool) {
   std::string Log = "/tmp/figlift-timeline-test-" + std::to_string(getpid());
 
   void teardown() override {
@@ -100,16 +101,17 @@
   }
 };
 
-TEST(Tool, ShowsWhoAnsweredAndWhoDidNot) {
-  // Symptom: the tool hangs, or fails as a whole, because one VM is cut off.
-  // Sequence: one process answers, one is gone, one accepts and stays silent.
+TEST(TimelineTool, ShowsRespondingAndUnreachableProcesses) {
+  // Guards against the tool hanging or failing as a whole because one VM is
+  // unreachable: one process responds, one refuses connections, and one accepts
+  // the connection without responding.
   Timeline Process({"entry-1", "entry", "hall-a", 8, wallNow});
   Process.record(kinds::RequestAccepted, {SubjectType::Request, "r1"});
   Process.record(kinds::RequestAccepted, {SubjectType::Request, "r2"});
-  Port Answering, Refusing, Silent;
-  Answering.answer(Process.toJson());
+  Port Responding, Refusing, Silent;
+  Responding.respond(Process.toJson());
   Silent.listen();
-  std::string Address = Answering.address();
+  std::string Address = Responding.address();
 
   std::string Output;
   LONGS_EQUAL(3, runTool({"--from", Address + "," + Refusing.address(),
@@ -128,7 +130,7 @@
   LONGS_EQUAL(1, runTool({"--from", Refusing.address()}, Output));
 }
 
-TEST(Tool, RefusesAWrongCommandLine) {
+TEST(TimelineTool, RejectsInvalidCommandLine) {
   std::string Output;
   for (const auto &Arguments : std::vector<std::vector<std::string>>{
            {},
--- a/Utilities/figlift-timeline/Fetcher.h
+++ b/Utilities/figlift-timeline/Fetcher.h
@@ -1,7 +1,7 @@
-//===- Fetcher.h - Asks processes for their events --------------*- C++ -*-===//
+//===- Fetcher.h - Fetches the events of processes --------------*- C++ -*-===//
 //
-// Sends GET /timeline to all processes at once and waits for no one longer
-// than the timeout.
+// Sends GET /timeline to all processes in parallel and waits at most for the
+// timeout.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,10 +15,10 @@
 
 namespace figlift::timeline {
 
-/// One answer for each endpoint, in their order; a process that could not be
-/// asked has a Source with a Failure.
-std::vector<SourceAnswer> fetchAll(const std::vector<Endpoint> &Processes,
-                                   const std::string &After,
-                                   std::chrono::milliseconds Timeout);
+/// Returns one response for each endpoint, in the same order. An unreachable
+/// process has a Source with a Failure.
+std::vector<SourceResponse> fetchAll(const std::vector<Endpoint> &Processes,
+                                     const std::string &After,
+                                     std::chrono::milliseconds Timeout);
 
 } // namespace figlift::timeline
--- a/Utilities/figlift-timeline/Main.cpp
+++ b/Utilities/figlift-timeline/Main.cpp
@@ -1,7 +1,7 @@
 //===- Main.cpp - figlift-timeline ----------------------------------------===//
 //
-// Collects the events of all given processes, merges them in causal order and
-// writes them as text, JSON or one HTML page.
+// Collects the events of the given processes, merges them in causal order and
+// writes them as text, JSON or an HTML page.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,14 +21,14 @@
 
 constexpr int ExitFailure = 1;
 constexpr int ExitUsage = 2;
-/// The output is there, but some processes gave no answer.
+/// The output was written, but some processes did not respond.
 constexpr int ExitPartial = 3;
 
 constexpr std::chrono::milliseconds DefaultTimeout{3000};
 constexpr int PoolThreads = 4;
 
 struct Arguments {
-  std::vector<Endpoint> From;
+  std::vector<Endpoint> Processes;
   std::string Format;
   std::string Request;
   std::string Output;
@@ -37,27 +37,27 @@
 };
 
 cxxopts::Options describeOptions() {
-  cxxopts::Options Described(
+  cxxopts::Options Options(
       "figlift-timeline",
-      "Shows the events of many figlift processes in causal order.\n"
-      "Exit status: 0 all answered, 1 none answered or the output could not "
-      "be written,\n2 wrong command line, 3 some gave no answer.");
-  Described.add_options()(
-      "from", "Processes to ask: HTTP addresses of entries and agents",
+      "Shows the events of several figlift processes in causal order.\n"
+      "Exit status: 0 all responded, 1 none responded or the output could not "
+      "be written,\n2 invalid command line, 3 some did not respond.");
+  Options.add_options()(
+      "from", "Processes to query: HTTP addresses of entries and agents",
       cxxopts::value<std::vector<std::string>>(),
       "ip:port,...")("format", "text, json or html",
                      cxxopts::value<std::string>()->default_value("text"))(
-      "follow-request", "Show only what belongs to this request",
+      "follow-request", "Show only the events of this request",
       cxxopts::value<std::string>()->default_value(""),
       "ID")("after", "Show only events after this stamp",
             cxxopts::value<std::string>()->default_value(""),
-            "STAMP")("timeout-ms", "How long to wait for answers",
+            "STAMP")("timeout-ms", "How long to wait for responses",
                      cxxopts::value<unsigned>()->default_value(
                          std::to_string(DefaultTimeout.count())))(
       "output", "Write to this file instead of standard output",
       cxxopts::value<std::string>()->default_value(""), "FILE")(
       "version", "Print the version and exit")("help", "Print this and exit");
-  return Described;
+  return Options;
 }
 
 auto invalid(std::string Message, std::string Option) {
@@ -69,44 +69,46 @@
 parseEndpoints(const std::vector<std::string> &Texts) {
   std::vector<Endpoint> Parsed;
   for (const std::string &Text : Texts) {
-    FIGLIFT_TRY(One, Endpoint::parse(Text));
-    Parsed.push_back(One);
+    FIGLIFT_TRY(Address, Endpoint::parse(Text));
+    Parsed.push_back(Address);
   }
   return Parsed;
 }
 
-Result<Arguments> readArguments(const cxxopts::ParseResult &Given) {
-  if (!Given.unmatched().empty())
-    return invalid("found \"" + Given.unmatched().front() +
-                       "\"; allowed are the options that --help lists",
+Result<Arguments> readArguments(const cxxopts::ParseResult &Parsed) {
+  if (!Parsed.unmatched().empty())
+    return invalid("found \"" + Parsed.unmatched().front() +
+                       "\"; expected options listed by --help",
                    "");
-  if (!Given.count("from"))
-    return invalid("found nothing; allowed are addresses", "--from");
-  Arguments Read;
-  FIGLIFT_TRY(From,
-              parseEndpoints(Given["from"].as<std::vector<std::string>>()));
-  Read.From = From;
-  Read.Format = Given["format"].as<std::string>();
-  if (Read.Format != "text" && Read.Format != "json" && Read.Format != "html")
-    return invalid("found \"" + Read.Format +
-                       "\"; allowed are text, json and html",
+  if (!Parsed.count("from"))
+    return invalid("missing; expected addresses", "--from");
+  Arguments Settings;
+  FIGLIFT_TRY(Processes,
+              parseEndpoints(Parsed["from"].as<std::vector<std::string>>()));
+  Settings.Processes = Processes;
+  Settings.Format = Parsed["format"].as<std::string>();
+  if (Settings.Format != "text" && Settings.Format != "json" &&
+      Settings.Format != "html")
+    return invalid("found \"" + Settings.Format +
+                       "\"; expected text, json or html",
                    "--format");
-  Read.Request = Given["follow-request"].as<std::string>();
-  Read.Output = Given["output"].as<std::string>();
-  Read.After = Given["after"].as<std::string>();
-  if (!Read.After.empty()) {
-    FIGLIFT_TRY(Stamp::parse(Read.After));
+  Settings.Request = Parsed["follow-request"].as<std::string>();
+  Settings.Output = Parsed["output"].as<std::string>();
+  Settings.After = Parsed["after"].as<std::string>();
+  if (!Settings.After.empty()) {
+    FIGLIFT_TRY(Stamp::parse(Settings.After));
   }
-  Read.Timeout = std::chrono::milliseconds(Given["timeout-ms"].as<unsigned>());
-  return Read;
+  Settings.Timeout =
+      std::chrono::milliseconds(Parsed["timeout-ms"].as<unsigned>());
+  return Settings;
 }
 
-std::string render(const MergedTimeline &Whole, const std::string &Format) {
+std::string render(const MergedTimeline &Merged, const std::string &Format) {
   if (Format == "json")
-    return renderJson(Whole);
+    return renderJson(Merged);
   if (Format == "html")
-    return renderHtml(Whole);
-  return renderText(Whole);
+    return renderHtml(Merged);
+  return renderText(Merged);
 }
 
 bool write(const std::string &Text, const std::string &FileName) {
@@ -116,27 +118,27 @@
   return static_cast<bool>(File << Text << std::flush);
 }
 
-int run(const Arguments &Given) {
+int run(const Arguments &Options) {
   crossplat::threadpool::initialize_with_threads(PoolThreads);
-  MergedTimeline Whole =
-      mergeAnswers(fetchAll(Given.From, Given.After, Given.Timeout));
-  if (!Given.Request.empty())
-    followRequest(Whole, Given.Request);
-  for (const Source &Each : Whole.Sources)
-    if (Each.Failure)
-      std::cerr << "figlift-timeline: " << Each.Address.toString() << ": "
-                << Each.Failure->Message << "\n";
-  if (!write(render(Whole, Given.Format), Given.Output)) {
+  MergedTimeline Merged = mergeResponses(
+      fetchAll(Options.Processes, Options.After, Options.Timeout));
+  if (!Options.Request.empty())
+    followRequest(Merged, Options.Request);
+  for (const Source &Process : Merged.Sources)
+    if (Process.Failure)
+      std::cerr << "figlift-timeline: " << Process.Address.toString() << ": "
+                << Process.Failure->Message << "\n";
+  if (!write(render(Merged, Options.Format), Options.Output)) {
     std::cerr << "figlift-timeline: cannot write the output\n";
     return ExitFailure;
   }
-  bool NoneAnswered =
-      std::ranges::all_of(Whole.Sources, [](const Source &Each) {
-        return Each.Failure.has_value();
+  bool NoneResponded =
+      std::ranges::all_of(Merged.Sources, [](const Source &Process) {
+        return Process.Failure.has_value();
       });
-  if (NoneAnswered)
+  if (NoneResponded)
     return ExitFailure;
-  return Whole.isPartial() ? ExitPartial : EXIT_SUCCESS;
+  return Merged.isPartial() ? ExitPartial : EXIT_SUCCESS;
 }
 
 int usageError(const std::string &Message) {
@@ -145,22 +147,22 @@
 }
 
 int start(int ArgumentCount, const char *const *Values) try {
-  cxxopts::Options Described = describeOptions();
-  cxxopts::ParseResult Given = Described.parse(ArgumentCount, Values);
-  if (Given.count("help")) {
-    std::cout << Described.help();
+  cxxopts::Options Options = describeOptions();
+  cxxopts::ParseResult Parsed = Options.parse(ArgumentCount, Values);
+  if (Parsed.count("help")) {
+    std::cout << Options.help();
     return EXIT_SUCCESS;
   }
-  if (Given.count("version")) {
+  if (Parsed.count("version")) {
     std::cout << "figlift-timeline " FIGLIFT_VERSION "\n";
     return EXIT_SUCCESS;
   }
-  auto Read = readArguments(Given);
-  if (!Read)
-    return usageError(Read.error().Field + ": " + Read.error().Message);
-  return run(Read.value());
-} catch (const cxxopts::exceptions::exception &Thrown) {
-  return usageError(Thrown.what());
+  auto Settings = readArguments(Parsed);
+  if (!Settings)
+    return usageError(Settings.error().Field + ": " + Settings.error().Message);
+  return run(Settings.value());
+} catch (const cxxopts::exceptions::exception &Exception) {
+  return usageError(Exception.what());
 }
 
 } // namespace
