--- a/Libraries/LibLoad/Experiment.h
+++ b/Libraries/LibLoad/Experiment.h
@@ -1,8 +1,8 @@
-//===- Experiment.h - What a load run sends ---------------------*- C++ -*-===//
+//===- Experiment.h - Definition of a load experiment -----------*- C++ -*-===//
 //
-// Typed form of an experiment file (JSON with comments): kinds of requests and
-// the phases in which their rates change. The same file and seed always give
-// the same requests at the same offsets.
+// Typed form of an experiment file (JSON with comments): workloads, and phases
+// that define their request rates over time. The same file and seed always
+// generate the same requests at the same offsets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,24 +20,24 @@
 
 namespace figlift::load {
 
-/// Inclusive bounds of a uniformly drawn number.
+/// Inclusive bounds of a uniformly distributed random number.
 struct Range {
   uint32_t Minimum = 1;
   uint32_t Maximum = 1;
 };
 
-/// A prompt that is answered with tokens.
+/// A completion request whose response is a stream of tokens.
 struct CompletionWork {
   std::string Model;
   Range PromptTokens;
   Range OutputTokens;
-  /// Leading tokens that all prompts of one prefix share.
+  /// Number of leading tokens shared by all prompts with the same prefix.
   uint32_t SharedPrefixTokens = 0;
-  /// How many different shared prefixes there are.
+  /// Number of different shared prefixes.
   uint32_t Prefixes = 1;
 };
 
-/// A call of a plain service.
+/// A call of a service.
 struct ServiceWork {
   std::string Service;
   std::string Path;
@@ -48,14 +48,14 @@
 struct Workload {
   std::variant<CompletionWork, ServiceWork> Work;
   std::chrono::milliseconds Deadline{30000};
-  /// Drawn evenly; empty sends no workspace.
+  /// Chosen uniformly at random; if empty, requests carry no workspace.
   std::vector<std::string> Workspaces;
 };
 
 struct Phase {
   std::chrono::milliseconds Duration{1000};
-  /// Requests a second of each workload at the begin and the end; the rate
-  /// goes in a straight line between them.
+  /// Requests per second of each workload at the start and the end of the
+  /// phase; the rate is interpolated linearly between them.
   std::map<std::string, double> Rates;
   std::map<std::string, double> EndRates;
 };
@@ -66,7 +66,7 @@
   std::vector<Phase> Phases;
 };
 
-/// Error: InvalidInput with the field, what was found and what is allowed.
+/// Fails with InvalidInput, the name of the field and the expected value.
 Result<Experiment> parseExperiment(std::string_view Json);
 
 } // namespace figlift::load
--- a/Libraries/LibLoad/Report.h
+++ b/Libraries/LibLoad/Report.h
@@ -1,7 +1,7 @@
-//===- Report.h - What became of the requests -------------------*- C++ -*-===//
+//===- Report.h - Outcomes of the requests of a load run --------*- C++ -*-===//
 //
-// Pure: collects the outcome of every request and works out goodput, refusals
-// and latencies for each workload and workspace.
+// Collects the outcome of every request and computes goodput, rejections and
+// latencies for each workload and workspace. Performs no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,48 +15,49 @@
 
 namespace figlift::load {
 
-enum class Ending {
-  /// The whole answer came within the deadline.
+enum class OutcomeKind {
+  /// The complete response arrived within the deadline.
   Good,
-  /// The whole answer came, but late.
+  /// The complete response arrived after the deadline.
   Late,
-  /// Refused, and nothing was run.
-  Refused,
-  /// Refused after at least half of the deadline had passed.
-  RefusedLate,
-  /// The answer began and broke off, or the connection was lost.
-  Broken,
-  /// The answer said that its outcome is unknown.
+  /// Rejected, and nothing was executed.
+  Rejected,
+  /// Rejected after at least half of the deadline had passed.
+  RejectedLate,
+  /// The response was interrupted, or the connection was lost.
+  Interrupted,
+  /// An error response that does not state that nothing was executed.
   Unknown,
 };
 
 struct Outcome {
   std::string Workload;
   std::string Workspace;
-  Ending End = Ending::Broken;
-  /// Numbered result code of a refusal; 0 when there was none.
+  OutcomeKind Kind = OutcomeKind::Interrupted;
+  /// Result code of an error response; 0 if there was none.
   int Code = 0;
   uint32_t Tokens = 0;
   std::chrono::microseconds FirstToken{0};
   std::chrono::microseconds Total{0};
-  /// Longest pause between two chunks of the answer.
+  /// Longest interval between two chunks of the response.
   std::chrono::microseconds LongestGap{0};
   /// Mean time between tokens after the first.
   std::chrono::microseconds MeanGap{0};
 };
 
-/// \p Quantile from 0 to 1 of \p Values; zero when there are none.
+/// Returns the \p Quantile, from 0 to 1, of \p Values, or zero if there are no
+/// values.
 std::chrono::microseconds
 quantile(std::vector<std::chrono::microseconds> Values, double Quantile);
 
 class Report {
 public:
-  void add(const Outcome &One) { m_Outcomes.push_back(One); }
+  void add(const Outcome &Result) { m_Outcomes.push_back(Result); }
   const std::vector<Outcome> &outcomes() const { return m_Outcomes; }
-  /// JSON object with a member for all requests, one for each workload and the
-  /// share of good answers of each workspace.
+  /// JSON object with the metrics of all requests and of each workload, and the
+  /// fraction of good responses of each workspace.
   std::string toJson(std::chrono::milliseconds Duration) const;
-  /// The same as a table for a person.
+  /// The metrics of all requests and of each workload as a text table.
   std::string toTable(std::chrono::milliseconds Duration) const;
 
 private:
--- a/Libraries/LibLoad/Schedule.h
+++ b/Libraries/LibLoad/Schedule.h
@@ -1,7 +1,7 @@
-//===- Schedule.h - The requests of an experiment ---------------*- C++ -*-===//
+//===- Schedule.h - Generates the requests of an experiment -----*- C++ -*-===//
 //
-// Pure: an experiment and a seed give the whole list of requests, so that two
-// arms of a comparison meet exactly the same load.
+// Generates the complete list of requests from an experiment and a seed alone,
+// so that the configurations under comparison receive exactly the same load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,24 +16,24 @@
 
 namespace figlift::load {
 
-/// One request that will be sent.
+/// One scheduled request.
 struct Arrival {
-  /// Since the start of the run.
+  /// Time since the start of the run.
   std::chrono::microseconds Offset{0};
   std::string Workload;
   std::string Workspace;
   uint32_t PromptTokens = 0;
   uint32_t OutputTokens = 0;
-  /// Which shared prefix the prompt begins with.
+  /// Index of the shared prefix of the prompt.
   uint32_t Prefix = 0;
-  /// Makes the rest of the prompt and the key differ from all others.
+  /// Makes the rest of the prompt, or the body of a service call, unique.
   uint64_t Nonce = 0;
 };
 
-/// Poisson arrivals of all workloads in the order of their offsets.
-std::vector<Arrival> makeSchedule(const Experiment &What, uint64_t Seed);
+/// Generates Poisson arrivals of all workloads, sorted by offset.
+std::vector<Arrival> makeSchedule(const Experiment &Definition, uint64_t Seed);
 
-/// Text of a prompt with four bytes a token.
-std::string makePrompt(const Arrival &Which, const CompletionWork &Work);
+/// Generates the text of a prompt with four bytes per token.
+std::string makePrompt(const Arrival &Request, const CompletionWork &Work);
 
 } // namespace figlift::load
--- a/Tests/LibLoad/TestLoad.cpp
+++ b/Tests/LibLoad/TestLoad.cpp
@@ -1,7 +1,7 @@
 //===- TestLoad.cpp - Experiments, schedules and reports ------------------===//
 //
-// A comparison of two arms is only worth something when both met the same
-// load and the figures are worked out the same way.
+// A comparison of two configurations is valid only if both receive the same
+// load and the results are computed in the same way.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,26 +31,27 @@
 
 TEST_GROUP(Load){};
 
-TEST(Load, TheSameSeedGivesTheSameRequests) {
-  Experiment What = parseExperiment(Sample).value();
-  std::vector<Arrival> First = makeSchedule(What, 7);
-  std::vector<Arrival> Second = makeSchedule(What, 7);
+TEST(Load, SameSeedGeneratesSameRequests) {
+  Experiment Definition = parseExperiment(Sample).value();
+  std::vector<Arrival> First = makeSchedule(Definition, 7);
+  std::vector<Arrival> Second = makeSchedule(Definition, 7);
   CHECK_EQUAL(First.size(), Second.size());
   CHECK_TRUE(First.back().Nonce == Second.back().Nonce);
-  CHECK_FALSE(First.back().Nonce == makeSchedule(What, 8).back().Nonce);
+  CHECK_FALSE(First.back().Nonce == makeSchedule(Definition, 8).back().Nonce);
 }
 
-TEST(Load, ARampSendsTheAreaUnderItsLine) {
-  std::vector<Arrival> All = makeSchedule(parseExperiment(Sample).value(), 1);
+TEST(Load, RampMatchesIntegralOfItsRate) {
+  std::vector<Arrival> Arrivals =
+      makeSchedule(parseExperiment(Sample).value(), 1);
   size_t Matches = 0;
   size_t InFirstHalf = 0;
-  for (const Arrival &Each : All) {
-    bool IsMatch = Each.Workload == "match";
+  for (const Arrival &Request : Arrivals) {
+    bool IsMatch = Request.Workload == "match";
     Matches += IsMatch;
-    InFirstHalf += IsMatch && Each.Offset < 10s;
+    InFirstHalf += IsMatch && Request.Offset < 10s;
   }
-  // 50/s falling to 0 in 20 s is 500 requests, three quarters before the
-  // middle; five standard deviations are allowed.
+  // A rate that falls from 50/s to 0 in 20 s gives 500 requests, three quarters
+  // of them in the first half. The bounds are five standard deviations.
   CHECK_TRUE(Matches > 388 && Matches < 612);
   CHECK_TRUE(InFirstHalf > Matches * 65 / 100);
 }
@@ -58,19 +59,19 @@
 TEST(Load, PromptsShareOnlyTheirPrefix) {
   CompletionWork Work;
   Work.SharedPrefixTokens = 50;
-  Arrival One;
-  One.PromptTokens = 100;
-  One.Nonce = 1;
-  Arrival Other = One;
+  Arrival Original;
+  Original.PromptTokens = 100;
+  Original.Nonce = 1;
+  Arrival Other = Original;
   Other.Nonce = 2;
-  std::string First = makePrompt(One, Work);
+  std::string First = makePrompt(Original, Work);
   std::string Second = makePrompt(Other, Work);
   CHECK_EQUAL(400, First.size());
   CHECK_EQUAL(First.substr(0, 200), Second.substr(0, 200));
   CHECK_FALSE(First.substr(200) == Second.substr(200));
 }
 
-TEST(Load, AWrongFieldIsNamed) {
+TEST(Load, NamesInvalidField) {
   const std::pair<const char *, const char *> Cases[] = {
       {R"({"sed": 1})", "experiment.sed"},
       {R"({"workloads": {"a": {"model": 3}}})", "workloads.a.model"},
@@ -79,23 +80,24 @@
       {R"({"phases": [{"rates": {"x": 1}}]})", "phases[0].rates.x"},
       {R"({"phases": []})", "phases"}};
   for (const auto &[Json, Field] : Cases) {
-    Result<Experiment> Read = parseExperiment(Json);
-    CHECK_TRUE(Read.has_error());
-    STRCMP_EQUAL(Field, Read.error().Field.c_str());
+    Result<Experiment> Parsed = parseExperiment(Json);
+    CHECK_TRUE(Parsed.has_error());
+    STRCMP_EQUAL(Field, Parsed.error().Field.c_str());
   }
 }
 
-TEST(Load, GoodputCountsOnlyWholeAnswersInTime) {
-  Report Made;
-  for (Ending Each : {Ending::Good, Ending::Late, Ending::Refused,
-                      Ending::Broken, Ending::Unknown, Ending::Good}) {
-    Outcome One;
-    One.Workload = "match";
-    One.End = Each;
-    One.Tokens = 10;
-    Made.add(One);
+TEST(Load, GoodputCountsOnlyCompleteResponsesInTime) {
+  Report Results;
+  for (OutcomeKind Kind :
+       {OutcomeKind::Good, OutcomeKind::Late, OutcomeKind::Rejected,
+        OutcomeKind::Interrupted, OutcomeKind::Unknown, OutcomeKind::Good}) {
+    Outcome Result;
+    Result.Workload = "match";
+    Result.Kind = Kind;
+    Result.Tokens = 10;
+    Results.add(Result);
   }
-  auto All = nlohmann::json::parse(Made.toJson(2s))["all"];
+  auto All = nlohmann::json::parse(Results.toJson(2s))["all"];
   DOUBLES_EQUAL(1.0, All["goodput"].get<double>(), 1e-9);
   DOUBLES_EQUAL(10.0, All["usefulTokensPerSecond"].get<double>(), 1e-9);
   CHECK_EQUAL(6, All["offered"].get<int>());
--- a/Utilities/figlift-load/LoadCaller.cpp
+++ b/Utilities/figlift-load/LoadCaller.cpp
@@ -1,6 +1,7 @@
 //===- LoadCaller.cpp - Sends the requests of a load run ------------------===//
 //
-// Takes answers as they come from the socket and notes when each part came.
+// Receives response chunks as they arrive from the socket and records their
+// arrival times.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,9 +25,10 @@
 
 constexpr std::string_view EventPrefix = "data: ";
 constexpr std::string_view EndOfStream = "data: [DONE]";
-constexpr unsigned LateShareOfDeadline = 2;
+/// A rejection is late after this fraction, 1/N, of the deadline.
+constexpr unsigned LateRejectionDivisor = 2;
 
-size_t countOf(std::string_view Text, std::string_view Part) {
+size_t countOccurrences(std::string_view Text, std::string_view Part) {
   size_t Count = 0;
   for (size_t At = Text.find(Part); At != std::string_view::npos;
        At = Text.find(Part, At + Part.size()))
@@ -36,7 +38,7 @@
 
 } // namespace
 
-/// One request on its way.
+/// One request in flight.
 struct LoadCaller::Call {
   Outcome Result;
   milliseconds Deadline{0};
@@ -44,54 +46,56 @@
   unsigned Status = 0;
   std::string Body;
   steady_clock::time_point Begin;
-  steady_clock::time_point LastPart;
-  bool Whole = false;
+  steady_clock::time_point LastChunk;
+  bool IsComplete = false;
 
-  void notePart(std::string_view Part);
-  void conclude();
+  void recordChunk(std::string_view Chunk);
+  void classify();
 };
 
-void LoadCaller::Call::notePart(std::string_view Part) {
-  Body += Part;
+void LoadCaller::Call::recordChunk(std::string_view Chunk) {
+  Body += Chunk;
   auto Now = steady_clock::now();
   if (Result.FirstToken.count() == 0)
     Result.FirstToken = duration_cast<microseconds>(Now - Begin);
   else
     Result.LongestGap = std::max(Result.LongestGap,
-                                 duration_cast<microseconds>(Now - LastPart));
-  LastPart = Now;
+                                 duration_cast<microseconds>(Now - LastChunk));
+  LastChunk = Now;
 }
 
-void LoadCaller::Call::conclude() {
+void LoadCaller::Call::classify() {
   Result.Total = duration_cast<microseconds>(steady_clock::now() - Begin);
   if (Status == 200 && IsCompletion) {
-    Whole &= Body.find(EndOfStream) != std::string::npos;
-    size_t Events = countOf(Body, EventPrefix);
-    // The last chunk names the reason, the one after it ends the stream.
+    IsComplete &= Body.find(EndOfStream) != std::string::npos;
+    size_t Events = countOccurrences(Body, EventPrefix);
+    // The last two events carry the finish reason and the end of the stream,
+    // not tokens.
     Result.Tokens = Events > 2 ? Events - 2 : 0;
   }
   if (Result.Tokens > 1)
     Result.MeanGap = (Result.Total - Result.FirstToken) / (Result.Tokens - 1);
-  if (Status == 0 || !Whole) {
-    Result.End = Ending::Broken;
+  if (Status == 0 || !IsComplete) {
+    Result.Kind = OutcomeKind::Interrupted;
     return;
   }
   if (Status < 300) {
-    Result.End = Result.Total <= Deadline ? Ending::Good : Ending::Late;
+    Result.Kind =
+        Result.Total <= Deadline ? OutcomeKind::Good : OutcomeKind::Late;
     return;
   }
   json Problem = json::parse(Body, nullptr, /*allow_exceptions=*/false);
   if (!Problem.is_object()) {
-    Result.End = Ending::Broken;
+    Result.Kind = OutcomeKind::Interrupted;
     return;
   }
   Result.Code = Problem.value("code", 0);
   if (Problem.value("executed", "") != "not-run")
-    Result.End = Ending::Unknown;
+    Result.Kind = OutcomeKind::Unknown;
   else
-    Result.End = Result.Total * LateShareOfDeadline < Deadline
-                     ? Ending::Refused
-                     : Ending::RefusedLate;
+    Result.Kind = Result.Total * LateRejectionDivisor < Deadline
+                      ? OutcomeKind::Rejected
+                      : OutcomeKind::RejectedLate;
 }
 
 LoadCaller::LoadCaller(const std::vector<std::string> &Entries,
@@ -104,25 +108,25 @@
         "http://" + Entry, Config));
 }
 
-web::http::http_request LoadCaller::makeRequest(const Arrival &Which,
-                                                const Workload &What) {
+web::http::http_request LoadCaller::makeRequest(const Arrival &Scheduled,
+                                                const Workload &Settings) {
   web::http::http_request Request(web::http::methods::POST);
   Request.headers().add("X-Figlift-Deadline",
-                        std::to_string(What.Deadline.count()) + "ms");
-  if (!Which.Workspace.empty())
-    Request.headers().add("X-Figlift-Workspace", Which.Workspace);
-  if (const auto *Service = std::get_if<ServiceWork>(&What.Work)) {
+                        std::to_string(Settings.Deadline.count()) + "ms");
+  if (!Scheduled.Workspace.empty())
+    Request.headers().add("X-Figlift-Workspace", Scheduled.Workspace);
+  if (const auto *Service = std::get_if<ServiceWork>(&Settings.Work)) {
     Request.set_request_uri("/v1/services/" + Service->Service + Service->Path);
     if (Service->Keyed)
       Request.headers().add("Idempotency-Key", m_Keys.nextText());
-    Request.set_body("{\"nonce\":" + std::to_string(Which.Nonce) + "}",
+    Request.set_body("{\"nonce\":" + std::to_string(Scheduled.Nonce) + "}",
                      "application/json");
     return Request;
   }
-  const auto &Work = std::get<CompletionWork>(What.Work);
+  const auto &Work = std::get<CompletionWork>(Settings.Work);
   json Body{{"model", Work.Model},
-            {"prompt", makePrompt(Which, Work)},
-            {"max_tokens", Which.OutputTokens},
+            {"prompt", makePrompt(Scheduled, Work)},
+            {"max_tokens", Scheduled.OutputTokens},
             {"stream", true}};
   if (m_Direct)
     Body["request_id"] = m_Keys.nextText();
@@ -131,47 +135,49 @@
   return Request;
 }
 
-void LoadCaller::send(const Arrival &Which, const Workload &What,
+void LoadCaller::send(const Arrival &Scheduled, const Workload &Settings,
                       std::function<void()> Done) {
-  auto Running = std::make_shared<Call>();
-  Running->Result.Workload = Which.Workload;
-  Running->Result.Workspace = Which.Workspace;
-  Running->Deadline = What.Deadline;
-  Running->IsCompletion = std::holds_alternative<CompletionWork>(What.Work);
-  web::http::http_request Request = makeRequest(Which, What);
+  auto Pending = std::make_shared<Call>();
+  Pending->Result.Workload = Scheduled.Workload;
+  Pending->Result.Workspace = Scheduled.Workspace;
+  Pending->Deadline = Settings.Deadline;
+  Pending->IsCompletion = std::holds_alternative<CompletionWork>(Settings.Work);
+  web::http::http_request Request = makeRequest(Scheduled, Settings);
   auto &Client = *m_Clients[m_Next++ % m_Clients.size()];
   ++m_InFlight;
-  Running->Begin = steady_clock::now();
-  // Read through cpprestsdk's own buffer, the whole answer would count as one
-  // part: a read of it ends when it is full or the body has ended.
+  Pending->Begin = steady_clock::now();
+  // With cpprestsdk's own buffer, the complete response would count as one
+  // chunk: a read from it returns only when the buffer is full or the body
+  // ends.
   auto Sink = std::make_shared<target::SinkBuffer>(
-      [Running](std::string_view Part) { Running->notePart(Part); });
+      [Pending](std::string_view Chunk) { Pending->recordChunk(Chunk); });
   Request.set_response_stream(
       concurrency::streams::streambuf<uint8_t>(Sink).create_ostream());
   Client.request(Request)
-      .then([Running](const web::http::http_response &Response) {
-        Running->Status = Response.status_code();
+      .then([Pending](const web::http::http_response &Response) {
+        Pending->Status = Response.status_code();
         return Response.content_ready();
       })
-      .then([this, Running,
+      .then([this, Pending,
              Done](const pplx::task<web::http::http_response> &Last) {
         try {
           Last.get();
-          Running->Whole = true;
+          Pending->IsComplete = true;
         } catch (const std::exception &) {
-          // A lost connection is an outcome of the run, not a fault of ours.
-          Running->Whole = false;
+          // A lost connection is an outcome to report, not an error of the
+          // tool.
+          Pending->IsComplete = false;
         }
-        finish(Running);
+        finish(Pending);
         if (Done)
           Done();
       });
 }
 
-void LoadCaller::finish(const std::shared_ptr<Call> &Ended) {
-  Ended->conclude();
+void LoadCaller::finish(const std::shared_ptr<Call> &Pending) {
+  Pending->classify();
   std::lock_guard Guard(m_Mutex);
-  m_Report.add(Ended->Result);
+  m_Report.add(Pending->Result);
   --m_InFlight;
   m_AllDone.notify_all();
 }
--- a/Utilities/figlift-load/LoadCaller.h
+++ b/Utilities/figlift-load/LoadCaller.h
@@ -1,7 +1,7 @@
 //===- LoadCaller.h - Sends the requests of a load run ----------*- C++ -*-===//
 //
-// Asynchronous HTTP caller: no thread waits for an answer, so that thousands
-// of streams can be open at once.
+// Asynchronous HTTP client: no thread blocks on a response, so that thousands
+// of streams can be open at the same time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,16 +24,17 @@
 
 class LoadCaller {
 public:
-  /// \p Entries: "address:port" of each entry; they are used in turn.
-  /// \p Direct: they are engines, which want a request id from their caller.
+  /// \p Entries holds the "address:port" of each entry, used round-robin. If
+  /// \p Direct is set, they are engines, which require a request id from the
+  /// caller.
   LoadCaller(const std::vector<std::string> &Entries,
              std::chrono::milliseconds Timeout, bool Direct = false);
 
-  /// Sends one request; its outcome goes into the report. \p Done runs on a
-  /// pool thread once the outcome is known.
-  void send(const Arrival &Which, const Workload &What,
+  /// Sends one request and adds its outcome to the report. \p Done is called on
+  /// a pool thread once the outcome is known.
+  void send(const Arrival &Scheduled, const Workload &Settings,
             std::function<void()> Done = {});
-  /// Waits until every request sent has an outcome.
+  /// Blocks until every sent request has an outcome.
   void waitForAll();
   size_t inFlight() const { return m_InFlight; }
   const Report &report() const { return m_Report; }
@@ -41,9 +42,9 @@
 private:
   struct Call;
 
-  web::http::http_request makeRequest(const Arrival &Which,
-                                      const Workload &What);
-  void finish(const std::shared_ptr<Call> &Ended);
+  web::http::http_request makeRequest(const Arrival &Scheduled,
+                                      const Workload &Settings);
+  void finish(const std::shared_ptr<Call> &Pending);
 
   const bool m_Direct;
   std::vector<std::unique_ptr<web::http::client::http_client>> m_Clients;
--- a/Utilities/figlift-load/Main.cpp
+++ b/Utilities/figlift-load/Main.cpp
@@ -1,8 +1,8 @@
 //===- Main.cpp - figlift-load, the load and experiment tool --------------===//
 //
-// Plays an experiment file against entries at the offsets of its schedule
-// (open loop), or keeps a number of requests in flight (closed loop), and
-// prints what became of the requests.
+// Sends the requests of an experiment file to entries at their scheduled
+// offsets (open loop), or keeps a fixed number of requests in flight (closed
+// loop), and prints a report of the outcomes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,47 +29,49 @@
 constexpr int PoolThreads = 8;
 
 struct Run {
-  Experiment What;
+  Experiment Definition;
   std::vector<Arrival> Schedule;
 };
 
-milliseconds lengthOf(const Experiment &What) {
+milliseconds durationOf(const Experiment &Definition) {
   milliseconds Sum{0};
-  for (const Phase &Each : What.Phases)
-    Sum += Each.Duration;
+  for (const Phase &Part : Definition.Phases)
+    Sum += Part.Duration;
   return Sum;
 }
 
-/// Sends each request at its offset, whatever became of the earlier ones.
-milliseconds playOpen(LoadCaller &Caller, const Run &Played) {
+/// Sends each request at its offset, independent of earlier responses.
+milliseconds runOpenLoop(LoadCaller &Caller, const Run &Current) {
   auto Begin = steady_clock::now();
-  for (const Arrival &Each : Played.Schedule) {
-    std::this_thread::sleep_until(Begin + Each.Offset);
-    Caller.send(Each, Played.What.Workloads.at(Each.Workload));
+  for (const Arrival &Request : Current.Schedule) {
+    std::this_thread::sleep_until(Begin + Request.Offset);
+    Caller.send(Request, Current.Definition.Workloads.at(Request.Workload));
   }
   Caller.waitForAll();
-  return lengthOf(Played.What);
+  return durationOf(Current.Definition);
 }
 
-/// Sends the next request as soon as one of \p Concurrency has ended.
-milliseconds playClosed(LoadCaller &Caller, const Run &Played,
-                        unsigned Concurrency) {
+/// Keeps \p Concurrency requests in flight: sends the next request as soon as
+/// one ends.
+milliseconds runClosedLoop(LoadCaller &Caller, const Run &Current,
+                           unsigned Concurrency) {
   std::counting_semaphore<> Free(Concurrency);
   auto Begin = steady_clock::now();
-  for (const Arrival &Each : Played.Schedule) {
+  for (const Arrival &Request : Current.Schedule) {
     Free.acquire();
-    Caller.send(Each, Played.What.Workloads.at(Each.Workload),
+    Caller.send(Request, Current.Definition.Workloads.at(Request.Workload),
                 [&Free] { Free.release(); });
   }
   Caller.waitForAll();
-  for (unsigned Index = 0; Index < Concurrency; ++Index)
+  for (unsigned I = 0; I < Concurrency; ++I)
     Free.acquire();
   return std::chrono::duration_cast<milliseconds>(steady_clock::now() - Begin);
 }
 
 cxxopts::Options makeOptions() {
-  cxxopts::Options Options("figlift-load",
-                           "Plays an experiment file against figlift entries.");
+  cxxopts::Options Options(
+      "figlift-load",
+      "Sends the requests of an experiment file to figlift entries.");
   Options.add_options()("experiment", "experiment file, JSON with comments",
                         cxxopts::value<std::string>())(
       "entry", "entries as address:port, separated by commas",
@@ -77,17 +79,17 @@
       "seed", "seed of the schedule",
       cxxopts::value<uint64_t>()->default_value("1"))(
       "concurrency",
-      "closed loop with so many requests in flight; 0: open loop",
+      "closed loop with this many requests in flight; 0: open loop",
       cxxopts::value<unsigned>()->default_value("0"))(
-      "timeout-ms", "limit of one request",
+      "timeout-ms", "timeout of one request",
       cxxopts::value<unsigned>()->default_value("60000"))(
       "direct",
-      "the addresses are engines, not entries: what figlift adds is the "
-      "difference to such a run",
+      "the addresses are engines, not entries; the difference to such a run is "
+      "the overhead of figlift",
       cxxopts::value<bool>()->default_value("false"))(
       "o,output", "table or json",
-      cxxopts::value<std::string>()->default_value("table"))("h,help",
-                                                             "this text");
+      cxxopts::value<std::string>()->default_value("table"))(
+      "h,help", "print this and exit");
   return Options;
 }
 
@@ -97,27 +99,28 @@
     return failure(ResultCode::InvalidInput, "cannot read " + File);
   std::ostringstream Text;
   Text << Source.rdbuf();
-  FIGLIFT_TRY(What, parseExperiment(Text.str()));
-  return Run{What, makeSchedule(What, Seed)};
+  FIGLIFT_TRY(Definition, parseExperiment(Text.str()));
+  return Run{Definition, makeSchedule(Definition, Seed)};
 }
 
-int play(const cxxopts::ParseResult &Arguments) {
-  Result<Run> Played = readRun(Arguments["experiment"].as<std::string>(),
+int runExperiment(const cxxopts::ParseResult &Arguments) {
+  Result<Run> Loaded = readRun(Arguments["experiment"].as<std::string>(),
                                Arguments["seed"].as<uint64_t>());
-  if (!Played) {
-    std::cerr << "figlift-load: " << Played.error().Message << "\n";
+  if (!Loaded) {
+    std::cerr << "figlift-load: " << Loaded.error().Message << "\n";
     return ExitInvalid;
   }
   LoadCaller Caller(Arguments["entry"].as<std::vector<std::string>>(),
                     milliseconds(Arguments["timeout-ms"].as<unsigned>()),
                     Arguments["direct"].as<bool>());
   unsigned Concurrency = Arguments["concurrency"].as<unsigned>();
-  milliseconds Took = Concurrency > 0
-                          ? playClosed(Caller, Played.value(), Concurrency)
-                          : playOpen(Caller, Played.value());
-  const Report &Made = Caller.report();
+  milliseconds Duration =
+      Concurrency > 0 ? runClosedLoop(Caller, Loaded.value(), Concurrency)
+                      : runOpenLoop(Caller, Loaded.value());
+  const Report &Results = Caller.report();
   bool AsJson = Arguments["output"].as<std::string>() == "json";
-  std::cout << (AsJson ? Made.toJson(Took) + "\n" : Made.toTable(Took));
+  std::cout << (AsJson ? Results.toJson(Duration) + "\n"
+                       : Results.toTable(Duration));
   return 0;
 }
 
@@ -133,12 +136,12 @@
       return 0;
     }
     if (Parsed.count("experiment") == 0 || Parsed.count("entry") == 0) {
-      std::cerr << "figlift-load: --experiment and --entry are needed\n";
+      std::cerr << "figlift-load: --experiment and --entry are required\n";
       return ExitUsage;
     }
-    return play(Parsed);
-  } catch (const cxxopts::exceptions::exception &Fault) {
-    std::cerr << "figlift-load: " << Fault.what() << "\n";
+    return runExperiment(Parsed);
+  } catch (const cxxopts::exceptions::exception &Exception) {
+    std::cerr << "figlift-load: " << Exception.what() << "\n";
     return ExitUsage;
   }
 }
