--- a/Utilities/figlift-ctl/CommandLine.cpp
+++ b/Utilities/figlift-ctl/CommandLine.cpp
@@ -1,6 +1,6 @@
-//===- CommandLine.cpp - What the operator asked for ----------------------===//
+//===- CommandLine.cpp - Command line of figlift-ctl ----------------------===//
 //
-// Options by cxxopts; the commands and their operands here.
+// cxxopts parses the options; this file parses the commands and operands.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,44 +25,44 @@
   get KIND NAME              show a record as it was submitted
   list [KIND]                list records
   withdraw KIND NAME         withdraw a record
-  drain|undrain|retire ID    change what a target is to do
+  drain|undrain|retire ID    drain, undrain or retire a target
   status                     show entries and targets
-  watch                      show what changes, until interrupted
+  watch                      show status changes until interrupted
   explain ID                 show the events of a request or a target
 
-Exit status: 0 done, 2 wrong command line, 3 refused or invalid, 4 conflict
+Exit status: 0 done, 2 invalid command line, 3 rejected or invalid, 4 conflict
 with another operator's change, 5 no entry or no store available, 6 not in
-force within the wait, 7 outcome unknown: send it again with the same
---operation id.
+force within the wait, 7 outcome unknown: retry with the same --operation id.
 )";
 
 static cxxopts::Options describeOptions() {
-  cxxopts::Options Described("figlift-ctl", "Drives figlift by records.");
-  auto Add = Described.add_options();
-  Add("entry", "Entries to ask", cxxopts::value<std::vector<std::string>>(),
+  cxxopts::Options Definition("figlift-ctl",
+                              "Operates figlift through records.");
+  auto Add = Definition.add_options();
+  Add("entry", "Entries to query", cxxopts::value<std::vector<std::string>>(),
       "ip:port,...");
-  Add("f,file", "File of records", cxxopts::value<std::vector<std::string>>(),
-      "FILE");
-  Add("if-version", "Only if the record has this version (0: is new)",
+  Add("f,file", "File that contains records",
+      cxxopts::value<std::vector<std::string>>(), "FILE");
+  Add("if-version", "Only if the record has this version (0: does not exist)",
       cxxopts::value<std::string>(), "N");
-  Add("wait", "Wait until the change is in force; a time only as --wait=TIME",
+  Add("wait", "Wait until the change is in force; pass a time as --wait=TIME",
       cxxopts::value<std::string>()->implicit_value(DefaultWait), "TIME");
-  Add("operation", "Name the operation by this UUIDv7",
+  Add("operation", "Id of the operation, a UUIDv7",
       cxxopts::value<std::string>(), "ID");
-  Add("timeout", "Of one question to one entry",
+  Add("timeout", "Timeout of one request to one entry",
       cxxopts::value<std::string>()->default_value("3s"), "TIME");
-  Add("interval", "Of watch",
+  Add("interval", "Polling interval of watch",
       cxxopts::value<std::string>()->default_value("1s"), "TIME");
-  Add("rounds", "Of watch; 0: until interrupted",
+  Add("rounds", "Number of polls of watch; 0: until interrupted",
       cxxopts::value<unsigned>()->default_value("0"), "N");
   Add("o,output", "table or json",
       cxxopts::value<std::string>()->default_value("table"), "FORMAT");
   Add("version", "Print the version and exit");
   Add("help", "Print this and exit");
   Add("words", "", cxxopts::value<std::vector<std::string>>());
-  Described.parse_positional("words");
-  Described.positional_help("COMMAND [OPERAND...]");
-  return Described;
+  Definition.parse_positional("words");
+  Definition.positional_help("COMMAND [OPERAND...]");
+  return Definition;
 }
 
 static auto usage(std::string Message, std::string Option = {}) {
@@ -70,29 +70,30 @@
                  std::move(Option));
 }
 
-static Result<std::chrono::milliseconds> timeOf(const std::string &Text,
-                                                const char *Option) {
+static Result<std::chrono::milliseconds> parseTime(const std::string &Text,
+                                                   const char *Option) {
   if (auto Time = record::parseDuration(Text))
     return *Time;
-  return usage("found \"" + Text + "\"; allowed: a time such as 250ms or 4s",
+  return usage("found \"" + Text + "\"; expected a time such as 250ms or 4s",
                Option);
 }
 
-/// Names go into paths as they are, so nothing else may be in them.
-static Result<void> checkWord(const std::string &Word) {
+/// Names are inserted into URL paths without escaping, so only these characters
+/// are allowed.
+static Result<void> checkName(const std::string &Word) {
   for (unsigned char Byte : Word)
     if (!std::isalnum(Byte) && Byte != '-' && Byte != '_' && Byte != '.')
       return usage("found \"" + Word +
-                   "\"; allowed: letters, digits, '-', '_' and '.'");
+                   "\"; expected letters, digits, '-', '_' and '.'");
   return success();
 }
 
-static Result<Command> commandOf(const std::vector<std::string> &Words,
-                                 const cxxopts::ParseResult &Options) {
+static Result<Command> parseCommand(const std::vector<std::string> &Words,
+                                    const cxxopts::ParseResult &Options) {
   const std::string Verb = Words.empty() ? "" : Words[0];
   const size_t Operands = Words.empty() ? 0 : Words.size() - 1;
   for (const std::string &Word : Words) {
-    FIGLIFT_TRY(checkWord(Word));
+    FIGLIFT_TRY(checkName(Word));
   }
   if (Verb == "apply" && Operands == 0) {
     if (!Options.count("file"))
@@ -106,25 +107,25 @@
   if (Verb == "withdraw" && Operands == 2)
     return Command(Withdraw{Words[1], Words[2]});
   if (Verb == "drain" && Operands == 1)
-    return Command(ChangeTarget{Wish::Drain, Words[1]});
+    return Command(ChangeTarget{TargetAction::Drain, Words[1]});
   if (Verb == "undrain" && Operands == 1)
-    return Command(ChangeTarget{Wish::Undrain, Words[1]});
+    return Command(ChangeTarget{TargetAction::Undrain, Words[1]});
   if (Verb == "retire" && Operands == 1)
-    return Command(ChangeTarget{Wish::Retire, Words[1]});
+    return Command(ChangeTarget{TargetAction::Retire, Words[1]});
   if (Verb == "status" && Operands == 0)
     return Command(Status{});
   if (Verb == "watch" && Operands == 0) {
     FIGLIFT_TRY(Interval,
-                timeOf(Options["interval"].as<std::string>(), "interval"));
+                parseTime(Options["interval"].as<std::string>(), "interval"));
     return Command(Watch{Interval, Options["rounds"].as<unsigned>()});
   }
   if (Verb == "explain" && Operands == 1)
     return Command(Explain{Words[1]});
-  return usage("no such command, or wrong operands; see --help");
+  return usage("no such command, or invalid operands; see --help");
 }
 
 static Result<std::vector<Endpoint>>
-entriesOf(const cxxopts::ParseResult &Options) {
+parseEntries(const cxxopts::ParseResult &Options) {
   std::vector<Endpoint> Entries;
   if (Options.count("entry"))
     for (const auto &Text : Options["entry"].as<std::vector<std::string>>()) {
@@ -134,12 +135,13 @@
       Entries.push_back(Entry.value());
     }
   if (Entries.empty())
-    return usage("needs at least one entry: --entry ip:port", "entry");
+    return usage("missing; expected at least one entry, --entry ip:port",
+                 "entry");
   return Entries;
 }
 
 static Result<std::optional<uint64_t>>
-ifVersionOf(const cxxopts::ParseResult &Options) {
+parseIfVersion(const cxxopts::ParseResult &Options) {
   if (!Options.count("if-version"))
     return std::optional<uint64_t>();
   const auto Text = Options["if-version"].as<std::string>();
@@ -147,77 +149,81 @@
   auto [End, Code] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Version);
   if (Code != std::errc() || End != Text.data() + Text.size())
-    return usage("found \"" + Text + "\"; allowed: a whole number from 0",
+    return usage("found \"" + Text + "\"; expected a whole number from 0",
                  "if-version");
   return std::optional<uint64_t>(Version);
 }
 
-static bool waitsForDrain(const Command &What) {
-  const auto *Change = std::get_if<ChangeTarget>(&What);
-  return Change && Change->Wanted != Wish::Undrain;
+static bool waitsForDrain(const Command &Requested) {
+  const auto *Change = std::get_if<ChangeTarget>(&Requested);
+  return Change && Change->Action != TargetAction::Undrain;
 }
 
 static Result<std::optional<std::chrono::milliseconds>>
-waitOf(const cxxopts::ParseResult &Options, const Command &What) {
+parseWait(const cxxopts::ParseResult &Options, const Command &Requested) {
   using Time = std::optional<std::chrono::milliseconds>;
   if (!Options.count("wait"))
     return Time();
   const auto Text = Options["wait"].as<std::string>();
   if (Text == DefaultWait)
-    return waitsForDrain(What) ? Time(WaitForDrain) : Time(WaitForRollout);
-  FIGLIFT_TRY(Given, timeOf(Text, "wait"));
-  return Time(Given);
+    return waitsForDrain(Requested) ? Time(WaitForDrain) : Time(WaitForRollout);
+  FIGLIFT_TRY(Duration, parseTime(Text, "wait"));
+  return Time(Duration);
 }
 
-static Result<std::string> operationOf(const cxxopts::ParseResult &Options) {
+static Result<std::string>
+parseOperationId(const cxxopts::ParseResult &Options) {
   if (!Options.count("operation"))
     return UuidGenerator().nextText();
   const auto Text = Options["operation"].as<std::string>();
   const auto Id = Uuid::parse(Text);
   if (!Id || !Id.value().isVersion7())
-    return usage("found \"" + Text + "\"; allowed: a UUID of version 7",
+    return usage("found \"" + Text + "\"; expected a UUID of version 7",
                  "operation");
   return Id.value().toString();
 }
 
-static Result<Arguments> read(const cxxopts::ParseResult &Options,
-                              const std::string &Help) {
-  Arguments Read;
+static Result<Arguments> parseArguments(const cxxopts::ParseResult &Options,
+                                        const std::string &Help) {
+  Arguments Parsed;
   if (Options.count("help")) {
-    Read.What = Print{Help + Commands};
-    return Read;
+    Parsed.RequestedCommand = Print{Help + Commands};
+    return Parsed;
   }
   if (Options.count("version")) {
-    Read.What = Print{std::string("figlift-ctl ") + FIGLIFT_VERSION + "\n"};
-    return Read;
+    Parsed.RequestedCommand =
+        Print{std::string("figlift-ctl ") + FIGLIFT_VERSION + "\n"};
+    return Parsed;
   }
-  FIGLIFT_TRY(Entries, entriesOf(Options));
-  FIGLIFT_TRY(Version, ifVersionOf(Options));
-  FIGLIFT_TRY(OperationId, operationOf(Options));
-  FIGLIFT_TRY(Timeout, timeOf(Options["timeout"].as<std::string>(), "timeout"));
+  FIGLIFT_TRY(Entries, parseEntries(Options));
+  FIGLIFT_TRY(Version, parseIfVersion(Options));
+  FIGLIFT_TRY(OperationId, parseOperationId(Options));
+  FIGLIFT_TRY(Timeout,
+              parseTime(Options["timeout"].as<std::string>(), "timeout"));
   std::vector<std::string> Words;
   if (Options.count("words"))
     Words = Options["words"].as<std::vector<std::string>>();
-  FIGLIFT_TRY(What, commandOf(Words, Options));
-  FIGLIFT_TRY(Wait, waitOf(Options, What));
+  FIGLIFT_TRY(Requested, parseCommand(Words, Options));
+  FIGLIFT_TRY(Wait, parseWait(Options, Requested));
   const auto Format = Options["output"].as<std::string>();
   if (Format != "table" && Format != "json")
-    return usage("found \"" + Format + "\"; allowed: table, json", "output");
-  Read.Entries = Entries;
-  Read.IfVersion = Version;
-  Read.OperationId = OperationId;
-  Read.Timeout = Timeout;
-  Read.What = What;
-  Read.Wait = Wait;
-  Read.JsonOutput = Format == "json";
-  return Read;
+    return usage("found \"" + Format + "\"; expected one of table, json",
+                 "output");
+  Parsed.Entries = Entries;
+  Parsed.IfVersion = Version;
+  Parsed.OperationId = OperationId;
+  Parsed.Timeout = Timeout;
+  Parsed.RequestedCommand = Requested;
+  Parsed.Wait = Wait;
+  Parsed.JsonOutput = Format == "json";
+  return Parsed;
 }
 
 Result<Arguments> parseCommandLine(int Count, const char *const *Values) {
   try {
-    auto Described = describeOptions();
-    auto Options = Described.parse(Count, Values);
-    return read(Options, Described.help());
+    auto Definition = describeOptions();
+    auto Options = Definition.parse(Count, Values);
+    return parseArguments(Options, Definition.help());
   } catch (const std::exception &Exception) {
     return usage(Exception.what());
   }
--- a/Utilities/figlift-ctl/CommandLine.h
+++ b/Utilities/figlift-ctl/CommandLine.h
@@ -1,6 +1,6 @@
-//===- CommandLine.h - What the operator asked for --------------*- C++ -*-===//
+//===- CommandLine.h - Command line of figlift-ctl --------------*- C++ -*-===//
 //
-// Reads the command line into typed commands.
+// Parses the command line into typed commands.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,9 +34,9 @@
   std::string Kind;
   std::string Name;
 };
-enum class Wish { Drain, Undrain, Retire };
+enum class TargetAction { Drain, Undrain, Retire };
 struct ChangeTarget {
-  Wish Wanted = Wish::Drain;
+  TargetAction Action = TargetAction::Drain;
   std::string Target;
 };
 struct Status {};
@@ -48,7 +48,7 @@
 struct Explain {
   std::string Id;
 };
-/// Print this text and end well (--help, --version).
+/// Prints a text and exits successfully (--help, --version).
 struct Print {
   std::string Text;
 };
@@ -60,15 +60,15 @@
   std::vector<Endpoint> Entries;
   bool JsonOutput = false;
   std::optional<uint64_t> IfVersion;
-  /// How long to wait until the change is in force; absent: don't wait.
+  /// How long to wait until the change is in force; if absent, does not wait.
   std::optional<std::chrono::milliseconds> Wait;
-  /// Names the operation; the same id does the change once.
+  /// Idempotency key of the operation: a change is made at most once per id.
   std::string OperationId;
   std::chrono::milliseconds Timeout{3000};
-  Command What;
+  Command RequestedCommand;
 };
 
-/// The error names the option that is at fault.
+/// The error names the invalid option.
 Result<Arguments> parseCommandLine(int Count, const char *const *Values);
 
 } // namespace figlift::control
--- a/Utilities/figlift-ctl/Main.cpp
+++ b/Utilities/figlift-ctl/Main.cpp
@@ -1,7 +1,7 @@
 //===- Main.cpp - figlift-ctl ---------------------------------------------===//
 //
-// The operator's tool: submits, changes and withdraws records, drains and
-// retires targets, and shows status.
+// Command line tool for operators: submits, changes and withdraws records,
+// drains and retires targets, and shows status.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,18 +19,19 @@
 
 int main(int Count, char **Values) {
   crossplat::threadpool::initialize_with_threads(PoolThreads);
-  auto Given = parseCommandLine(Count, Values);
-  if (!Given) {
+  auto Parsed = parseCommandLine(Count, Values);
+  if (!Parsed) {
     std::cerr << "figlift-ctl: ";
-    if (!Given.error().Field.empty())
-      std::cerr << "--" << Given.error().Field << ": ";
-    std::cerr << Given.error().Message << '\n';
+    if (!Parsed.error().Field.empty())
+      std::cerr << "--" << Parsed.error().Field << ": ";
+    std::cerr << Parsed.error().Message << '\n';
     return static_cast<int>(ExitCode::Usage);
   }
   try {
-    return static_cast<int>(Runner(Given.value()).run());
+    return static_cast<int>(Runner(Parsed.value()).run());
   } catch (const std::exception &Exception) {
-    std::cerr << "figlift-ctl: unexpected answer: " << Exception.what() << '\n';
+    std::cerr << "figlift-ctl: unexpected response: " << Exception.what()
+              << '\n';
     return static_cast<int>(ExitCode::Unavailable);
   }
 }
--- a/Utilities/figlift-ctl/Runner.cpp
+++ b/Utilities/figlift-ctl/Runner.cpp
@@ -1,4 +1,4 @@
-//===- Runner.cpp - Carries a command out ---------------------------------===//
+//===- Runner.cpp - Executes a command ------------------------------------===//
 //
 // Results go to standard output, everything else to standard error.
 //
@@ -42,31 +42,33 @@
   }
 }
 
-Runner::Runner(Arguments Given)
-    : m_Given(std::move(Given)), m_Client({m_Given.Entries, m_Given.Timeout}) {}
+Runner::Runner(Arguments Options)
+    : m_Arguments(std::move(Options)),
+      m_Client({m_Arguments.Entries, m_Arguments.Timeout}) {}
 
 ExitCode Runner::run() {
-  return std::visit([this](const auto &Wanted) { return on(Wanted); },
-                    m_Given.What);
+  return std::visit(
+      [this](const auto &Requested) { return execute(Requested); },
+      m_Arguments.RequestedCommand);
 }
 
-ExitCode Runner::complain(const Error &Why) const {
-  std::cerr << "figlift-ctl: " << resultCodeInfo(Why.Code).Name << " ("
-            << static_cast<int>(Why.Code) << "): ";
-  if (!Why.Field.empty())
-    std::cerr << Why.Field << ": ";
-  std::cerr << Why.Message << '\n';
-  return exitCodeOf(Why.Code);
+ExitCode Runner::reportError(const Error &Problem) const {
+  std::cerr << "figlift-ctl: " << resultCodeInfo(Problem.Code).Name << " ("
+            << static_cast<int>(Problem.Code) << "): ";
+  if (!Problem.Field.empty())
+    std::cerr << Problem.Field << ": ";
+  std::cerr << Problem.Message << '\n';
+  return exitCodeOf(Problem.Code);
 }
 
-std::string Runner::withOperation(std::string Path) const {
-  Path += "?operationId=" + m_Given.OperationId;
-  if (m_Given.IfVersion)
-    Path += "&ifVersion=" + std::to_string(*m_Given.IfVersion);
+std::string Runner::addOperationParameters(std::string Path) const {
+  Path += "?operationId=" + m_Arguments.OperationId;
+  if (m_Arguments.IfVersion)
+    Path += "&ifVersion=" + std::to_string(*m_Arguments.IfVersion);
   return Path;
 }
 
-static std::optional<std::string> contentOf(const std::string &File) {
+static std::optional<std::string> readFile(const std::string &File) {
   if (File == "-")
     return std::string(std::istreambuf_iterator<char>(std::cin), {});
   std::ifstream Stream(File, std::ios::binary);
@@ -75,13 +77,13 @@
   return std::string(std::istreambuf_iterator<char>(Stream), {});
 }
 
-ExitCode Runner::on(const Apply &Wanted) {
-  Json Body = {{"operationId", m_Given.OperationId},
+ExitCode Runner::execute(const Apply &Requested) {
+  Json Body = {{"operationId", m_Arguments.OperationId},
                {"records", Json::array()}};
-  if (m_Given.IfVersion)
-    Body["ifVersion"] = *m_Given.IfVersion;
-  for (const std::string &File : Wanted.Files) {
-    auto Text = contentOf(File);
+  if (m_Arguments.IfVersion)
+    Body["ifVersion"] = *m_Arguments.IfVersion;
+  for (const std::string &File : Requested.Files) {
+    auto Text = readFile(File);
     if (!Text) {
       std::cerr << "figlift-ctl: " << File << " can't be read\n";
       return ExitCode::Usage;
@@ -92,66 +94,65 @@
                Body.dump(-1, ' ', false, Json::error_handler_t::replace), "");
 }
 
-ExitCode Runner::on(const Withdraw &Wanted) {
-  return write(
-      HttpVerb::Delete,
-      withOperation(Prefix + "records/" + Wanted.Kind + "/" + Wanted.Name), "",
-      "");
+ExitCode Runner::execute(const Withdraw &Requested) {
+  return write(HttpVerb::Delete,
+               addOperationParameters(Prefix + "records/" + Requested.Kind +
+                                      "/" + Requested.Name),
+               "", "");
 }
 
-ExitCode Runner::on(const ChangeTarget &Wanted) {
+ExitCode Runner::execute(const ChangeTarget &Requested) {
   static constexpr const char *Verbs[] = {"drain", "undrain", "retire"};
-  std::string Path = Prefix + "targets/" + Wanted.Target + "/" +
-                     Verbs[static_cast<int>(Wanted.Wanted)];
-  bool Drains = Wanted.Wanted != Wish::Undrain;
-  return write(HttpVerb::Post, withOperation(Path), "",
-               Drains ? Wanted.Target : "");
+  std::string Path = Prefix + "targets/" + Requested.Target + "/" +
+                     Verbs[static_cast<int>(Requested.Action)];
+  bool IsDrain = Requested.Action != TargetAction::Undrain;
+  return write(HttpVerb::Post, addOperationParameters(Path), "",
+               IsDrain ? Requested.Target : "");
 }
 
-/// \p Draining: the target that has to drain before a wait ends, or empty.
 ExitCode Runner::write(HttpVerb Verb, const std::string &Path,
                        const std::string &Body, const std::string &Draining) {
-  auto Answer = m_Client.write(Verb, Path, Body);
-  if (!Answer) {
-    ExitCode Code = complain(Answer.error());
+  auto Response = m_Client.write(Verb, Path, Body);
+  if (!Response) {
+    ExitCode Code = reportError(Response.error());
     if (Code == ExitCode::OutcomeUnknown)
-      std::cerr << "settle it by the same command with --operation "
-                << m_Given.OperationId << '\n';
+      std::cerr << "retry the same command with --operation "
+                << m_Arguments.OperationId << '\n';
     return Code;
   }
-  Json Outcome = Json::parse(Answer.value(), nullptr, false);
+  Json Outcome = Json::parse(Response.value(), nullptr, false);
   if (!Outcome.is_object() || !Outcome.contains("revision"))
-    return complain({ResultCode::Internal, "malformed answer", {}, {}});
-  std::cout << (m_Given.JsonOutput ? Outcome.dump(2) + "\n"
-                                   : outcomeTable(Outcome))
+    return reportError({ResultCode::Internal, "malformed response", {}, {}});
+  std::cout << (m_Arguments.JsonOutput ? Outcome.dump(2) + "\n"
+                                       : outcomeTable(Outcome))
             << std::flush;
-  if (!m_Given.Wait)
+  if (!m_Arguments.Wait)
     return ExitCode::Done;
-  return waitUntilInForce(Outcome["revision"].get<uint64_t>(), Draining);
+  return waitUntilActive(Outcome["revision"].get<uint64_t>(), Draining);
 }
 
-ExitCode Runner::waitUntilInForce(uint64_t Revision,
-                                  const std::string &Draining) {
-  auto Until = std::chrono::steady_clock::now() + *m_Given.Wait;
+ExitCode Runner::waitUntilActive(uint64_t Revision,
+                                 const std::string &Draining) {
+  auto Deadline = std::chrono::steady_clock::now() + *m_Arguments.Wait;
   while (true) {
-    auto Answers = m_Client.readAll(Prefix + "status");
-    auto Found = config::rolloutOf(Answers, Revision);
-    bool Drained = Draining.empty() || config::isDrained(Answers, Draining);
-    if (Found.complete() && Drained) {
+    auto Responses = m_Client.readAll(Prefix + "status");
+    auto Rollout = config::rolloutOf(Responses, Revision);
+    bool Drained = Draining.empty() || config::isDrained(Responses, Draining);
+    if (Rollout.complete() && Drained) {
       std::cerr << "revision " << Revision << " is in force in "
-                << Found.InForce << " processes\n";
+                << Rollout.InForce << " processes\n";
       return ExitCode::Done;
     }
-    if (std::chrono::steady_clock::now() >= Until) {
-      for (const std::string &Line : Found.Lagging)
+    if (std::chrono::steady_clock::now() >= Deadline) {
+      for (const std::string &Line : Rollout.Lagging)
         std::cerr << "lags: " << Line << '\n';
       if (!Drained)
-        std::cerr << "still drains: target " << Draining << '\n';
-      return complain({ResultCode::WaitTimedOut,
-                       "revision " + std::to_string(Revision) +
-                           " is committed, the wait is over",
-                       {},
-                       {}});
+        std::cerr << "still draining: target " << Draining << '\n';
+      return reportError({ResultCode::WaitTimedOut,
+                          "revision " + std::to_string(Revision) +
+                              " is committed, but the wait timed out",
+                          {},
+                          {}});
     }
     std::this_thread::sleep_for(WaitInterval);
   }
@@ -159,96 +160,101 @@
 
 ExitCode Runner::show(const std::string &Path,
                       std::string (*Table)(const Json &)) {
-  auto Answer = m_Client.read(Prefix + Path);
-  if (!Answer)
-    return complain(Answer.error());
-  Json Body = Json::parse(Answer.value(), nullptr, false);
+  auto Response = m_Client.read(Prefix + Path);
+  if (!Response)
+    return reportError(Response.error());
+  Json Body = Json::parse(Response.value(), nullptr, false);
   if (!Body.is_object())
-    return complain({ResultCode::Internal, "malformed answer", {}, {}});
-  std::cout << (m_Given.JsonOutput ? Body.dump(2) + "\n" : Table(Body));
+    return reportError({ResultCode::Internal, "malformed response", {}, {}});
+  std::cout << (m_Arguments.JsonOutput ? Body.dump(2) + "\n" : Table(Body));
   return ExitCode::Done;
 }
 
-static std::string textOf(const Json &Record) {
+static std::string recordText(const Json &Record) {
   return Record.value("text", "") + "\n";
 }
 
-ExitCode Runner::on(const Get &Wanted) {
-  return show("records/" + Wanted.Kind + "/" + Wanted.Name, textOf);
+ExitCode Runner::execute(const Get &Requested) {
+  return show("records/" + Requested.Kind + "/" + Requested.Name, recordText);
 }
 
-ExitCode Runner::on(const List &Wanted) {
-  return show(Wanted.Kind.empty() ? "records" : "records/" + Wanted.Kind,
+ExitCode Runner::execute(const List &Requested) {
+  return show(Requested.Kind.empty() ? "records" : "records/" + Requested.Kind,
               recordTable);
 }
 
-/// Every entry's view, since each holds streams to a part of the agents only.
-ExitCode Runner::on(const Status &) {
-  Json All = Json::array();
+/// Shows the view of every entry, since each is connected to only some of the
+/// agents.
+ExitCode Runner::execute(const Status &) {
+  Json Responses = Json::array();
   ExitCode Code = ExitCode::Unavailable;
   for (const auto &[Entry, Running, Body] :
        m_Client.readAll(Prefix + "status")) {
-    Json Answer = Body ? Json::parse(Body.value(), nullptr, false) : Json();
-    if (!Answer.is_object()) {
+    Json Response = Body ? Json::parse(Body.value(), nullptr, false) : Json();
+    if (!Response.is_object()) {
       std::cerr << Entry.toString()
-                << (Running ? " gives no answer\n" : " is not running\n");
+                << (Running ? " did not respond\n" : " is not running\n");
       continue;
     }
     Code = ExitCode::Done;
-    if (!m_Given.JsonOutput)
-      std::cout << statusTable(Answer) << '\n';
-    All.push_back(std::move(Answer));
+    if (!m_Arguments.JsonOutput)
+      std::cout << statusTable(Response) << '\n';
+    Responses.push_back(std::move(Response));
   }
-  if (m_Given.JsonOutput)
-    std::cout << All.dump(2) << '\n';
+  if (m_Arguments.JsonOutput)
+    std::cout << Responses.dump(2) << '\n';
   return Code;
 }
 
-ExitCode Runner::on(const Watch &Wanted) {
-  std::vector<std::string> Before;
-  for (unsigned Round = 0; Wanted.Rounds == 0 || Round < Wanted.Rounds;
+ExitCode Runner::execute(const Watch &Requested) {
+  std::vector<std::string> PreviousLines;
+  for (unsigned Round = 0; Requested.Rounds == 0 || Round < Requested.Rounds;
        ++Round) {
     if (Round > 0)
-      std::this_thread::sleep_for(Wanted.Interval);
-    std::vector<std::string> Now;
+      std::this_thread::sleep_for(Requested.Interval);
+    std::vector<std::string> CurrentLines;
     for (const auto &[Entry, Running, Body] :
          m_Client.readAll(Prefix + "status")) {
-      Json Answer = Body ? Json::parse(Body.value(), nullptr, false) : Json();
-      if (!Answer.is_object())
-        Now.push_back("entry " + Entry.toString() + " gives no answer");
+      Json Response = Body ? Json::parse(Body.value(), nullptr, false) : Json();
+      if (!Response.is_object())
+        CurrentLines.push_back("entry " + Entry.toString() +
+                               " did not respond");
       else
-        for (std::string &Line : statusLines(Answer))
-          Now.push_back(Entry.toString() + ": " + std::move(Line));
+        for (std::string &Line : statusLines(Response))
+          CurrentLines.push_back(Entry.toString() + ": " + std::move(Line));
     }
-    for (const std::string &Line : Now)
-      if (std::find(Before.begin(), Before.end(), Line) == Before.end())
+    for (const std::string &Line : CurrentLines)
+      if (std::find(PreviousLines.begin(), PreviousLines.end(), Line) ==
+          PreviousLines.end())
         std::cout << Line << std::endl;
-    Before = std::move(Now);
+    PreviousLines = std::move(CurrentLines);
   }
   return ExitCode::Done;
 }
 
-/// Every entry is asked: only the one that served a request knows of it.
-ExitCode Runner::on(const Explain &Wanted) {
+/// Queries every entry, since only the one that served a request has its
+/// events.
+ExitCode Runner::execute(const Explain &Requested) {
   ExitCode Code = ExitCode::Unavailable;
-  Json All = Json::array();
+  Json Responses = Json::array();
   for (const auto &[Entry, Running, Body] :
-       m_Client.readAll(Prefix + "explain/" + Wanted.Id)) {
-    Json Answer = Body ? Json::parse(Body.value(), nullptr, false) : Json();
-    if (!Answer.is_object())
+       m_Client.readAll(Prefix + "explain/" + Requested.Id)) {
+    Json Response = Body ? Json::parse(Body.value(), nullptr, false) : Json();
+    if (!Response.is_object())
       continue;
     Code = ExitCode::Done;
-    if (!m_Given.JsonOutput)
-      std::cout << "entry " << Entry.toString() << ":\n" << explanation(Answer);
-    All.push_back(std::move(Answer));
+    if (!m_Arguments.JsonOutput)
+      std::cout << "entry " << Entry.toString() << ":\n"
+                << explanationText(Response);
+    Responses.push_back(std::move(Response));
   }
-  if (m_Given.JsonOutput)
-    std::cout << All.dump(2) << '\n';
+  if (m_Arguments.JsonOutput)
+    std::cout << Responses.dump(2) << '\n';
   return Code;
 }
 
-ExitCode Runner::on(const Print &Wanted) {
-  std::cout << Wanted.Text;
+ExitCode Runner::execute(const Print &Requested) {
+  std::cout << Requested.Text;
   return ExitCode::Done;
 }
 
--- a/Utilities/figlift-ctl/Runner.h
+++ b/Utilities/figlift-ctl/Runner.h
@@ -1,6 +1,6 @@
-//===- Runner.h - Carries a command out -------------------------*- C++ -*-===//
+//===- Runner.h - Executes a command ----------------------------*- C++ -*-===//
 //
-// One function for each command; each ends with an exit code.
+// One function per command; each returns an exit code.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,29 +27,31 @@
 
 class Runner {
 public:
-  explicit Runner(Arguments Given);
+  explicit Runner(Arguments Options);
 
   ExitCode run();
 
 private:
-  ExitCode on(const Apply &Wanted);
-  ExitCode on(const Get &Wanted);
-  ExitCode on(const List &Wanted);
-  ExitCode on(const Withdraw &Wanted);
-  ExitCode on(const ChangeTarget &Wanted);
-  ExitCode on(const Status &);
-  ExitCode on(const Watch &Wanted);
-  ExitCode on(const Explain &Wanted);
-  ExitCode on(const Print &Wanted);
-
+  ExitCode execute(const Apply &Requested);
+  ExitCode execute(const Get &Requested);
+  ExitCode execute(const List &Requested);
+  ExitCode execute(const Withdraw &Requested);
+  ExitCode execute(const ChangeTarget &Requested);
+  ExitCode execute(const Status &);
+  ExitCode execute(const Watch &Requested);
+  ExitCode execute(const Explain &Requested);
+  ExitCode execute(const Print &Requested);
+
+  /// Sends a change and, if requested, waits until it is in force and the
+  /// target \p Draining, if not empty, is drained.
   ExitCode write(platform::HttpVerb Verb, const std::string &Path,
                  const std::string &Body, const std::string &Draining);
   ExitCode show(const std::string &Path, std::string (*Table)(const Json &));
-  ExitCode waitUntilInForce(uint64_t Revision, const std::string &Draining);
-  ExitCode complain(const Error &Why) const;
-  std::string withOperation(std::string Path) const;
+  ExitCode waitUntilActive(uint64_t Revision, const std::string &Draining);
+  ExitCode reportError(const Error &Problem) const;
+  std::string addOperationParameters(std::string Path) const;
 
-  const Arguments m_Given;
+  const Arguments m_Arguments;
   config::OperatorClient m_Client;
 };
 
--- a/Utilities/figlift-ctl/Tables.cpp
+++ b/Utilities/figlift-ctl/Tables.cpp
@@ -1,6 +1,6 @@
-//===- Tables.cpp - Answers as text for people ----------------------------===//
+//===- Tables.cpp - Text output of operator API responses -----------------===//
 //
-// One function for each kind of answer.
+// One function per kind of response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,14 +12,14 @@
 
 using Row = std::vector<std::string>;
 
-/// The value as a cell: texts without quotes.
+/// Formats a member as a cell; strings are not quoted.
 static std::string cell(const Json &Object, const char *Name) {
-  auto Found = Object.find(Name);
-  if (Found == Object.end() || Found->is_null())
+  auto Member = Object.find(Name);
+  if (Member == Object.end() || Member->is_null())
     return "-";
-  if (Found->is_string())
-    return Found->get<std::string>();
-  return Found->dump();
+  if (Member->is_string())
+    return Member->get<std::string>();
+  return Member->dump();
 }
 
 static Row cells(const Json &Object, const std::vector<const char *> &Names) {
@@ -29,23 +29,23 @@
   return Cells;
 }
 
-static Json listIn(const Json &Answer, const char *Name) {
-  return Answer.value(Name, Json::array());
+static Json getArray(const Json &Response, const char *Name) {
+  return Response.value(Name, Json::array());
 }
 
-std::string aligned(const std::vector<Row> &Rows) {
+std::string alignColumns(const std::vector<Row> &Rows) {
   std::vector<size_t> Widths;
-  for (const Row &Each : Rows) {
-    Widths.resize(std::max(Widths.size(), Each.size()));
-    for (size_t Column = 0; Column < Each.size(); ++Column)
-      Widths[Column] = std::max(Widths[Column], Each[Column].size());
+  for (const Row &Cells : Rows) {
+    Widths.resize(std::max(Widths.size(), Cells.size()));
+    for (size_t Column = 0; Column < Cells.size(); ++Column)
+      Widths[Column] = std::max(Widths[Column], Cells[Column].size());
   }
   std::string Text;
-  for (const Row &Each : Rows) {
+  for (const Row &Cells : Rows) {
     std::string Line;
-    for (size_t Column = 0; Column < Each.size(); ++Column) {
-      Line += Each[Column];
-      Line.append(Widths[Column] - Each[Column].size() + 2, ' ');
+    for (size_t Column = 0; Column < Cells.size(); ++Column) {
+      Line += Cells[Column];
+      Line.append(Widths[Column] - Cells[Column].size() + 2, ' ');
     }
     Line.erase(Line.find_last_not_of(' ') + 1);
     Text += Line + '\n';
@@ -53,68 +53,68 @@
   return Text;
 }
 
-std::string recordTable(const Json &Answer) {
+std::string recordTable(const Json &Response) {
   std::vector<Row> Rows = {
       {"KIND", "NAME", "VERSION", "REVISION", "SCHEMA", "UNREADABLE"}};
-  for (const Json &Each : listIn(Answer, "records"))
-    Rows.push_back(cells(Each, {"kind", "name", "version", "revision",
-                                "schemaVersion", "unreadable"}));
-  return "revision " + cell(Answer, "revision") + "\n" + aligned(Rows);
+  for (const Json &Record : getArray(Response, "records"))
+    Rows.push_back(cells(Record, {"kind", "name", "version", "revision",
+                                  "schemaVersion", "unreadable"}));
+  return "revision " + cell(Response, "revision") + "\n" + alignColumns(Rows);
 }
 
-std::string outcomeTable(const Json &Answer) {
+std::string outcomeTable(const Json &Response) {
   std::vector<Row> Rows = {{"KIND", "NAME", "VERSION"}};
-  for (const Json &Each : listIn(Answer, "records"))
-    Rows.push_back(cells(Each, {"kind", "name", "version"}));
-  return "committed as revision " + cell(Answer, "revision") + "\n" +
-         aligned(Rows);
+  for (const Json &Record : getArray(Response, "records"))
+    Rows.push_back(cells(Record, {"kind", "name", "version"}));
+  return "committed as revision " + cell(Response, "revision") + "\n" +
+         alignColumns(Rows);
 }
 
-std::string statusTable(const Json &Answer) {
-  std::string Text = "entry " + cell(Answer, "entry") + ", revision " +
-                     cell(Answer, "revision");
-  if (!Answer.value("serving", true))
-    Text += ", takes no new work: " + cell(Answer, "reason");
+std::string statusTable(const Json &Response) {
+  std::string Text = "entry " + cell(Response, "entry") + ", revision " +
+                     cell(Response, "revision");
+  if (!Response.value("serving", true))
+    Text += ", takes no new work: " + cell(Response, "reason");
   std::vector<Row> Targets = {{"TARGET", "BACK END", "ZONE", "STATE", "ROLE",
                                "REVISION", "REQUESTS", "WAITING TOKENS"}};
-  for (const Json &Each : listIn(Answer, "targets")) {
-    Row Cells = cells(Each, {"id", "backEnd", "zone", "state", "role",
-                             "revisionInForce", "requestsInFlight"});
+  for (const Json &Target : getArray(Response, "targets")) {
+    Row Cells = cells(Target, {"id", "backEnd", "zone", "state", "role",
+                               "revisionInForce", "requestsInFlight"});
     Cells.push_back(
-        cell(Each.value("load", Json::object()), "prefillTokensWaiting"));
+        cell(Target.value("load", Json::object()), "prefillTokensWaiting"));
     Targets.push_back(std::move(Cells));
   }
-  Text += "\n" + aligned(Targets);
+  Text += "\n" + alignColumns(Targets);
   std::vector<Row> Entries = {{"ENTRY", "STATE", "REVISION"}};
-  for (const Json &Each : listIn(Answer, "entries"))
-    Entries.push_back(cells(Each, {"id", "state", "revisionInForce"}));
-  return Entries.size() > 1 ? Text + aligned(Entries) : Text;
+  for (const Json &Entry : getArray(Response, "entries"))
+    Entries.push_back(cells(Entry, {"id", "state", "revisionInForce"}));
+  return Entries.size() > 1 ? Text + alignColumns(Entries) : Text;
 }
 
-std::vector<std::string> statusLines(const Json &Answer) {
-  std::vector<std::string> Lines = {"entry " + cell(Answer, "entry") +
-                                    " revision " + cell(Answer, "revision") +
-                                    " serving " + cell(Answer, "serving")};
-  for (const Json &Each : listIn(Answer, "targets"))
-    Lines.push_back("target " + cell(Each, "id") + " " + cell(Each, "state") +
-                    " role " + cell(Each, "role") + " revision " +
-                    cell(Each, "revisionInForce"));
+std::vector<std::string> statusLines(const Json &Response) {
+  std::vector<std::string> Lines = {"entry " + cell(Response, "entry") +
+                                    " revision " + cell(Response, "revision") +
+                                    " serving " + cell(Response, "serving")};
+  for (const Json &Target : getArray(Response, "targets"))
+    Lines.push_back("target " + cell(Target, "id") + " " +
+                    cell(Target, "state") + " role " + cell(Target, "role") +
+                    " revision " + cell(Target, "revisionInForce"));
   return Lines;
 }
 
-std::string explanation(const Json &Answer) {
+std::string explanationText(const Json &Response) {
   std::string Text;
-  if (auto Target = Answer.find("target"); Target != Answer.end())
+  if (auto Target = Response.find("target"); Target != Response.end())
     Text += "target " + cell(*Target, "id") + ": " + cell(*Target, "state") +
             ", role " + cell(*Target, "role") + ", revision " +
             cell(*Target, "revisionInForce") + "\n";
-  if (auto Record = Answer.find("record"); Record != Answer.end())
+  if (auto Record = Response.find("record"); Record != Response.end())
     Text += "record version " + cell(*Record, "version") + ", revision " +
             cell(*Record, "revision") + ":\n" + cell(*Record, "text") + "\n";
-  for (const Json &Event : listIn(Answer, "events"))
+  for (const Json &Event : getArray(Response, "events"))
     Text +=
         (Event.is_string() ? Event.get<std::string>() : Event.dump()) + "\n";
-  return Text.empty() ? "nothing is known of " + cell(Answer, "id") + "\n"
+  return Text.empty() ? "no information about " + cell(Response, "id") + "\n"
                       : Text;
 }
 
--- a/Utilities/figlift-ctl/Tables.h
+++ b/Utilities/figlift-ctl/Tables.h
@@ -1,6 +1,6 @@
-//===- Tables.h - Answers as text for people --------------------*- C++ -*-===//
+//===- Tables.h - Text output of operator API responses ---------*- C++ -*-===//
 //
-// Turns the JSON of the operator API into aligned columns.
+// Formats the JSON responses of the operator API as aligned columns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,15 +15,15 @@
 
 using Json = nlohmann::ordered_json;
 
-/// Columns as wide as their widest cell; the first row is the head.
-std::string aligned(const std::vector<std::vector<std::string>> &Rows);
+/// Pads each column to its widest cell. The first row is the header.
+std::string alignColumns(const std::vector<std::vector<std::string>> &Rows);
 
-std::string recordTable(const Json &Answer);
-std::string outcomeTable(const Json &Answer);
-std::string statusTable(const Json &Answer);
-std::string explanation(const Json &Answer);
+std::string recordTable(const Json &Response);
+std::string outcomeTable(const Json &Response);
+std::string statusTable(const Json &Response);
+std::string explanationText(const Json &Response);
 
-/// One line for each process, for comparison from round to round.
-std::vector<std::string> statusLines(const Json &Answer);
+/// One line per process; watch compares the lines of successive polls.
+std::vector<std::string> statusLines(const Json &Response);
 
 } // namespace figlift::control
