--- /dev/null
+++ b/Tests/Soak/FaultInjector.h
@@ -0,0 +1,80 @@
+//===- FaultInjector.h - Seeded, overlapping faults -------------*- C++ -*-===//
+//
+// Draws faults from a seed, lets several overlap, repairs each after its
+// duration, and reports to the invariant checker which parts of the system are
+// disturbed. Every third seed has planned changes only, as few invariants of
+// planned changes can be checked during faults.
+//
+//===----------------------------------------------------------------------===//
+
+#pragma once
+
+#include "SoakFleet.h"
+
+#include <functional>
+#include <random>
+#include <string>
+#include <vector>
+
+namespace figlift::soak {
+
+/// Every fourth seed has servers that announce rate limits, and requests that
+/// crash the servers that execute them; no seed with only planned changes has.
+inline bool hasCrashesAndLimits(uint64_t Seed) {
+  return Seed % 4 == 3 && Seed % 3 != 0;
+}
+
+class FaultInjector {
+public:
+  FaultInjector(SoakFleet &Fleet, InvariantChecker &Checker, uint64_t Seed)
+      : m_Fleet(Fleet), m_Checker(Checker), m_PlannedOnly(Seed % 3 == 0),
+        m_HasCrashesAndLimits(hasCrashesAndLimits(Seed)), m_Random(Seed),
+        m_CopyRandom(Seed), m_LimitRandom(Seed) {}
+
+  /// Called about every 50 ms. Begins new faults only if \p AllowNew is set.
+  void tick(BootTime Now, bool AllowNew);
+  bool calm() const { return m_ActiveFaults.empty(); }
+  /// All faults and changes in order, for the log of a run.
+  const std::vector<std::string> &history() const { return m_History; }
+
+private:
+  struct ActiveFault {
+    std::string Name;
+    /// Gateway name or group of \c InvariantChecker that is disturbed
+    /// meanwhile.
+    std::string Affected;
+    BootTime Until{};
+    std::function<void()> Repair;
+  };
+
+  void beginFault(BootTime Now);
+  void beginPlanned(BootTime Now);
+  void signalGateways();
+  void sendSignal(unsigned Gateway, Signal Kind);
+  void configure();
+  void beginSignal(BootTime Now);
+  void beginLink(BootTime Now);
+  void beginStore(BootTime Now);
+  void beginServer(BootTime Now);
+  void beginReplacement(BootTime Now);
+  void activate(const std::string &Name, const std::string &Affected,
+                BootTime Until, std::function<void()> Repair);
+  unsigned draw(unsigned Minimum, unsigned Maximum);
+  BootTime randomTime(BootTime Now, unsigned Minimum, unsigned Maximum);
+  bool isActive(const std::string &Name) const;
+
+  SoakFleet &m_Fleet;
+  InvariantChecker &m_Checker;
+  const bool m_PlannedOnly;
+  const bool m_HasCrashesAndLimits;
+  std::mt19937_64 m_Random;
+  /// Separate sources keep the other choices of each seed unchanged when
+  /// choices of these kinds are added.
+  std::mt19937_64 m_CopyRandom;
+  std::mt19937_64 m_LimitRandom;
+  std::vector<ActiveFault> m_ActiveFaults;
+  std::vector<std::string> m_History;
+  BootTime m_NextFault{};
+};
+
+} // namespace figlift::soak
--- /dev/null
+++ b/Tests/Soak/InvariantChecker.h
@@ -0,0 +1,242 @@
+//===- InvariantChecker.h - Checks the guarantees of gateways ---*- C++ -*-===//
+//
+// Records what callers sent and received, what servers received, and when which
+// part of the system was disturbed, and reports each violated guarantee. It
+// treats gateways as black boxes and reads no clock: each event carries its
+// time.
+//
+//===----------------------------------------------------------------------===//
+
+#pragma once
+
+#include "LibCore/Clock.h"
+
+#include <chrono>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <string>
+#include <vector>
+
+namespace figlift::soak {
+
+enum class Repeatable { Yes, No };
+
+/// One request of a caller, by its attempt id.
+struct Attempt {
+  std::string Id;
+  /// The gateway that it went to.
+  std::string Gateway;
+  std::string Service;
+  Repeatable Kind = Repeatable::Yes;
+  BootTime Sent{};
+  /// Deadline of the request, or the timeout of its route if that is shorter.
+  std::chrono::milliseconds Timeout{2000};
+  /// Common id of all attempts of a request that crashes servers; empty for
+  /// other requests.
+  std::string CrashingRequest = {};
+};
+
+/// A request as it reached a server.
+struct Arrival {
+  std::string AttemptId;
+  std::string Server;
+  std::string Service;
+  /// Only the prefill stage is executed.
+  bool IsPrefill = false;
+  /// The server rejected the request without executing it.
+  bool Rejected = false;
+};
+
+/// The final response as a caller saw it.
+struct Outcome {
+  std::string AttemptId;
+  /// 0 if the connection ended without a complete response.
+  unsigned Status = 0;
+  bool Signed = false;
+  std::string Body;
+  /// Number of events of the requested stream; 0 if none was requested.
+  unsigned ExpectedEvents = 0;
+};
+
+struct Order {
+  std::string Server;
+  std::string Holder;
+  uint64_t Fence = 0;
+};
+
+struct InvariantBounds {
+  /// Settings of the gateways in the soak. The ratio is a quarter and the base
+  /// a third of the defaults, so that a few seconds of failing servers exhaust
+  /// the retry budget.
+  double RetryRatio = 0.05;
+  double RetryBase = 10;
+  std::chrono::milliseconds RetryWindow{10000};
+  /// Time after a disturbance until the bounds apply again.
+  std::chrono::milliseconds StableWindow{3000};
+  /// From the start of a drain to the server's last request: the platform's
+  /// bound of 2 s, plus delays of a busy test machine.
+  std::chrono::milliseconds DrainBound{2600};
+  /// From the acknowledgement of a configuration until it is active; as above.
+  std::chrono::milliseconds ConfigurationBound{2600};
+  /// Requests of an older version may still be in flight for this long after a
+  /// gateway first used a newer one.
+  std::chrono::milliseconds RegressionSlack{500};
+  /// Minimum time between orders of two lease holders to one server.
+  std::chrono::milliseconds HolderChangeTime{3000};
+  /// Gateways end streams at most this long before the deadline.
+  std::chrono::milliseconds DeadlineMargin{50};
+  /// Fractions of the grace of a stop: the platform's 3 s and five sixths of 8
+  /// s. A stop may interrupt requests that were sent before the first and still
+  /// run after the second.
+  double EarlyFraction = 3.0 / 8;
+  double FinalFraction = 5.0 / 6;
+  /// Once a request has crashed this many servers and the stable window has
+  /// passed, it may be sent only so many more times.
+  unsigned CrashLimit = 3;
+  unsigned SendsAfterCrashes = 3;
+  /// Within the window, a server may get the factor times the requests that its
+  /// announced limit allows, plus the slack. Requests count only if they come
+  /// from gateways that got the limit at least the delay ago.
+  std::chrono::milliseconds LimitWindow{4000};
+  double LimitFactor = 1.5;
+  double LimitSlack = 5;
+  std::chrono::milliseconds LimitDelay{500};
+  /// Maximum time from SIGHUP until a gateway has read its settings.
+  std::chrono::milliseconds ReloadSlack{200};
+};
+
+class InvariantChecker {
+public:
+  explicit InvariantChecker(InvariantBounds Bounds = {}) : m_Bounds(Bounds) {}
+
+  void recordRequest(const Attempt &Request);
+  void recordArrival(const Arrival &Event, BootTime Now);
+  void recordOutcome(const Outcome &Result, BootTime Now);
+  void recordOrder(const Order &NewOrder, BootTime Now);
+  /// The attempt crashed its server.
+  void recordCrash(const std::string &AttemptId, BootTime Now);
+
+  /// The server announced its limit in the response to the attempt.
+  void recordLimit(const std::string &Server, double PerSecond,
+                   const std::string &AttemptId, BootTime Now);
+  /// The server no longer announces a limit.
+  void removeLimit(const std::string &Server) { m_Limits.erase(Server); }
+
+  /// \name Disturbances and changes of the system.
+  /// @{
+  void recordFault(const std::string &Gateway, BootTime Now);
+  /// The gateway was asked to reload its settings, or restarted after a stop.
+  void recordPlannedChange(const std::string &Gateway, BootTime Now);
+  /// The gateway got SIGTERM at \p TerminatedAt and is killed after \p Grace.
+  /// Called again when the grace changes during the stop.
+  void recordStop(const std::string &Gateway, BootTime TerminatedAt,
+                  std::chrono::milliseconds Grace, BootTime Now);
+  /// A new process of the gateway was started.
+  void recordRestart(const std::string &Gateway);
+  void recordDrain(const std::string &Server, BootTime Now);
+  void removeDrain(const std::string &Server) { m_DrainStarts.erase(Server); }
+  /// \p Version of the configuration sends the moving route to \p Service.
+  void recordConfiguration(uint64_t Version, const std::string &Service,
+                           BootTime Now);
+  /// @}
+
+  /// Adds a violation that the caller detected, such as an unexpected exit of a
+  /// process.
+  void addViolation(std::string Text) {
+    m_Violations.push_back(std::move(Text));
+  }
+  const std::vector<std::string> &violations() const { return m_Violations; }
+  uint64_t count(const std::string &Name) const;
+
+  /// Used in place of a gateway's name for disturbances of the store or the
+  /// network, which affect all gateways, and of servers, which only interrupt
+  /// their own responses.
+  static constexpr const char *AllGateways = "everything";
+  static constexpr const char *Servers = "servers";
+  /// Service name of the route whose service changes with each version.
+  static constexpr const char *MovingService = "moving";
+
+private:
+  struct Record {
+    Attempt Request;
+    unsigned Executions = 0;
+    bool PrefillArrived = false;
+    bool ExecutionArrived = false;
+    /// The response had a status that guarantees that nothing was executed.
+    bool PromisedNotExecuted = false;
+  };
+  struct Version {
+    uint64_t Number = 0;
+    std::string Service;
+    BootTime At{};
+  };
+  struct Stop {
+    BootTime At{};
+    /// The shortest that the gateway was given.
+    std::chrono::milliseconds Grace{0};
+    /// The longest that the gateway may assume.
+    std::chrono::milliseconds LongestGrace{0};
+    /// From this time on the gateway knows the present grace.
+    BootTime GraceReportedAt{};
+  };
+  struct ServedVersion {
+    uint64_t Number = 0;
+    BootTime At{};
+  };
+
+  /// Crashes by one request.
+  struct Crashes {
+    unsigned Servers = 0;
+    BootTime LimitReachedAt{};
+    unsigned LaterSends = 0;
+  };
+
+  /// The present limit of a server.
+  struct Limit {
+    double PerSecond = 0;
+    BootTime Since{};
+    /// By gateway, time of the first response with the limit.
+    std::map<std::string, BootTime> AnnouncedAt;
+    std::deque<BootTime> Arrivals;
+  };
+
+  using Times = std::map<std::string, BootTime>;
+  bool isStable(const Times &LastTimes, const std::string &Gateway,
+                BootTime Now) const;
+  bool isUndisturbed(const std::string &Gateway, BootTime Now) const;
+  bool mayOutlastStop(const Attempt &Request, BootTime Now);
+  void checkLost(const Record &Entry, BootTime Now);
+  void checkRetryBudget(const std::string &Service, BootTime Now);
+  void checkCrashes(const Record &Entry, BootTime Now);
+  void checkLimit(const Record &Entry, const Arrival &Event, BootTime Now);
+  void checkDrain(const Record &Entry, const Arrival &Event, BootTime Now);
+  void checkVersion(const Record &Entry, const Arrival &Event, BootTime Now);
+  void checkBody(const Outcome &Result);
+  void checkEvents(const Outcome &Result);
+
+  InvariantBounds m_Bounds;
+  std::map<std::string, Record> m_Records;
+  std::map<std::string, Crashes> m_Crashes;
+  std::map<std::string, Limit> m_Limits;
+  Times m_LastFaults;
+  Times m_PlannedChanges;
+  std::map<std::string, Stop> m_Stops;
+  Times m_DrainStarts;
+  std::deque<Version> m_Versions;
+  std::map<std::string, ServedVersion> m_ServedVersions;
+  std::map<std::string, std::deque<BootTime>> m_Requests;
+  std::map<std::string, std::deque<BootTime>> m_Retries;
+  struct LastOrder {
+    Order Content;
+    BootTime At{};
+  };
+  std::map<std::string, LastOrder> m_Orders;
+  std::map<std::string, uint64_t> m_Counts;
+  std::vector<std::string> m_Violations;
+};
+
+/// Text of the event of a stream with this number.
+std::string eventText(const std::string &AttemptId, unsigned Number);
+
+} // namespace figlift::soak
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -1,11 +1,11 @@
 //===- Main.cpp - The fault soak ------------------------------------------===//
 //
-// Plays seeds one after another; ends with 1 when a promise was broken. The
-// logs of a seed that failed are kept.
+// Runs seeds one after another and exits with 1 if an invariant was violated.
+// Keeps the logs of seeds that failed.
 //
 //===----------------------------------------------------------------------===//
 
-#include "Disturber.h"
+#include "FaultInjector.h"
 
 #include <cxxopts.hpp>
 #include <spdlog/fmt/fmt.h>
@@ -24,17 +24,18 @@
 namespace {
 
 constexpr milliseconds TickInterval{50};
-/// After the last fault is mended: the platform's bound for recovery, 12 s,
-/// and the start of a process that was just killed.
+/// After the repair of the last fault: the platform's recovery bound of 12 s,
+/// plus the start of a process that was just killed.
 constexpr seconds RecoveryLimit{15};
-/// A soak that stands still, say for a disk, is a store and servers that do.
-constexpr milliseconds StandstillBound{500};
-/// Callers wait no longer for their last answers.
-constexpr seconds LongestAnswer{10};
-/// The longest grace of a stop, and the start of a process.
+/// The stand-ins of the store and the servers run in this process, so a stall
+/// of it, for example on disk I/O, counts as a fault of all of them.
+constexpr milliseconds StallThreshold{500};
+/// Maximum wait for the last responses, after the callers were stopped.
+constexpr seconds ResponseLimit{10};
+/// The longest shutdown grace, plus the start of a process.
 constexpr seconds StopLimit{12};
-/// Share of the answers of a second that have to be successes then.
-constexpr double RecoveredShare = 0.9;
+/// Fraction of the requests of one second that have to succeed after recovery.
+constexpr double RecoveredFraction = 0.9;
 
 struct Options {
   unsigned Gateways = 3;
@@ -45,151 +46,156 @@
 
 class SeedRun {
 public:
-  SeedRun(uint64_t Seed, const Options &With)
-      : m_Seed(Seed), m_With(With),
-        m_Folder(With.Folder / fmt::format("seed-{}", Seed)) {}
+  SeedRun(uint64_t Seed, const Options &RunOptions)
+      : m_Seed(Seed), m_Options(RunOptions),
+        m_Folder(RunOptions.Folder / fmt::format("seed-{}", Seed)) {}
 
-  bool play() {
-    // Logs of an earlier play of the seed hold other addresses.
+  bool run() {
+    // Logs of an earlier run of the seed name other addresses.
     std::filesystem::remove_all(m_Folder);
     std::filesystem::create_directories(m_Folder);
-    SoakFleet Fleet(m_Loop, m_Book, m_Seed, m_With.Gateways, m_Folder);
+    SoakFleet Fleet(m_Loop, m_Checker, m_Seed, m_Options.Gateways, m_Folder);
     if (!Fleet.start()) {
-      m_Book.broken("the fleet did not start");
+      m_Checker.addViolation("the fleet did not start");
       return report({});
     }
-    Disturber Faults(Fleet, m_Book, m_Seed);
+    FaultInjector Faults(Fleet, m_Checker, m_Seed);
     std::vector<std::unique_ptr<SoakCaller>> Callers;
-    for (unsigned Each = 0; Each < m_With.Callers; ++Each) {
+    for (unsigned I = 0; I < m_Options.Callers; ++I) {
       Callers.push_back(std::make_unique<SoakCaller>(
-          m_Loop, m_Book, m_Seed * 1000 + Each, fmt::format("c{}", Each),
-          Fleet.doors(), promptTokens(), crashingRequests()));
+          m_Loop, m_Checker, m_Seed * 1000 + I, fmt::format("c{}", I),
+          Fleet.gatewayEndpoints(), promptTokens(), crashingRequests()));
       Callers.back()->start();
     }
-    turn(Fleet, Faults, false, RecoveryLimit,
-         [&] { return m_Book.count("status 200") > 100; });
-    turn(Fleet, Faults, true, m_With.Length, [] { return false; });
+    runUntil(Fleet, Faults, false, RecoveryLimit,
+             [&] { return m_Checker.count("status 200") > 100; });
+    runUntil(Fleet, Faults, true, m_Options.Length, [] { return false; });
     recover(Fleet, Faults);
-    for (const auto &Each : Callers)
-      Each->stop();
-    turn(Fleet, Faults, false, LongestAnswer, [&] {
+    for (const auto &Caller : Callers)
+      Caller->stop();
+    runUntil(Fleet, Faults, false, ResponseLimit, [&] {
       return std::all_of(Callers.begin(), Callers.end(),
-                         [](const auto &Each) { return Each->idle(); });
+                         [](const auto &Caller) { return Caller->idle(); });
     });
     return report(Faults.history());
   }
 
 private:
-  /// From short prompts, which ask for engines that run, to long ones, which
-  /// ask for engines that read.
+  /// From short prompts, which need decode engines, to long ones, which need
+  /// prefill engines.
   unsigned promptTokens() const {
     return 1000 + static_cast<unsigned>(m_Seed % 4) * 4000;
   }
 
   CrashingRequests crashingRequests() const {
-    return hasServersInNeed(m_Seed) ? CrashingRequests::Some
-                                    : CrashingRequests::None;
+    return hasCrashesAndLimits(m_Seed) ? CrashingRequests::Some
+                                       : CrashingRequests::None;
   }
 
-  /// Turns the loop until \p Done or \p Limit.
+  /// Runs the loop until \p Done returns true; false after \p Limit.
   template <typename Condition>
-  bool turn(SoakFleet &Fleet, Disturber &Faults, bool May, seconds Limit,
-            Condition Done) {
+  bool runUntil(SoakFleet &Fleet, FaultInjector &Faults, bool AllowFaults,
+                seconds Limit, Condition Done) {
     const BootTime End = BootClock::now() + Limit;
     while (!Done()) {
       const BootTime Now = BootClock::now();
       if (Now > End)
         return false;
-      Faults.tick(Now, May);
+      Faults.tick(Now, AllowFaults);
       Fleet.tick(Now);
-      noteStandstill(Now, milliseconds(0));
+      recordStall(Now, milliseconds(0));
       m_Loop.run_for(TickInterval);
-      noteStandstill(Now, TickInterval);
+      recordStall(Now, TickInterval);
     }
     return true;
   }
 
-  void noteStandstill(BootTime Since, milliseconds Usual) {
+  void recordStall(BootTime Since, milliseconds Expected) {
     const BootTime Now = BootClock::now();
     const auto Time =
-        std::chrono::duration_cast<milliseconds>(Now - Since) - Usual;
-    m_LongestStandstill = std::max(m_LongestStandstill, Time);
-    if (Time > StandstillBound)
-      m_Book.disturbed(PromiseBook::Everything, Now);
+        std::chrono::duration_cast<milliseconds>(Now - Since) - Expected;
+    m_LongestStall = std::max(m_LongestStall, Time);
+    if (Time > StallThreshold)
+      m_Checker.recordFault(InvariantChecker::AllGateways, Now);
   }
 
-  void recover(SoakFleet &Fleet, Disturber &Faults) {
-    turn(Fleet, Faults, false, StopLimit,
-         [&] { return Faults.calm() && Fleet.allRun(); });
-    uint64_t Good = 0;
-    uint64_t All = 0;
+  void recover(SoakFleet &Fleet, FaultInjector &Faults) {
+    runUntil(Fleet, Faults, false, StopLimit,
+             [&] { return Faults.calm() && Fleet.allRunning(); });
+    uint64_t SuccessCount = 0;
+    uint64_t RequestCount = 0;
     BootTime Since{};
-    const bool Recovered = turn(Fleet, Faults, false, RecoveryLimit, [&] {
+    const bool Recovered = runUntil(Fleet, Faults, false, RecoveryLimit, [&] {
       const BootTime Now = BootClock::now();
       if (Now - Since < seconds(1))
         return false;
-      const uint64_t NewGood = m_Book.count("status 200") - Good;
-      const uint64_t NewAll = m_Book.count("requests") - All;
+      const uint64_t NewSuccesses =
+          m_Checker.count("status 200") - SuccessCount;
+      const uint64_t NewRequests = m_Checker.count("requests") - RequestCount;
       const bool IsFirst = Since == BootTime{};
-      Good += NewGood;
-      All += NewAll;
+      SuccessCount += NewSuccesses;
+      RequestCount += NewRequests;
       Since = Now;
-      return !IsFirst && NewAll > 20 &&
-             double(NewGood) > RecoveredShare * double(NewAll);
+      return !IsFirst && NewRequests > 20 &&
+             double(NewSuccesses) > RecoveredFraction * double(NewRequests);
     });
     if (!Recovered)
-      m_Book.broken("RECOVER: not served again after the last fault");
+      m_Checker.addViolation(
+          "RECOVER: requests did not succeed again after the last fault");
   }
 
   bool report(const std::vector<std::string> &History) {
     std::string Counts;
-    for (const char *What : {"requests", "repeats", "orders", "crashes",
+    for (const char *Name : {"requests", "retries", "orders", "crashes",
                              "status 200", "status 500", "status 502",
-                             "status 503", "status 504", "without an answer"})
-      Counts += fmt::format(" {}: {};", What, m_Book.count(What));
-    std::printf("seed %lu: %zu faults,%s stood still: %ld ms; %zu broken\n",
-                static_cast<unsigned long>(m_Seed), History.size(),
-                Counts.c_str(), static_cast<long>(m_LongestStandstill.count()),
-                m_Book.violations().size());
-    constexpr size_t MostShown = 10;
-    for (size_t At = 0; At < m_Book.violations().size() && At < MostShown; ++At)
-      std::printf("  %s\n", m_Book.violations()[At].c_str());
+                             "status 503", "status 504", "no response"})
+      Counts += fmt::format(" {}: {};", Name, m_Checker.count(Name));
+    std::printf(
+        "seed %lu: %zu faults,%s longest stall: %ld ms; %zu violations\n",
+        static_cast<unsigned long>(m_Seed), History.size(), Counts.c_str(),
+        static_cast<long>(m_LongestStall.count()),
+        m_Checker.violations().size());
+    constexpr size_t MaximumShown = 10;
+    for (size_t I = 0; I < m_Checker.violations().size() && I < MaximumShown;
+         ++I)
+      std::printf("  %s\n", m_Checker.violations()[I].c_str());
     std::fflush(stdout);
-    if (m_Book.violations().empty()) {
+    if (m_Checker.violations().empty()) {
       std::filesystem::remove_all(m_Folder);
       return true;
     }
-    std::ofstream Kept(m_Folder / "run.txt");
-    for (const std::string &Each : History)
-      Kept << Each << "\n";
-    for (const std::string &Each : m_Book.violations())
-      Kept << Each << "\n";
+    std::ofstream File(m_Folder / "run.txt");
+    for (const std::string &Line : History)
+      File << Line << "\n";
+    for (const std::string &Violation : m_Checker.violations())
+      File << Violation << "\n";
     std::printf("  logs: %s\n", m_Folder.c_str());
     return false;
   }
 
   const uint64_t m_Seed;
-  const Options &m_With;
+  const Options &m_Options;
   const std::filesystem::path m_Folder;
   boost::asio::io_context m_Loop;
-  PromiseBook m_Book;
-  milliseconds m_LongestStandstill{0};
+  InvariantChecker m_Checker;
+  milliseconds m_LongestStall{0};
 };
 
-std::vector<uint64_t> seedsOf(const cxxopts::ParseResult &Given) {
+std::vector<uint64_t> readSeeds(const cxxopts::ParseResult &Parsed) {
   std::vector<uint64_t> Seeds;
-  if (Given.count("list")) {
-    std::ifstream File(Given["list"].as<std::string>());
-    // The rest of a line is for its reader.
+  if (Parsed.count("list")) {
+    std::ifstream File(Parsed["list"].as<std::string>());
+    // The rest of a line explains the seed.
     for (std::string Line; std::getline(File, Line);)
       if (uint64_t Seed = 0; std::sscanf(Line.c_str(), "%lu", &Seed) == 1)
         Seeds.push_back(Seed);
     return Seeds;
   }
-  constexpr unsigned DrawnSeeds = 1000000;
-  uint64_t Seed = Given.count("seed") ? Given["seed"].as<uint64_t>()
-                                      : std::random_device{}() % DrawnSeeds;
-  for (unsigned Each = 0; Each < Given["seeds"].as<unsigned>(); ++Each)
+  constexpr unsigned RandomSeedCount = 1000000;
+  uint64_t Seed = Parsed.count("seed")
+                      ? Parsed["seed"].as<uint64_t>()
+                      : std::random_device{}() % RandomSeedCount;
+  for (unsigned I = 0; I < Parsed["seeds"].as<unsigned>(); ++I)
     Seeds.push_back(Seed++);
   return Seeds;
 }
@@ -197,36 +203,39 @@
 } // namespace
 
 int main(int ArgumentCount, char **Arguments) {
-  cxxopts::Options Flags("figlift-soak", "Randomized faults, checked promises");
+  cxxopts::Options Flags("figlift-soak",
+                         "Randomized faults with checked invariants");
   auto Add = Flags.add_options();
-  Add("seed", "first seed; drawn if not given", cxxopts::value<uint64_t>());
-  Add("seeds", "how many, one after another",
+  Add("seed", "first seed; random by default", cxxopts::value<uint64_t>());
+  Add("seeds", "number of consecutive seeds",
       cxxopts::value<unsigned>()->default_value("1"));
-  Add("seconds", "of faults for each seed",
+  Add("seconds", "duration of faults for each seed",
       cxxopts::value<unsigned>()->default_value("15"));
-  Add("gateways", "processes", cxxopts::value<unsigned>()->default_value("3"));
-  Add("callers", "", cxxopts::value<unsigned>()->default_value("24"));
-  Add("folder", "logs of seeds that fail",
+  Add("gateways", "gateway processes",
+      cxxopts::value<unsigned>()->default_value("3"));
+  Add("callers", "concurrent callers",
+      cxxopts::value<unsigned>()->default_value("24"));
+  Add("folder", "folder for the logs of seeds that fail",
       cxxopts::value<std::string>()->default_value("soak-logs"));
   Add("list",
-      "file with seeds that failed once, one a line, each with its cause; all "
-      "of them are played",
+      "file of seeds to run, one per line, each followed by an explanation",
       cxxopts::value<std::string>());
   Add("help", "");
-  const auto Given = Flags.parse(ArgumentCount, Arguments);
-  if (Given.count("help")) {
+  const auto Parsed = Flags.parse(ArgumentCount, Arguments);
+  if (Parsed.count("help")) {
     std::puts(Flags.help().c_str());
     return EXIT_SUCCESS;
   }
-  Options With;
-  With.Gateways = Given["gateways"].as<unsigned>();
-  With.Callers = Given["callers"].as<unsigned>();
-  With.Length = seconds(Given["seconds"].as<unsigned>());
-  With.Folder = std::filesystem::absolute(Given["folder"].as<std::string>());
-  const std::vector<uint64_t> Seeds = seedsOf(Given);
+  Options RunOptions;
+  RunOptions.Gateways = Parsed["gateways"].as<unsigned>();
+  RunOptions.Callers = Parsed["callers"].as<unsigned>();
+  RunOptions.Length = seconds(Parsed["seconds"].as<unsigned>());
+  RunOptions.Folder =
+      std::filesystem::absolute(Parsed["folder"].as<std::string>());
+  const std::vector<uint64_t> Seeds = readSeeds(Parsed);
   unsigned Failed = 0;
   for (const uint64_t Seed : Seeds)
-    Failed += SeedRun(Seed, With).play() ? 0 : 1;
+    Failed += SeedRun(Seed, RunOptions).run() ? 0 : 1;
   std::printf("%zu passed, %u failed\n", Seeds.size() - Failed, Failed);
   return Failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/Tests/Soak/SoakCaller.cpp
+++ b/Tests/Soak/SoakCaller.cpp
@@ -1,4 +1,4 @@
-//===- SoakCaller.cpp - A caller that never stops -------------------------===//
+//===- SoakCaller.cpp - A caller that sends requests throughout -----------===//
 //
 // See SoakCaller.h.
 //
@@ -20,109 +20,115 @@
 using std::chrono::milliseconds;
 
 namespace {
-/// Beyond the deadline: answers that come a little late are looked at, too.
-constexpr milliseconds Patience{500};
-constexpr unsigned CrashesAmongUnsafe = 4;
+/// Time beyond the deadline in which late responses are still checked.
+constexpr milliseconds ResponseMargin{500};
+constexpr unsigned UnsafePerCrash = 4;
 } // namespace
 
-SoakCaller::SoakCaller(asio::io_context &Loop, PromiseBook &Book, uint64_t Seed,
-                       std::string Name, std::vector<Door> Doors,
-                       unsigned PromptTokens, CrashingRequests MayCrash)
-    : m_Socket(Loop), m_Pause(Loop), m_Patience(Loop), m_Book(Book),
-      m_Random(Seed), m_Name(std::move(Name)), m_Doors(std::move(Doors)),
-      m_PromptTokens(PromptTokens), m_IgnoresClose(Seed % 2 == 0),
-      m_MayCrash(MayCrash == CrashingRequests::Some) {}
-
-unsigned SoakCaller::draw(unsigned From, unsigned To) {
-  return std::uniform_int_distribution<unsigned>(From, To)(m_Random);
+SoakCaller::SoakCaller(asio::io_context &Loop, InvariantChecker &Checker,
+                       uint64_t Seed, std::string Name,
+                       std::vector<GatewayEndpoint> Gateways,
+                       unsigned PromptTokens, CrashingRequests CrashChoice)
+    : m_Socket(Loop), m_NextTimer(Loop), m_ResponseTimer(Loop),
+      m_Checker(Checker), m_Random(Seed), m_Name(std::move(Name)),
+      m_Gateways(std::move(Gateways)), m_PromptTokens(PromptTokens),
+      m_IgnoresClose(Seed % 2 == 0),
+      m_SendsCrashingRequests(CrashChoice == CrashingRequests::Some) {}
+
+unsigned SoakCaller::draw(unsigned Minimum, unsigned Maximum) {
+  return std::uniform_int_distribution<unsigned>(Minimum, Maximum)(m_Random);
 }
 
-void SoakCaller::pause() {
+void SoakCaller::scheduleNext() {
   m_Idle = true;
   if (m_Stopped)
-    return drop();
-  // Now and then long enough for a gateway to close what is idle.
-  const bool Long = draw(1, 40) == 1;
-  m_Pause.expires_after(milliseconds(m_Closing ? 0
-                                     : Long    ? draw(500, 3000)
-                                               : draw(2, 60)));
-  m_Pause.async_wait([this](const ErrorCode &Code) {
+    return closeConnection();
+  // Some pauses are long enough for a gateway to close the idle connection.
+  const bool IsLong = draw(1, 40) == 1;
+  m_NextTimer.expires_after(milliseconds(m_Closing ? 0
+                                         : IsLong  ? draw(500, 3000)
+                                                   : draw(2, 60)));
+  m_NextTimer.async_wait([this](const ErrorCode &Code) {
     if (!Code)
-      next();
+      startExchange();
   });
 }
 
-void SoakCaller::drop() {
-  ++m_Exchange;
+void SoakCaller::closeConnection() {
+  ++m_ExchangeId;
   m_Connected = false;
   m_Closing = false;
-  ErrorCode Ignored; // The connection is given up either way.
+  ErrorCode Ignored; // The socket is unusable afterwards either way.
   m_Socket.close(Ignored);
 }
 
-void SoakCaller::next() {
+void SoakCaller::startExchange() {
   m_Idle = false;
-  ++m_Exchange;
-  leaveAfter(Patience);
+  ++m_ExchangeId;
+  disconnectAfter(ResponseMargin);
   if (!m_Connected || (!m_Closing && draw(1, 20) == 1))
     return connect();
   send();
 }
 
-void SoakCaller::leaveAfter(milliseconds Time) {
-  m_Patience.expires_after(Time);
-  m_Patience.async_wait([this, Exchange = m_Exchange](const ErrorCode &Code) {
-    if (Code || Exchange != m_Exchange)
-      return;
-    drop();
-    pause();
-  });
+void SoakCaller::disconnectAfter(milliseconds Delay) {
+  m_ResponseTimer.expires_after(Delay);
+  m_ResponseTimer.async_wait(
+      [this, Exchange = m_ExchangeId](const ErrorCode &Code) {
+        if (Code || Exchange != m_ExchangeId)
+          return;
+        closeConnection();
+        scheduleNext();
+      });
 }
 
 void SoakCaller::connect() {
-  ErrorCode Ignored; // Whatever was there is not needed any more.
+  ErrorCode Ignored; // The old connection is no longer used.
   m_Socket.close(Ignored);
-  m_Door = draw(0, static_cast<unsigned>(m_Doors.size()) - 1);
-  const Endpoint &To = m_Doors[m_Door].Address;
-  m_Socket.async_connect({asio::ip::make_address_v4(To.Address), To.Port},
-                         [this, Exchange = m_Exchange](const ErrorCode &Code) {
-                           if (Exchange != m_Exchange)
-                             return;
-                           m_Connected = !Code;
-                           if (m_Connected)
-                             return send();
-                           drop();
-                           pause();
-                         });
+  m_Gateway = draw(0, static_cast<unsigned>(m_Gateways.size()) - 1);
+  const Endpoint &Target = m_Gateways[m_Gateway].Address;
+  m_Socket.async_connect(
+      {asio::ip::make_address_v4(Target.Address), Target.Port},
+      [this, Exchange = m_ExchangeId](const ErrorCode &Code) {
+        if (Exchange != m_ExchangeId)
+          return;
+        m_Connected = !Code;
+        if (m_Connected)
+          return send();
+        closeConnection();
+        scheduleNext();
+      });
 }
 
 std::string SoakCaller::requestText() {
-  static const std::array<Choice, 6> Choices = {
+  static const std::array<Route, 6> Routes = {
       {{"/safe/", "plain", Repeatable::Yes, false},
        {"/unsafe/", "plain", Repeatable::No, false},
-       {"/moving/", PromiseBook::MovingService, Repeatable::Yes, false},
+       {"/moving/", InvariantChecker::MovingService, Repeatable::Yes, false},
        {"/stream/", "model", Repeatable::Yes, true},
        {"/once/", "model", Repeatable::No, true},
        {"/long/", "model", Repeatable::No, true, 1000, 9000}}};
-  const Choice &Chosen = Choices[draw(0, Choices.size() - 1)];
-  // Requests that crash servers come from any caller, again and again.
-  const bool Crashes = m_MayCrash && Chosen.Path == "/unsafe/" &&
-                       draw(1, CrashesAmongUnsafe) == 1;
-  const std::string Crashing =
-      Crashes ? fmt::format("{}{}", CrashingPath, draw(1, 2)) : "";
+  const Route &Chosen = Routes[draw(0, Routes.size() - 1)];
+  // Any caller may repeatedly send requests that crash servers.
+  const bool CrashesServer = m_SendsCrashingRequests &&
+                             Chosen.Path == "/unsafe/" &&
+                             draw(1, UnsafePerCrash) == 1;
+  const std::string CrashName =
+      CrashesServer ? fmt::format("{}{}", CrashingPath, draw(1, 2)) : "";
   m_AttemptId = fmt::format("{}-{}", m_Name, ++m_Count);
-  m_Events = Chosen.Streams ? draw(1, 30) : 0;
+  m_Events = Chosen.IsStream ? draw(1, 30) : 0;
   const milliseconds Deadline(
-      draw(Chosen.ShortestDeadlineMs, Chosen.LongestDeadlineMs));
-  leaveAfter(Deadline + Patience);
-  m_Book.sent({m_AttemptId, m_Doors[m_Door].Gateway, Chosen.Service,
-               Chosen.Kind, BootClock::now(), Deadline, Crashing});
-  std::string Text =
-      fmt::format("{} {}{} HTTP/1.1\r\nHost: h\r\n"
-                  "X-Attempt-Id: {}\r\nX-Deadline-Ms: {}\r\n",
-                  Chosen.Kind == Repeatable::No ? "POST" : "GET", Chosen.Path,
-                  Crashes ? Crashing : "x", m_AttemptId, Deadline.count());
-  if (Chosen.Streams)
+      draw(Chosen.MinimumDeadlineMs, Chosen.MaximumDeadlineMs));
+  disconnectAfter(Deadline + ResponseMargin);
+  m_Checker.recordRequest({m_AttemptId, m_Gateways[m_Gateway].Gateway,
+                           Chosen.Service, Chosen.Kind, BootClock::now(),
+                           Deadline, CrashName});
+  std::string Text = fmt::format("{} {}{} HTTP/1.1\r\nHost: h\r\n"
+                                 "X-Attempt-Id: {}\r\nX-Deadline-Ms: {}\r\n",
+                                 Chosen.Kind == Repeatable::No ? "POST" : "GET",
+                                 Chosen.Path, CrashesServer ? CrashName : "x",
+                                 m_AttemptId, Deadline.count());
+  if (Chosen.IsStream)
     Text += fmt::format("X-Soak-Events: {}\r\nX-Token-Count: {},{}\r\n"
                         "X-Prompt-Prefix: {:x}:{},{:x}:{}\r\n",
                         m_Events, 2 * m_PromptTokens, m_Events, draw(1, 8),
@@ -140,53 +146,57 @@
   auto Text = std::make_shared<std::string>(requestText());
   asio::async_write(m_Socket, asio::buffer(*Text),
                     [Text](const ErrorCode &, size_t) {
-                      // A failure shows when the answer is read.
+                      // A failure also fails the read.
                     });
-  // One in thirty callers leaves before or in the middle of its answer.
+  // One in thirty requests is canceled before or during its response.
   if (draw(1, 30) == 1)
-    leaveAfter(milliseconds(draw(1, 60)));
+    disconnectAfter(milliseconds(draw(1, 60)));
   read();
 }
 
 void SoakCaller::read() {
   m_Socket.async_read_some(
       asio::buffer(m_Buffer),
-      [this, Exchange = m_Exchange](const ErrorCode &Code, size_t Count) {
-        if (Exchange != m_Exchange)
+      [this, Exchange = m_ExchangeId](const ErrorCode &Code, size_t Count) {
+        if (Exchange != m_ExchangeId)
           return;
         if (!Code)
-          return received(Count);
+          return handleBytes(Count);
         using State = proxy::ResponseParser::State;
         if (Code == asio::error::eof && m_Parser.finish() == State::Complete)
           m_Body += m_Parser.takeBody();
-        done(m_Parser.state() == State::Complete ? m_Parser.head().Status : 0);
+        finishExchange(
+            m_Parser.state() == State::Complete ? m_Parser.head().Status : 0);
       });
 }
 
-void SoakCaller::received(size_t Count) {
+void SoakCaller::handleBytes(size_t Count) {
   using State = proxy::ResponseParser::State;
-  const State Now = m_Parser.feed({m_Buffer.data(), Count});
-  if (Now == State::Body || Now == State::Complete)
+  const State ParserState = m_Parser.feed({m_Buffer.data(), Count});
+  if (ParserState == State::Body || ParserState == State::Complete)
     m_Body += m_Parser.takeBody();
-  if (Now == State::Failed)
-    m_Book.broken("MIXED: " + m_AttemptId + " got bytes that are no response");
-  if (Now == State::Complete && m_Parser.hasExcess())
-    m_Book.broken("MIXED: bytes behind the answer to " + m_AttemptId);
-  if (Now == State::Complete || Now == State::Failed)
-    return done(Now == State::Complete ? m_Parser.head().Status : 0);
+  if (ParserState == State::Failed)
+    m_Checker.addViolation("MIXED: " + m_AttemptId +
+                           " got bytes that are not an HTTP response");
+  if (ParserState == State::Complete && m_Parser.hasExcess())
+    m_Checker.addViolation("MIXED: excess bytes after the response to " +
+                           m_AttemptId);
+  if (ParserState == State::Complete || ParserState == State::Failed)
+    return finishExchange(
+        ParserState == State::Complete ? m_Parser.head().Status : 0);
   read();
 }
 
-void SoakCaller::done(unsigned Status) {
+void SoakCaller::finishExchange(unsigned Status) {
   const bool Signed =
       Status != 0 && m_Parser.head().Headers.has("X-Response-Signature");
   m_Closing = Status != 0 && !m_Parser.keepsAlive();
-  m_Book.ended({m_AttemptId, Status, Signed, m_Body, m_Events},
-               BootClock::now());
-  m_Patience.cancel();
+  m_Checker.recordOutcome({m_AttemptId, Status, Signed, m_Body, m_Events},
+                          BootClock::now());
+  m_ResponseTimer.cancel();
   if (Status == 0 || (m_Closing && !m_IgnoresClose))
-    drop();
-  pause();
+    closeConnection();
+  scheduleNext();
 }
 
 } // namespace figlift::soak
--- a/Tests/Soak/SoakCaller.h
+++ b/Tests/Soak/SoakCaller.h
@@ -1,17 +1,18 @@
-//===- SoakCaller.h - A caller that never stops -----------------*- C++ -*-===//
+//===- SoakCaller.h - A caller that sends requests throughout ---*- C++ -*-===//
 //
-// Sends one request after another through any gateway, keeps connections open
-// for as long as the gateway does, leaves some answers early, and tells the
-// book of promises what it sent and got. Every second caller goes on sending on
-// its connection, at once, though the gateway said that it closes it.
+// Sends requests one after another through random gateways, keeps connections
+// open as long as the gateway does, cancels some requests, and reports requests
+// and responses to the invariant checker. Every second caller ignores that a
+// gateway announces to close its connection, and sends the next request on it
+// at once.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
+#include "InvariantChecker.h"
 #include "LibCore/Endpoint.h"
 #include "LibProxy/ResponseParser.h"
-#include "PromiseBook.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -24,8 +25,8 @@
 
 namespace figlift::soak {
 
-/// A gateway as callers reach it.
-struct Door {
+/// Address at which callers reach a gateway.
+struct GatewayEndpoint {
   std::string Gateway;
   Endpoint Address;
 };
@@ -35,58 +36,60 @@
 
 class SoakCaller {
 public:
-  SoakCaller(boost::asio::io_context &Loop, PromiseBook &Book, uint64_t Seed,
-             std::string Name, std::vector<Door> Doors, unsigned PromptTokens,
-             CrashingRequests MayCrash);
-  void start() { pause(); }
+  SoakCaller(boost::asio::io_context &Loop, InvariantChecker &Checker,
+             uint64_t Seed, std::string Name,
+             std::vector<GatewayEndpoint> Gateways, unsigned PromptTokens,
+             CrashingRequests CrashChoice);
+  void start() { scheduleNext(); }
   void stop() { m_Stopped = true; }
   bool idle() const { return m_Idle; }
 
 private:
-  struct Choice {
+  struct Route {
     std::string Path;
     std::string Service;
     Repeatable Kind = Repeatable::Yes;
-    bool Streams = false;
-    unsigned ShortestDeadlineMs = 2000;
-    unsigned LongestDeadlineMs = 2000;
+    bool IsStream = false;
+    unsigned MinimumDeadlineMs = 2000;
+    unsigned MaximumDeadlineMs = 2000;
   };
 
-  void pause();
-  void next();
+  void scheduleNext();
+  void startExchange();
   void connect();
   void send();
   void read();
-  void received(size_t Count);
-  void done(unsigned Status);
-  void drop();
-  void leaveAfter(std::chrono::milliseconds Time);
+  void handleBytes(size_t Count);
+  void finishExchange(unsigned Status);
+  void closeConnection();
+  void disconnectAfter(std::chrono::milliseconds Delay);
   std::string requestText();
-  unsigned draw(unsigned From, unsigned To);
+  unsigned draw(unsigned Minimum, unsigned Maximum);
 
   boost::asio::ip::tcp::socket m_Socket;
-  boost::asio::steady_timer m_Pause;
-  boost::asio::steady_timer m_Patience;
-  PromiseBook &m_Book;
+  boost::asio::steady_timer m_NextTimer;
+  boost::asio::steady_timer m_ResponseTimer;
+  InvariantChecker &m_Checker;
   std::mt19937_64 m_Random;
   const std::string m_Name;
-  const std::vector<Door> m_Doors;
-  /// Shared part of each prompt: what it is decides whether reading or running
-  /// keeps the engines busy, and so what orders they are given.
+  const std::vector<GatewayEndpoint> m_Gateways;
+  /// Length of the shared prefix of each prompt. It decides whether prefill or
+  /// decode dominates, and so which roles the engines are ordered to take.
   const unsigned m_PromptTokens;
   const bool m_IgnoresClose;
-  const bool m_MayCrash;
-  size_t m_Door = 0;
+  const bool m_SendsCrashingRequests;
+  size_t m_Gateway = 0;
   proxy::ResponseParser m_Parser;
   std::array<char, 8192> m_Buffer;
   std::string m_Body;
   std::string m_AttemptId;
   unsigned m_Events = 0;
-  /// The gateway said that it closes the connection.
+  /// The gateway announced that it closes the connection.
   bool m_Closing = false;
   uint64_t m_Count = 0;
-  /// Answers of an earlier request end nothing of a later one.
-  uint64_t m_Exchange = 0;
+  /// Identifies the present exchange, so that events of earlier ones are
+  /// ignored.
+  uint64_t m_ExchangeId = 0;
   bool m_Connected = false;
   bool m_Idle = true;
   bool m_Stopped = false;
--- a/Tests/Soak/SoakFleet.cpp
+++ b/Tests/Soak/SoakFleet.cpp
@@ -26,35 +26,35 @@
 
 namespace {
 
-/// Graces in turn, one SIGHUP after another.
+/// Each SIGHUP sets the next grace of these.
 constexpr std::array Graces = {milliseconds(8000), milliseconds(6000),
                                milliseconds(4000)};
-/// Beyond the grace: a busy test machine.
+/// Allowance beyond the grace for a busy test machine.
 constexpr milliseconds StopSlack{1500};
-/// The soak ticks twenty times a second.
-constexpr milliseconds StandstillBound{1000};
+/// The soak ticks twenty times per second, so a longer gap is a stall.
+constexpr milliseconds StallThreshold{1000};
 constexpr milliseconds StartLimit{10000};
-/// Of streams that may outlast every grace.
+/// Route timeout of streams that may outlast every grace.
 constexpr milliseconds LongTimeout{10000};
 constexpr unsigned PlainServers = 3;
 constexpr unsigned MovingServices = 3;
 constexpr unsigned Engines = 4;
 
-/// Ports of a gateway, on an address of its own. A port that was found free on
-/// the address that all use may be given to a link of the fault proxy before
-/// the gateway binds it; callers then reach a server or the store past all
-/// gateways.
+/// Ports of a gateway, on its own address. On a shared address, the fault proxy
+/// may bind a port that was found free before the gateway does; callers then
+/// bypass the gateways and reach a server or the store.
 constexpr uint16_t CallersPort = 7001;
 constexpr uint16_t ReadyPort = 7002;
 constexpr uint16_t MetricsPort = 7003;
 constexpr uint16_t PeersPort = 7004;
 
-/// 127.64.0.0 to 127.127.255.255, apart for soaks that run at the same time.
-std::string gatewayAddress(unsigned Which) {
+/// An address from 127.64.0.0 to 127.127.255.255, chosen by process id so that
+/// concurrent soaks do not collide.
+std::string gatewayAddress(unsigned Gateway) {
   const auto Pid = static_cast<unsigned>(getpid());
   constexpr unsigned Hosts = 250;
   return fmt::format("127.{}.{}.{}", 64 + Pid / Hosts % 64, Pid % Hosts + 1,
-                     Which + 1);
+                     Gateway + 1);
 }
 
 std::string modeName(LinkFault How) {
@@ -65,11 +65,11 @@
     return "freeze";
   case LinkFault::LoseRequests:
     return "drop-up";
-  case LinkFault::LoseAnswers:
+  case LinkFault::LoseResponses:
     return "drop-down";
   case LinkFault::Delay:
     return "delay";
-  case LinkFault::Mended:
+  case LinkFault::None:
     return "pass";
   }
   return {};
@@ -81,29 +81,32 @@
 
 } // namespace
 
-SoakFleet::SoakFleet(boost::asio::io_context &Loop, PromiseBook &Book,
+SoakFleet::SoakFleet(boost::asio::io_context &Loop, InvariantChecker &Checker,
                      uint64_t Seed, unsigned Gateways,
                      std::filesystem::path Folder)
-    : m_Loop(Loop), m_Book(Book), m_Folder(std::move(Folder)), m_Store(Loop),
-      m_Gateways(Gateways) {
+    : m_Loop(Loop), m_Checker(Checker), m_Folder(std::move(Folder)),
+      m_Store(Loop), m_Gateways(Gateways) {
   const auto Add = [&](const std::string &Service, const std::string &Stage) {
     m_Servers.push_back(std::make_unique<SoakServer>(
-        Loop, Book, Seed + m_Servers.size(), Service, Stage));
-    const auto Which = static_cast<unsigned>(m_Servers.size() - 1);
-    m_Servers.back()->becomes(fmt::format("s{}-{}", Which, ++m_Incarnations));
-    m_Servers.back()->Crashed = [this, Which] { comeBack(Which); };
-    m_Servers.back()->StageChanged = [this, Which] { list(Which, "ready"); };
+        Loop, Checker, Seed + m_Servers.size(), Service, Stage));
+    const auto Server = static_cast<unsigned>(m_Servers.size() - 1);
+    m_Servers.back()->restartAs(
+        fmt::format("s{}-{}", Server, ++m_IncarnationCount));
+    m_Servers.back()->Crashed = [this, Server] { scheduleReplacement(Server); };
+    m_Servers.back()->StageChanged = [this, Server] {
+      publish(Server, "ready");
+    };
   };
-  for (unsigned Each = 0; Each < PlainServers; ++Each)
+  for (unsigned I = 0; I < PlainServers; ++I)
     Add("plain", "");
-  for (unsigned Each = 0; Each < MovingServices; ++Each)
-    Add(movingService(Each), "");
-  for (unsigned Each = 0; Each < Engines; ++Each)
-    Add("model", Each == 0 ? "prefill" : "decode");
+  for (unsigned I = 0; I < MovingServices; ++I)
+    Add(movingService(I), "");
+  for (unsigned I = 0; I < Engines; ++I)
+    Add("model", I == 0 ? "prefill" : "decode");
 }
 
-std::string SoakFleet::gatewayName(unsigned Which) const {
-  return fmt::format("gateway-{}", Which + 1);
+std::string SoakFleet::gatewayName(unsigned Gateway) const {
+  return fmt::format("gateway-{}", Gateway + 1);
 }
 
 std::string SoakFleet::linkFlag(const std::string &Name,
@@ -117,212 +120,216 @@
     Flags.push_back("--link");
     Flags.push_back(linkFlag(Name, Target));
   };
-  for (unsigned Each = 0; Each < m_Gateways.size(); ++Each) {
-    m_Gateways[Each].Callers = {gatewayAddress(Each), CallersPort};
-    Add(fmt::format("store-{}", Each), m_Store.address());
-    Add(fmt::format("callers-{}", Each), m_Gateways[Each].Callers);
+  for (unsigned I = 0; I < m_Gateways.size(); ++I) {
+    m_Gateways[I].Callers = {gatewayAddress(I), CallersPort};
+    Add(fmt::format("store-{}", I), m_Store.address());
+    Add(fmt::format("callers-{}", I), m_Gateways[I].Callers);
   }
-  for (unsigned Each = 0; Each < m_Servers.size(); ++Each)
-    Add(fmt::format("server-{}", Each), m_Servers[Each]->address());
+  for (unsigned I = 0; I < m_Servers.size(); ++I)
+    Add(fmt::format("server-{}", I), m_Servers[I]->address());
   m_Proxy =
       test::ChildProcess::start("Tests/StandIns/fault-proxy/fault-proxy", Flags,
                                 (m_Folder / "fault-proxy.log").string());
   if (!m_Proxy.waitForOutput("listening ", StartLimit))
     return false;
   const std::string Text = m_Proxy.output();
-  const size_t At = Text.find("listening ") + 10;
-  m_ProxyControl = Text.substr(At, Text.find('\n', At) - At);
+  const size_t Start = Text.find("listening ") + 10;
+  m_ProxyControl = Text.substr(Start, Text.find('\n', Start) - Start);
   return true;
 }
 
 Endpoint SoakFleet::linkAddress(const std::string &Name) const {
   const std::string Text = m_Proxy.output();
-  const std::string Mark = "link " + Name + " ";
-  const size_t At = Text.find(Mark) + Mark.size();
-  return Endpoint::parse(Text.substr(At, Text.find('\n', At) - At)).value();
+  const std::string Prefix = "link " + Name + " ";
+  const size_t Start = Text.find(Prefix) + Prefix.size();
+  return Endpoint::parse(Text.substr(Start, Text.find('\n', Start) - Start))
+      .value();
 }
 
-void SoakFleet::setLink(Link Which, unsigned Of, LinkFault How) {
+void SoakFleet::setLink(Link Kind, unsigned Index, LinkFault Mode) {
   constexpr std::array Names = {"store", "callers", "server"};
   test::call(m_ProxyControl, "POST",
              fmt::format("/control/links/{}-{}",
-                         Names[static_cast<size_t>(Which)], Of),
-             Json{{"mode", modeName(How)}, {"delay", "200ms"}}.dump(), {},
+                         Names[static_cast<size_t>(Kind)], Index),
+             Json{{"mode", modeName(Mode)}, {"delay", "200ms"}}.dump(), {},
              StartLimit);
 }
 
-void SoakFleet::list(unsigned Server, const std::string &State) {
-  const SoakServer &Which = *m_Servers[Server];
-  Json Row = {
-      {"service", Which.service()},
-      {"address", linkAddress(fmt::format("server-{}", Server)).toString()},
-      {"zone", "z"},
-      {"version", "v1"},
-      {"slots", 4},
-      {"state", State},
-      {"coldRemainingMs", 0},
-      {"sequence", ++m_Life[Server].Heartbeats},
-      {"born", m_Life[Server].Started}};
-  if (!Which.stage().empty())
-    Row["stage"] = Which.stage();
-  m_Store.put("servers", Which.id(), Row.dump());
+void SoakFleet::publish(unsigned ServerIndex, const std::string &State) {
+  const SoakServer &Server = *m_Servers[ServerIndex];
+  Json Row = {{"service", Server.service()},
+              {"address",
+               linkAddress(fmt::format("server-{}", ServerIndex)).toString()},
+              {"zone", "z"},
+              {"version", "v1"},
+              {"slots", 4},
+              {"state", State},
+              {"coldRemainingMs", 0},
+              {"sequence", ++m_ServerIncarnations[ServerIndex].Heartbeats},
+              {"born", m_ServerIncarnations[ServerIndex].Started}};
+  if (!Server.stage().empty())
+    Row["stage"] = Server.stage();
+  m_Store.put("servers", Server.id(), Row.dump());
 }
 
 bool SoakFleet::start() {
   if (!startProxy())
     return false;
-  for (unsigned Each = 0; Each < m_Servers.size(); ++Each)
-    list(Each, "ready");
+  for (unsigned I = 0; I < m_Servers.size(); ++I)
+    publish(I, "ready");
   configure();
-  for (unsigned Each = 0; Each < m_Gateways.size(); ++Each)
-    startGateway(Each);
+  for (unsigned I = 0; I < m_Gateways.size(); ++I)
+    startGateway(I);
   return true;
 }
 
-std::filesystem::path SoakFleet::writeSettings(unsigned Which) {
-  const Gateway &Of = m_Gateways[Which];
-  const std::string Name = gatewayName(Which);
-  const std::string Address = gatewayAddress(Which);
-  const auto At = [&](uint16_t Port) {
+std::filesystem::path SoakFleet::writeSettings(unsigned Index) {
+  const Gateway &Target = m_Gateways[Index];
+  const std::string Name = gatewayName(Index);
+  const std::string Address = gatewayAddress(Index);
+  const auto MakeAddress = [&](uint16_t Port) {
     return Endpoint{Address, Port}.toString();
   };
   const Json Settings = {
       {"process", {{"id", Name}, {"zone", "z"}}},
       {"listen",
-       {{"callers", Of.Callers.toString()},
-        {"ready", At(ReadyPort)},
-        {"metrics", At(MetricsPort)},
-        {"peers", At(PeersPort)}}},
+       {{"callers", Target.Callers.toString()},
+        {"ready", MakeAddress(ReadyPort)},
+        {"metrics", MakeAddress(MetricsPort)},
+        {"peers", MakeAddress(PeersPort)}}},
       {"store",
-       {{"address", linkAddress(fmt::format("store-{}", Which)).toString()}}},
-      {"fleet", {{"starts", Of.Starts == 0}}},
+       {{"address", linkAddress(fmt::format("store-{}", Index)).toString()}}},
+      {"fleet", {{"starts", Target.Starts == 0}}},
       {"retry",
-       {{"ratio", PromiseTerms().RepeatRatio},
-        {"base", PromiseTerms().RepeatBase},
+       {{"ratio", InvariantBounds().RetryRatio},
+        {"base", InvariantBounds().RetryBase},
         {"windowSeconds", 10}}},
       {"drain",
-       {{"graceSeconds", std::chrono::duration<double>(Of.Grace).count()}}},
+       {{"graceSeconds", std::chrono::duration<double>(Target.Grace).count()}}},
       {"orders", {{"leaseMilliseconds", 3000}}}};
-  // A gateway may look at any moment.
-  const auto New = m_Folder / (Name + ".new");
-  std::ofstream(New) << Settings.dump(1);
+  // The file is replaced atomically, as a gateway may read it at any time.
+  const auto NewFile = m_Folder / (Name + ".new");
+  std::ofstream(NewFile) << Settings.dump(1);
   const auto File = m_Folder / (Name + ".json");
-  std::filesystem::rename(New, File);
+  std::filesystem::rename(NewFile, File);
   return File;
 }
 
-void SoakFleet::startGateway(unsigned Which) {
-  Gateway &Of = m_Gateways[Which];
-  const std::string Name = gatewayName(Which);
-  const auto Settings = writeSettings(Which);
-  Of.ToldToEnd = false;
-  Of.TerminatedAt = {};
-  Of.Paused = false;
-  Of.Process = test::ChildProcess::start(
+void SoakFleet::startGateway(unsigned Index) {
+  Gateway &Target = m_Gateways[Index];
+  const std::string Name = gatewayName(Index);
+  const auto Settings = writeSettings(Index);
+  Target.StopRequested = false;
+  Target.TerminatedAt = {};
+  Target.Paused = false;
+  Target.Process = test::ChildProcess::start(
       "Services/figlift-gateway/figlift-gateway",
       {"--settings", Settings.string()},
-      (m_Folder / fmt::format("{}.{}.log", Name, ++Of.Starts)).string());
-  m_Book.restarted(Name);
+      (m_Folder / fmt::format("{}.{}.log", Name, ++Target.Starts)).string());
+  m_Checker.recordRestart(Name);
 }
 
-std::vector<Door> SoakFleet::doors() const {
-  std::vector<Door> All;
-  for (unsigned Each = 0; Each < m_Gateways.size(); ++Each)
-    All.push_back(
-        {gatewayName(Each), linkAddress(fmt::format("callers-{}", Each))});
-  return All;
+std::vector<GatewayEndpoint> SoakFleet::gatewayEndpoints() const {
+  std::vector<GatewayEndpoint> Endpoints;
+  for (unsigned I = 0; I < m_Gateways.size(); ++I)
+    Endpoints.push_back(
+        {gatewayName(I), linkAddress(fmt::format("callers-{}", I))});
+  return Endpoints;
 }
 
-void SoakFleet::signal(unsigned Which, Signal What) {
-  Gateway &Of = m_Gateways[Which];
+void SoakFleet::signal(unsigned Index, Signal Kind) {
+  Gateway &Target = m_Gateways[Index];
   const BootTime Now = BootClock::now();
-  if (!Of.Process.running())
+  if (!Target.Process.running())
     return;
-  switch (What) {
+  switch (Kind) {
   case Signal::Kill:
-    Of.ToldToEnd = true;
-    return Of.Process.kill();
+    Target.StopRequested = true;
+    return Target.Process.kill();
   case Signal::Terminate:
-    if (!std::exchange(Of.ToldToEnd, true)) {
-      Of.TerminatedAt = Now;
-      Of.StopLimit = Of.Grace;
-      m_Book.stops(gatewayName(Which), Now, Of.Grace, Now);
+    if (!std::exchange(Target.StopRequested, true)) {
+      Target.TerminatedAt = Now;
+      Target.StopLimit = Target.Grace;
+      m_Checker.recordStop(gatewayName(Index), Now, Target.Grace, Now);
     }
-    return Of.Process.terminate();
+    return Target.Process.terminate();
   case Signal::Pause:
-    Of.Paused = true;
-    return Of.Process.pause();
+    Target.Paused = true;
+    return Target.Process.pause();
   case Signal::HangUp:
-    return hangUp(Which, Now);
+    return hangUp(Index, Now);
   }
 }
 
-void SoakFleet::hangUp(unsigned Which, BootTime Now) {
-  Gateway &Of = m_Gateways[Which];
-  const auto At = std::find(Graces.begin(), Graces.end(), Of.Grace);
-  Of.Grace =
-      Graces[static_cast<size_t>(At - Graces.begin() + 1) % Graces.size()];
-  if (Of.TerminatedAt != BootTime{}) {
-    Of.StopLimit = std::max(Of.StopLimit, Of.Grace);
-    m_Book.stops(gatewayName(Which), Of.TerminatedAt, Of.Grace, Now);
+void SoakFleet::hangUp(unsigned Index, BootTime Now) {
+  Gateway &Target = m_Gateways[Index];
+  const auto Current = std::find(Graces.begin(), Graces.end(), Target.Grace);
+  Target.Grace =
+      Graces[static_cast<size_t>(Current - Graces.begin() + 1) % Graces.size()];
+  if (Target.TerminatedAt != BootTime{}) {
+    Target.StopLimit = std::max(Target.StopLimit, Target.Grace);
+    m_Checker.recordStop(gatewayName(Index), Target.TerminatedAt, Target.Grace,
+                         Now);
   }
-  writeSettings(Which);
-  m_Book.planned(gatewayName(Which), Now);
-  ::kill(Of.Process.pid(), SIGHUP);
+  writeSettings(Index);
+  m_Checker.recordPlannedChange(gatewayName(Index), Now);
+  ::kill(Target.Process.pid(), SIGHUP);
 }
 
-void SoakFleet::wake(unsigned Which) {
-  Gateway &Of = m_Gateways[Which];
-  if (!std::exchange(Of.Paused, false) || !Of.Process.running())
+void SoakFleet::resume(unsigned Index) {
+  Gateway &Target = m_Gateways[Index];
+  if (!std::exchange(Target.Paused, false) || !Target.Process.running())
     return;
-  // A process that stands still takes no signal: its grace begins now.
-  if (Of.TerminatedAt != BootTime{})
-    Of.TerminatedAt = BootClock::now();
-  Of.Process.resume();
+  // A paused process does not handle signals, so its grace begins now.
+  if (Target.TerminatedAt != BootTime{})
+    Target.TerminatedAt = BootClock::now();
+  Target.Process.resume();
 }
 
-void SoakFleet::comeBack(unsigned Which) {
-  // From a tenth of a second to more than a second, by turns.
-  const milliseconds Away(100 + 400 * (++m_Crashes % 4));
-  const auto Timer = std::make_shared<boost::asio::steady_timer>(m_Loop, Away);
-  Timer->async_wait([this, Timer, Which](const auto &) { replace(Which); });
+void SoakFleet::scheduleReplacement(unsigned Index) {
+  // Cycles from a tenth of a second to more than a second.
+  const milliseconds Downtime(100 + 400 * (++m_CrashCount % 4));
+  const auto Timer =
+      std::make_shared<boost::asio::steady_timer>(m_Loop, Downtime);
+  Timer->async_wait([this, Timer, Index](const auto &) { replace(Index); });
 }
 
-void SoakFleet::replace(unsigned Which) {
-  SoakServer &Server = *m_Servers[Which];
-  const std::string Before = Server.id();
-  Life &Of = m_Life[Which];
-  Of.Started += 1000;
-  Of.Heartbeats = 0;
-  // Every second one that was not told to leave comes back under its id, and
-  // knows nothing of before.
-  if (!std::exchange(Of.Leaves, false) && ++m_Incarnations % 2 == 0) {
-    Server.becomes(Before);
-    return list(Which, "ready");
+void SoakFleet::replace(unsigned Index) {
+  SoakServer &Server = *m_Servers[Index];
+  const std::string OldId = Server.id();
+  Incarnation &Current = m_ServerIncarnations[Index];
+  Current.Started += 1000;
+  Current.Heartbeats = 0;
+  // Every second server that was not drained restarts under its old id, without
+  // its state.
+  if (!std::exchange(Current.Draining, false) &&
+      ++m_IncarnationCount % 2 == 0) {
+    Server.restartAs(OldId);
+    return publish(Index, "ready");
   }
-  Server.becomes(fmt::format("s{}-{}", Which, ++m_Incarnations));
-  m_Store.remove("servers", Before);
-  list(Which, "ready");
+  Server.restartAs(fmt::format("s{}-{}", Index, ++m_IncarnationCount));
+  m_Store.remove("servers", OldId);
+  publish(Index, "ready");
 }
 
-void SoakFleet::writeAgain() {
+void SoakFleet::rewriteEntries() {
   for (const std::string &Id : m_Store.keys("servers"))
     if (std::none_of(m_Servers.begin(), m_Servers.end(),
-                     [&](const auto &Each) { return Each->id() == Id; }))
+                     [&](const auto &Server) { return Server->id() == Id; }))
       m_Store.remove("servers", Id);
-  for (unsigned Each = 0; Each < m_Servers.size(); ++Each)
-    list(Each, m_Life[Each].Leaves ? "draining" : "ready");
+  for (unsigned I = 0; I < m_Servers.size(); ++I)
+    publish(I, m_ServerIncarnations[I].Draining ? "draining" : "ready");
   configure();
 }
 
-void SoakFleet::drain(unsigned Which) {
-  m_Book.leaves(m_Servers[Which]->id(), BootClock::now());
-  m_Life[Which].Leaves = true;
-  list(Which, "draining");
+void SoakFleet::drain(unsigned Index) {
+  m_Checker.recordDrain(m_Servers[Index]->id(), BootClock::now());
+  m_ServerIncarnations[Index].Draining = true;
+  publish(Index, "draining");
 }
 
-/// Entries in the list of servers that no server wrote: they name none to use,
-/// and must harm no request.
+/// Adds invalid and retired entries that no server wrote to the server list.
+/// They must not affect any request.
 void SoakFleet::writeForeignEntries() {
   m_Store.put("servers", "foreign-1", "\xff\xfe");
   m_Store.put("servers", "foreign-2",
@@ -340,14 +347,14 @@
   const auto Add = [&](const char *Name, const char *Kind,
                        const std::string &Service, bool Resumable = false,
                        milliseconds Timeout = milliseconds(2000)) {
-    const bool Once = Kind == std::string("unsafe");
+    const bool IsUnsafe = Kind == std::string("unsafe");
     Routes.push_back({{"name", Name},
                       {"host", "h"},
                       {"prefix", fmt::format("/{}/", Name)},
                       {"kind", Kind},
                       {"timeoutMs", Timeout.count()},
                       {"targetLatencyMs", 500},
-                      {"maxAttempts", Once ? 1 : 3},
+                      {"maxAttempts", IsUnsafe ? 1 : 3},
                       {"resumable", Resumable},
                       {"gapAimMs", 150},
                       {"service", Service}});
@@ -364,60 +371,61 @@
   Json Services = {
       {{"name", "plain"}, {"maxConnections", 100}},
       {{"name", "model"}, {"maxConnections", 100}, {"engine", Engine}}};
-  for (unsigned Each = 0; Each < MovingServices; ++Each)
-    Services.push_back(
-        {{"name", movingService(Each)}, {"maxConnections", 100}});
+  for (unsigned I = 0; I < MovingServices; ++I)
+    Services.push_back({{"name", movingService(I)}, {"maxConnections", 100}});
   m_Store.put(
       "op", "config",
       Json{{"version", m_Version}, {"routes", Routes}, {"services", Services}}
           .dump());
-  m_Book.configured(m_Version, movingService(m_Version), BootClock::now());
+  m_Checker.recordConfiguration(m_Version, movingService(m_Version),
+                                BootClock::now());
 }
 
-void SoakFleet::ended(unsigned Which, BootTime Now) {
-  Gateway &Of = m_Gateways[Which];
-  const int Code = Of.Process.waitForExit(milliseconds(0)).value_or(0);
-  if (!Of.ToldToEnd)
-    m_Book.broken(
-        fmt::format("{} ended by itself with {}", gatewayName(Which), Code));
-  if (Of.TerminatedAt == BootTime{})
-    m_Book.disturbed(gatewayName(Which), Now);
-  m_Book.planned(gatewayName(Which), Now);
-  startGateway(Which);
+void SoakFleet::handleExit(unsigned Index, BootTime Now) {
+  Gateway &Target = m_Gateways[Index];
+  const int Code = Target.Process.waitForExit(milliseconds(0)).value_or(0);
+  if (!Target.StopRequested)
+    m_Checker.addViolation(fmt::format("{} exited unexpectedly with code {}",
+                                       gatewayName(Index), Code));
+  if (Target.TerminatedAt == BootTime{})
+    m_Checker.recordFault(gatewayName(Index), Now);
+  m_Checker.recordPlannedChange(gatewayName(Index), Now);
+  startGateway(Index);
 }
 
-/// While the soak itself did not run, its machine ran nothing: gateways had no
-/// time to stop either.
-void SoakFleet::allowForStandstill(BootTime Now) {
-  const BootTime Before = std::exchange(m_LastTick, Now);
-  if (Before == BootTime{} || Now - Before < StandstillBound)
+/// When the soak itself stalls, the whole machine probably did, so gateways get
+/// as much more time to stop.
+void SoakFleet::extendStopLimits(BootTime Now) {
+  const BootTime PreviousTick = std::exchange(m_LastTick, Now);
+  if (PreviousTick == BootTime{} || Now - PreviousTick < StallThreshold)
     return;
-  for (Gateway &Each : m_Gateways)
-    if (Each.TerminatedAt != BootTime{})
-      Each.StopLimit += std::chrono::duration_cast<milliseconds>(Now - Before);
+  for (Gateway &Target : m_Gateways)
+    if (Target.TerminatedAt != BootTime{})
+      Target.StopLimit +=
+          std::chrono::duration_cast<milliseconds>(Now - PreviousTick);
 }
 
 void SoakFleet::tick(BootTime Now) {
-  allowForStandstill(Now);
-  for (unsigned Each = 0; Each < m_Gateways.size(); ++Each) {
-    Gateway &Of = m_Gateways[Each];
-    if (!Of.Process.running()) {
-      ended(Each, Now);
+  extendStopLimits(Now);
+  for (unsigned I = 0; I < m_Gateways.size(); ++I) {
+    Gateway &Target = m_Gateways[I];
+    if (!Target.Process.running()) {
+      handleExit(I, Now);
       continue;
     }
-    if (Of.Paused)
+    if (Target.Paused)
       continue;
-    if (Of.ToldToEnd && Of.TerminatedAt != BootTime{} &&
-        Now - Of.TerminatedAt > Of.StopLimit + StopSlack) {
-      m_Book.broken(gatewayName(Each) + " did not stop within its grace");
-      Of.Process.kill();
+    if (Target.StopRequested && Target.TerminatedAt != BootTime{} &&
+        Now - Target.TerminatedAt > Target.StopLimit + StopSlack) {
+      m_Checker.addViolation(gatewayName(I) + " did not stop within its grace");
+      Target.Process.kill();
     }
   }
 }
 
-bool SoakFleet::allRun() {
-  for (Gateway &Each : m_Gateways)
-    if (!Each.Process.running() || Each.Paused || Each.ToldToEnd)
+bool SoakFleet::allRunning() {
+  for (Gateway &Target : m_Gateways)
+    if (!Target.Process.running() || Target.Paused || Target.StopRequested)
       return false;
   return true;
 }
--- a/Tests/Soak/SoakFleet.h
+++ b/Tests/Soak/SoakFleet.h
@@ -1,9 +1,9 @@
 //===- SoakFleet.h - Gateways, servers and links under faults ---*- C++ -*-===//
 //
-// Real gateways as processes of their own; between them and the stand-ins of
-// the platform a fault proxy, also a process. Faults come from outside only:
-// links, signals, the store's and the servers' behaviour, what the operator
-// writes. Everything that is started here is ended by its process id.
+// Runs real gateways as separate processes, and a fault proxy between them and
+// the stand-ins of the platform. Faults are injected from outside only: through
+// links, signals, the behavior of the store and the servers, and the operator's
+// writes. Every process that is started here is ended by its process id.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,76 +23,81 @@
 
 enum class Signal { Kill, Terminate, Pause, HangUp };
 
-/// Of a gateway to the store, of callers to a gateway, of all to a server.
+/// From a gateway to the store, from callers to a gateway, or from all
+/// processes to a server.
 enum class Link { Store, Callers, Server };
 
-enum class LinkFault { Cut, Freeze, LoseRequests, LoseAnswers, Delay, Mended };
+enum class LinkFault { Cut, Freeze, LoseRequests, LoseResponses, Delay, None };
 
 class SoakFleet {
 public:
-  /// \p Folder takes logs and settings.
-  SoakFleet(boost::asio::io_context &Loop, PromiseBook &Book, uint64_t Seed,
-            unsigned Gateways, std::filesystem::path Folder);
+  /// Logs and settings are written to \p Folder.
+  SoakFleet(boost::asio::io_context &Loop, InvariantChecker &Checker,
+            uint64_t Seed, unsigned Gateways, std::filesystem::path Folder);
 
-  /// False when the proxy or a gateway could not be started.
+  /// False if the fault proxy did not start.
   bool start();
-  std::vector<Door> doors() const;
+  std::vector<GatewayEndpoint> gatewayEndpoints() const;
   unsigned gateways() const { return static_cast<unsigned>(m_Gateways.size()); }
   unsigned servers() const { return static_cast<unsigned>(m_Servers.size()); }
-  std::string gatewayName(unsigned Which) const;
+  std::string gatewayName(unsigned Gateway) const;
 
-  /// \name Faults. Those that last go on until mended.
+  /// \name Faults. Lasting faults continue until they are repaired.
   /// @{
-  void signal(unsigned Gateway, Signal Which);
-  void wake(unsigned Gateway);
-  void setLink(Link Which, unsigned Of, LinkFault How);
-  void behave(unsigned Server, Manner How) { m_Servers[Server]->behave(How); }
-  /// Crashes and comes back as another server at the same address.
-  void replace(unsigned Server);
-  /// Says that it leaves.
-  void drain(unsigned Server);
-  /// The store came back from a copy: servers and operator write theirs again,
-  /// and servers that are gone are taken away again.
-  void writeAgain();
-  /// Routes move: the next version of the configuration.
+  void signal(unsigned Index, Signal Kind);
+  void resume(unsigned Index);
+  void setLink(Link Kind, unsigned Index, LinkFault Mode);
+  void setBehavior(unsigned Server, Behavior NewBehavior) {
+    m_Servers[Server]->setBehavior(NewBehavior);
+  }
+  /// Replaces the server by another one at the same address.
+  void replace(unsigned Index);
+  /// Publishes the server as draining.
+  void drain(unsigned Index);
+  /// After the store was restored from a copy: writes the entries of servers
+  /// and the configuration again, and removes entries of servers that no longer
+  /// run.
+  void rewriteEntries();
+  /// Writes the next version of the configuration, which moves a route.
   void configure();
   testing::StandInStore &store() { return m_Store; }
   /// @}
 
-  /// Starts what has ended; says so in the book if nobody asked it to end.
+  /// Restarts gateways that exited, and reports a violation if they were not
+  /// asked to.
   void tick(BootTime Now);
-  bool allRun();
+  bool allRunning();
 
 private:
   struct Gateway {
     test::ChildProcess Process;
     Endpoint Callers;
-    /// What it was told last, and when; it may end by itself only after this.
-    bool ToldToEnd = false;
+    /// Whether it got SIGTERM or SIGKILL; it may exit only after this.
+    bool StopRequested = false;
     BootTime TerminatedAt{};
-    /// In its settings.
+    /// Shutdown grace in its settings.
     std::chrono::milliseconds Grace{4000};
-    /// The longest since SIGTERM.
+    /// The longest grace since SIGTERM.
     std::chrono::milliseconds StopLimit{0};
     bool Paused = false;
     unsigned Starts = 0;
   };
 
-  void startGateway(unsigned Which);
-  std::filesystem::path writeSettings(unsigned Which);
-  void hangUp(unsigned Which, BootTime Now);
+  void startGateway(unsigned Index);
+  std::filesystem::path writeSettings(unsigned Index);
+  void hangUp(unsigned Index, BootTime Now);
   bool startProxy();
   std::string linkFlag(const std::string &Name, const Endpoint &Target) const;
   Endpoint linkAddress(const std::string &Name) const;
-  void list(unsigned Server, const std::string &State);
-  /// It starts again some time after it has crashed.
-  void comeBack(unsigned Server);
+  void publish(unsigned ServerIndex, const std::string &State);
+  /// Restarts a crashed server after a delay.
+  void scheduleReplacement(unsigned Index);
   void writeForeignEntries();
-  void ended(unsigned Which, BootTime Now);
-  void allowForStandstill(BootTime Now);
+  void handleExit(unsigned Index, BootTime Now);
+  void extendStopLimits(BootTime Now);
 
   boost::asio::io_context &m_Loop;
-  PromiseBook &m_Book;
+  InvariantChecker &m_Checker;
   const std::filesystem::path m_Folder;
   testing::StandInStore m_Store;
   std::vector<std::unique_ptr<SoakServer>> m_Servers;
@@ -101,19 +106,19 @@
   test::ChildProcess m_Proxy;
   std::string m_ProxyControl;
   uint64_t m_Version = 0;
-  /// What a server says of its present start.
-  struct Life {
+  /// State that a server publishes of its present incarnation.
+  struct Incarnation {
     /// Milliseconds since 1970.
     int64_t Started = 1790000000000;
-    /// Entries that it has written.
+    /// Number of entries that it has written.
     uint64_t Heartbeats = 0;
-    /// It has been drained, and never takes work again under this id.
-    bool Leaves = false;
+    /// It was drained and accepts no more work under this id.
+    bool Draining = false;
   };
-  std::map<unsigned, Life> m_Life;
-  unsigned m_Incarnations = 0;
-  /// Servers that requests have crashed.
-  unsigned m_Crashes = 0;
+  std::map<unsigned, Incarnation> m_ServerIncarnations;
+  unsigned m_IncarnationCount = 0;
+  /// Number of server crashes caused by requests.
+  unsigned m_CrashCount = 0;
   BootTime m_LastTick{};
 };
 
--- a/Tests/Soak/SoakServer.h
+++ b/Tests/Soak/SoakServer.h
@@ -1,14 +1,14 @@
-//===- SoakServer.h - A server that keeps a book ----------------*- C++ -*-===//
+//===- SoakServer.h - A stand-in server that records requests ---*- C++ -*-===//
 //
-// Plays a plain server or an engine of the platform, well or badly, and tells
-// the book of promises what reached it.
+// Simulates a plain server or an engine of the platform, healthy or faulty, and
+// reports the requests that reach it to the invariant checker.
 //
 //===----------------------------------------------------------------------===//
 
 #pragma once
 
 #include "FigliftGateway/StandInStore.h"
-#include "PromiseBook.h"
+#include "InvariantChecker.h"
 
 #include <functional>
 #include <random>
@@ -17,76 +17,78 @@
 
 namespace figlift::soak {
 
-/// Part of the path of requests that crash the server that runs them.
+/// Part of the path of requests that crash the server that executes them.
 inline constexpr std::string_view CrashingPath = "crashing-";
 
-enum class Manner {
-  Good,
-  /// Runs requests and answers with a failure of its own.
-  Fails,
-  /// Runs requests and breaks the connection, streams in the middle.
-  BreaksOff,
-  /// Answers a second later.
-  Late,
-  /// Answers with the id of another request.
-  Garbles,
-  /// Turns everything away.
-  Full,
-  /// Takes requests and says nothing.
-  Silent,
-  /// Names a limit in its answers, far below what it gets.
-  Limited,
+enum class Behavior {
+  Healthy,
+  /// Executes requests and responds with status 500.
+  ServerError,
+  /// Executes requests and closes the connection, for streams in the middle.
+  DropsConnection,
+  /// Responds one second later.
+  Slow,
+  /// Responds with the id of another request.
+  WrongAttemptId,
+  /// Rejects all requests without executing them.
+  RejectsAll,
+  /// Accepts requests and never responds.
+  Unresponsive,
+  /// Announces a limit in its responses, far below the rate of its requests.
+  RateLimited,
 };
 
 class SoakServer {
 public:
-  SoakServer(boost::asio::io_context &Loop, PromiseBook &Book, uint64_t Seed,
-             std::string Service, std::string Stage);
+  SoakServer(boost::asio::io_context &Loop, InvariantChecker &Checker,
+             uint64_t Seed, std::string Service, std::string Stage);
 
   Endpoint address() const { return m_Listener.address(); }
   const std::string &service() const { return m_Service; }
   const std::string &stage() const { return m_Stage; }
   const std::string &id() const { return m_Id; }
-  /// Another incarnation at the same address.
-  void becomes(std::string Id) {
+  /// Starts another incarnation at the same address.
+  void restartAs(std::string Id) {
     m_Id = std::move(Id);
-    m_Dark = false;
+    m_Down = false;
   }
-  void behave(Manner How) {
-    m_Manner = How;
-    m_Book.limitEnds(m_Id);
+  void setBehavior(Behavior NewBehavior) {
+    m_Behavior = NewBehavior;
+    m_Checker.removeLimit(m_Id);
   }
-  /// Called when a request has crashed the server; it is dark from then on,
-  /// until it becomes another start.
+  /// Called when a request has crashed the server, which then serves nothing
+  /// until \c restartAs.
   std::function<void()> Crashed;
   /// Called when an order has changed the stage.
   std::function<void()> StageChanged;
 
 private:
-  void serve(const proxy::Request &What, const testing::Caller &From);
-  void crash(const proxy::Request &Under);
+  void serve(const proxy::Request &Message, const testing::Caller &Sender);
+  void crash(const proxy::Request &Message);
   proxy::ResponseHead successHead(const std::string &AttemptId);
-  void run(const proxy::Request &What, const testing::Caller &From);
-  void readPrompt(const proxy::Request &What, const testing::Caller &From);
-  void takeOrder(const proxy::Request &What, const testing::Caller &From);
-  void stream(const testing::Caller &To, const std::string &AttemptId,
+  void execute(const proxy::Request &Message, const testing::Caller &Sender);
+  void prefill(const proxy::Request &Message, const testing::Caller &Sender);
+  void handleOrder(const proxy::Request &Message,
+                   const testing::Caller &Sender);
+  void stream(const testing::Caller &Receiver, const std::string &AttemptId,
               unsigned Next, unsigned Last, std::chrono::milliseconds Gap);
-  std::chrono::milliseconds streamTime();
-  void after(std::chrono::milliseconds Time, std::function<void()> Then);
-  std::chrono::milliseconds draw(unsigned From, unsigned To);
-  void note(const proxy::Request &What, bool ReadsPrompt, bool TurnedAway);
+  std::chrono::milliseconds streamDuration();
+  void after(std::chrono::milliseconds Delay, std::function<void()> Action);
+  std::chrono::milliseconds draw(unsigned Minimum, unsigned Maximum);
+  void recordArrival(const proxy::Request &Message, bool IsPrefill,
+                     bool Rejected);
 
   boost::asio::io_context &m_Loop;
-  PromiseBook &m_Book;
+  InvariantChecker &m_Checker;
   std::mt19937_64 m_Random;
   std::string m_Service;
   /// Empty for a plain server.
   std::string m_Stage;
   std::string m_Id;
-  Manner m_Manner = Manner::Good;
+  Behavior m_Behavior = Behavior::Healthy;
   uint64_t m_Orders = 0;
-  /// It has ended and not come back.
-  bool m_Dark = false;
+  /// The server crashed and has not restarted.
+  bool m_Down = false;
   testing::Listener m_Listener;
 };
 
--- /dev/null
+++ b/Tests/Soak/TestInvariantChecker.cpp
@@ -0,0 +1,319 @@
+//===- TestInvariantChecker.cpp - Invariant checker tests -----------------===//
+//
+// For each guarantee: sequences that keep it pass, and violations are reported.
+//
+//===----------------------------------------------------------------------===//
+
+#include "InvariantChecker.h"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace figlift;
+using namespace figlift::soak;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+TEST_GROUP(InvariantChecker) {
+  InvariantChecker Checker;
+  BootTime Now{seconds(100)};
+  BootTime StoppedAt{};
+
+  void recordRequest(const std::string &Id, Repeatable Kind,
+                     const std::string &Service = "plain") {
+    Checker.recordRequest({Id, "g1", Service, Kind, Now, seconds(10)});
+  }
+  void recordArrival(const std::string &Id,
+                     const std::string &Service = "plain",
+                     const std::string &Server = "s1") {
+    Checker.recordArrival({Id, Server, Service, false, false}, Now);
+  }
+  void recordOutcome(const std::string &Id, unsigned Status,
+                     const std::string &Body = "", unsigned Events = 0) {
+    Checker.recordOutcome({Id, Status, true, Body, Events}, Now);
+  }
+  void recordExecution(const std::string &Id) {
+    recordRequest(Id, Repeatable::No);
+    recordArrival(Id);
+  }
+  void recordStop(seconds Grace) {
+    StoppedAt = Now;
+    Checker.recordStop("g1", StoppedAt, Grace, Now);
+  }
+  void expectViolation(const std::string &Invariant) {
+    CHECK_FALSE(Checker.violations().empty());
+    STRCMP_EQUAL(
+        Invariant.c_str(),
+        Checker.violations().front().substr(0, Invariant.size()).c_str());
+  }
+  void expectNoViolation() {
+    STRCMP_EQUAL("", Checker.violations().empty()
+                         ? ""
+                         : Checker.violations().front().c_str());
+  }
+};
+
+TEST(InvariantChecker, LimitedServerGetsNoExcessRequests) {
+  recordExecution("a");
+  Checker.recordLimit("s1", 2, "a", Now);
+  // 1.5 times the 8 requests of four seconds, plus a slack of 5.
+  Now += seconds(3);
+  for (int I = 0; I < 17; ++I)
+    recordExecution("b" + std::to_string(I));
+  expectNoViolation();
+  recordExecution("c");
+  expectViolation("LIMIT");
+}
+
+TEST(InvariantChecker, CrashingRequestIsSentToFewServers) {
+  const auto Send = [&](const std::string &Id) {
+    Checker.recordRequest(
+        {Id, "g1", "plain", Repeatable::No, Now, seconds(10), "x"});
+    recordArrival(Id);
+  };
+  for (const char *Id : {"a", "b", "c"}) {
+    Send(Id);
+    Checker.recordCrash(Id, Now);
+  }
+  // These may have been in flight.
+  for (const char *Id : {"d", "e", "f", "g"})
+    Send(Id);
+  Now += seconds(4);
+  for (const char *Id : {"h", "i", "j"})
+    Send(Id);
+  expectNoViolation();
+  Send("k");
+  expectViolation("BUDGET");
+}
+
+TEST(InvariantChecker, UnrepeatableRequestIsExecutedOnce) {
+  recordRequest("a", Repeatable::Yes);
+  recordArrival("a");
+  recordArrival("a");
+  recordExecution("b");
+  expectNoViolation();
+  recordArrival("b");
+  expectViolation("TWICE");
+}
+
+TEST(InvariantChecker, RejectedRequestIsNotExecutedLater) {
+  recordRequest("a", Repeatable::No);
+  Checker.recordArrival({"a", "s1", "plain", false, true}, Now);
+  recordOutcome("a", 503);
+  expectNoViolation();
+  recordArrival("a");
+  expectViolation("REFUSED");
+}
+
+TEST(InvariantChecker, ExecutedRequestIsNotRejected) {
+  recordExecution("a");
+  recordOutcome("a", 503);
+  expectViolation("REFUSED");
+}
+
+TEST(InvariantChecker, ResponseBelongsToItsRequest) {
+  recordRequest("a", Repeatable::Yes);
+  recordOutcome("a", 200, "answer to a");
+  expectNoViolation();
+  recordRequest("b", Repeatable::Yes);
+  recordOutcome("b", 200, "answer to a");
+  expectViolation("MIXED");
+}
+
+TEST(InvariantChecker, StreamHasEachEventOnceInOrder) {
+  recordRequest("a", Repeatable::Yes);
+  recordOutcome("a", 200, eventText("a", 1) + eventText("a", 2), 2);
+  expectNoViolation();
+  recordOutcome("a", 200, eventText("a", 2), 2);
+  expectViolation("ORDER");
+}
+
+TEST(InvariantChecker, UnknownRequestIsReported) {
+  recordArrival("unknown");
+  expectViolation("UNASKED");
+}
+
+TEST(InvariantChecker, DrainingServerGetsNoRequestsAfterTheBound) {
+  Checker.recordDrain("s1", Now);
+  Now += seconds(2);
+  recordRequest("a", Repeatable::Yes);
+  recordArrival("a");
+  expectNoViolation();
+  Now += seconds(1);
+  // A disconnected gateway does not know of the drain yet.
+  Checker.recordFault("g1", Now);
+  recordArrival("a");
+  expectNoViolation();
+  Now += seconds(4);
+  recordArrival("a");
+  expectViolation("DRAIN");
+}
+
+TEST(InvariantChecker, ConfigurationIsActiveAfterTheBound) {
+  Checker.recordConfiguration(1, "moving-1", Now);
+  Checker.recordConfiguration(2, "moving-2", Now);
+  Now += seconds(1);
+  recordRequest("a", Repeatable::Yes, InvariantChecker::MovingService);
+  recordArrival("a", "moving-1");
+  expectNoViolation();
+  Now += seconds(3);
+  recordRequest("b", Repeatable::Yes, InvariantChecker::MovingService);
+  recordArrival("b", "moving-1");
+  expectViolation("CONFIG");
+}
+
+TEST(InvariantChecker, RouteUsesOnlyConfiguredServices) {
+  Checker.recordConfiguration(1, "moving-1", Now);
+  recordRequest("a", Repeatable::Yes, InvariantChecker::MovingService);
+  Checker.recordArrival({"a", "s1", "moving-0", false, true}, Now);
+  expectNoViolation();
+  recordArrival("a", "moving-0");
+  expectViolation("ROUTE");
+}
+
+TEST(InvariantChecker, GatewayNeverReturnsToAnOlderVersion) {
+  Checker.recordConfiguration(1, "moving-1", Now);
+  Checker.recordConfiguration(2, "moving-2", Now);
+  recordRequest("a", Repeatable::Yes, InvariantChecker::MovingService);
+  recordArrival("a", "moving-2");
+  Now += seconds(1);
+  recordRequest("b", Repeatable::Yes, InvariantChecker::MovingService);
+  recordArrival("b", "moving-1");
+  expectViolation("CONFIG");
+}
+
+TEST(InvariantChecker, RetriesStayWithinTheBudget) {
+  for (int I = 0; I < 100; ++I)
+    recordRequest("a" + std::to_string(I), Repeatable::Yes);
+  // A ratio of 0.05 of 100 requests, plus a base of 10.
+  for (int I = 0; I < 15; ++I) {
+    recordArrival("a" + std::to_string(I));
+    recordArrival("a" + std::to_string(I));
+  }
+  expectNoViolation();
+  recordArrival("a0");
+  expectViolation("BUDGET");
+}
+
+TEST(InvariantChecker, OrdersComeFromOneLeaseHolder) {
+  Checker.recordOrder({"s1", "g1", 1}, Now);
+  Now += seconds(4);
+  Checker.recordOrder({"s1", "g2", 2}, Now);
+  expectNoViolation();
+  Now += seconds(1);
+  Checker.recordOrder({"s1", "g1", 3}, Now);
+  expectViolation("ONE");
+}
+
+TEST(InvariantChecker, OlderFencingTokenIsReported) {
+  Checker.recordOrder({"s1", "g1", 5}, Now);
+  Now += seconds(10);
+  Checker.recordOrder({"s1", "g2", 4}, Now);
+  expectViolation("ONE");
+}
+
+TEST(InvariantChecker, PlannedStopInterruptsNothing) {
+  recordRequest("a", Repeatable::Yes);
+  recordArrival("a");
+  recordStop(seconds(8));
+  Now += milliseconds(500);
+  Checker.recordFault(InvariantChecker::Servers, Now);
+  recordOutcome("a", 0);
+  expectNoViolation();
+  Now += seconds(10);
+  recordRequest("b", Repeatable::Yes);
+  recordArrival("b");
+  recordStop(seconds(8));
+  Now += milliseconds(500);
+  recordOutcome("b", 0);
+  expectViolation("LOST");
+}
+
+TEST(InvariantChecker, ReloadOrConfigurationInterruptsNothing) {
+  recordRequest("a", Repeatable::Yes);
+  recordOutcome("a", 0); // The gateway closed the connection first.
+  recordRequest("b", Repeatable::Yes);
+  recordArrival("b");
+  Checker.recordPlannedChange("g1", Now);
+  Checker.recordConfiguration(1, "moving-1", Now);
+  Now += milliseconds(500);
+  expectNoViolation();
+  recordOutcome("b", 0);
+  expectViolation("LOST");
+}
+
+// Guards against streams that are accepted seconds after SIGTERM and then
+// interrupted. It happens when the gateway forwards a stream because it
+// underestimates its duration, and exits before the end of the stream. From
+// three of eight seconds on, the caller could know of the stop.
+TEST(InvariantChecker, RequestAcceptedLongAfterSigtermCompletes) {
+  recordExecution("before");
+  recordStop(seconds(8));
+  Now += milliseconds(2900);
+  recordExecution("soon after");
+  Now += milliseconds(200);
+  recordExecution("later");
+  Now += milliseconds(4500);
+  recordOutcome("before", 0);
+  recordOutcome("soon after", 0);
+  expectNoViolation();
+  recordOutcome("later", 0);
+  expectViolation("LOST: later");
+}
+
+TEST(InvariantChecker, StopInterruptsNothingBeforeTheLastSixthOfItsGrace) {
+  recordExecution("a");
+  recordStop(seconds(8));
+  Now += milliseconds(6500);
+  recordOutcome("a", 0);
+  expectViolation("LOST");
+}
+
+TEST(InvariantChecker, ShorterGraceTakesEffect) {
+  recordStop(seconds(8));
+  Now += milliseconds(2000);
+  recordExecution("a");
+  recordExecution("b");
+  Checker.recordStop("g1", StoppedAt, seconds(4), Now);
+  Now += milliseconds(500);
+  recordExecution("c");
+  Now += milliseconds(1000);
+  recordOutcome("a", 0);
+  // A longer grace changes nothing, as the kill may come at the old time.
+  Checker.recordStop("g1", StoppedAt, seconds(8), Now);
+  recordOutcome("b", 0);
+  expectNoViolation();
+  recordOutcome("c", 0);
+  expectViolation("LOST: c");
+}
+
+TEST(InvariantChecker, LongerGraceSentWithSigtermMayBeAssumed) {
+  recordStop(seconds(4));
+  Checker.recordStop("g1", StoppedAt, seconds(8), Now);
+  Now += milliseconds(4000);
+  recordExecution("a");
+  Checker.recordStop("g1", StoppedAt, seconds(6), Now);
+  Now += milliseconds(1500);
+  recordOutcome("a", 0);
+  expectNoViolation();
+  recordExecution("c");
+  recordOutcome("c", 0);
+  expectViolation("LOST: c");
+}
+
+TEST(InvariantChecker, ResponseMayEndAtItsDeadline) {
+  Checker.recordRequest({"a", "g1", "model", Repeatable::No, Now, seconds(1)});
+  Checker.recordRequest({"b", "g1", "model", Repeatable::No, Now, seconds(2)});
+  recordArrival("a", "model");
+  recordArrival("b", "model");
+  Now += milliseconds(980);
+  recordOutcome("a", 0);
+  expectNoViolation();
+  recordOutcome("b", 0);
+  expectViolation("LOST: b");
+}
+
+TEST(InvariantChecker, ExistingRouteIsNotDenied) {
+  recordRequest("a", Repeatable::Yes);
+  recordOutcome("a", 404);
+  expectViolation("DENIED");
+}
