--- a/Tests/Support/Caller.cpp
+++ b/Tests/Support/Caller.cpp
@@ -1,6 +1,7 @@
-//===- Caller.cpp - A caller of figlift in tests --------------------------===//
+//===- Caller.cpp - HTTP client for tests ---------------------------------===//
 //
-// Built on cpprestsdk's client; server-sent events are read line by line.
+// Uses the HTTP client of cpprestsdk. Server-sent events are parsed line by
+// line.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,9 +23,10 @@
 namespace {
 
 constexpr std::string_view DataPrefix = "data: ";
-/// A read waits for so many bytes, and loses them when the connection breaks.
+/// A read waits for this many bytes, and loses them if the connection is lost,
+/// so it has to be small.
 constexpr size_t ReadSize = 256;
-/// What cpprestsdk's client says when it could not connect.
+/// Part of the message of cpprestsdk's client for failed connections.
 constexpr std::string_view ConnectFailure = "Failed to connect";
 
 /// Payloads of the server-sent events in \p Body.
@@ -60,7 +62,7 @@
     size_t Count = Source.read(Buffer, ReadSize).get();
     if (Count == 0)
       break;
-    // The buffer is as long as asked for, whatever was read.
+    // The buffer has the requested size, even if fewer bytes were read.
     Result.Body.append(Buffer.collection(), 0, Count);
     if (OnBytes)
       OnBytes(Result.Body.size());
@@ -108,7 +110,7 @@
                            std::chrono::milliseconds Limit,
                            const std::function<void(size_t)> &OnBytes) {
   Answer Result;
-  auto Begin = std::chrono::steady_clock::now();
+  auto Start = std::chrono::steady_clock::now();
   try {
     web::http::client::http_client_config Config;
     Config.set_timeout(Limit);
@@ -125,13 +127,13 @@
       Result.Fields[Name] = Value;
     readBody(Response, Result, OnBytes);
   } catch (const std::exception &Problem) {
-    // A broken connection is an outcome that tests look at, not an error.
+    // A lost connection is an outcome that tests check, not an error.
     Result.Whole = false;
     Result.Unreached = std::string_view(Problem.what()).find(ConnectFailure) !=
                        std::string_view::npos;
   }
   Result.Took = std::chrono::duration_cast<std::chrono::milliseconds>(
-      std::chrono::steady_clock::now() - Begin);
+      std::chrono::steady_clock::now() - Start);
   return Result;
 }
 
@@ -154,8 +156,8 @@
                                         unsigned Tokens) {
   constexpr uint64_t TokenMask = 0xffff;
   std::string Text;
-  for (unsigned Index = 0; Index < Tokens; ++Index) {
-    uint64_t Hash = XXH64(Prompt.data(), Prompt.size(), Index) & TokenMask;
+  for (unsigned I = 0; I < Tokens; ++I) {
+    uint64_t Hash = XXH64(Prompt.data(), Prompt.size(), I) & TokenMask;
     char Token[16];
     std::snprintf(Token, sizeof(Token), " w%llx",
                   static_cast<unsigned long long>(Hash));
--- a/Tests/Support/Caller.h
+++ b/Tests/Support/Caller.h
@@ -1,7 +1,7 @@
-//===- Caller.h - A caller of figlift in tests ------------------*- C++ -*-===//
+//===- Caller.h - HTTP client for tests -------------------------*- C++ -*-===//
 //
-// Sends HTTP requests as a customer's client would and keeps the whole answer,
-// so that a test can compare it with the known one.
+// Sends HTTP requests as a client of figlift does, and keeps the complete
+// response, so that a test can compare it with the expected one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,50 +17,51 @@
 
 namespace figlift::test {
 
-/// Header names do not depend on case.
+/// Header names are case-insensitive.
 struct CaseInsensitiveLess {
   bool operator()(const std::string &Left, const std::string &Right) const;
 };
 using Headers = std::map<std::string, std::string, CaseInsensitiveLess>;
 
-/// Whole answer to one request.
+/// Response to one request.
 struct Answer {
-  /// 0: the connection broke before a status came.
+  /// 0 if the connection was lost before the status line.
   int Status = 0;
   Headers Fields;
   std::string Body;
-  /// The body ended in good order.
+  /// The body was received completely.
   bool Whole = false;
-  /// No connection could be made, so nothing of the request was sent.
+  /// The connection failed, so no part of the request was sent.
   bool Unreached = false;
   std::chrono::milliseconds Took{0};
 
-  /// Text of all server-sent completion chunks, in the order they came.
+  /// Concatenated text of all server-sent completion chunks.
   std::string streamedText() const;
   /// The stream ended with `data: [DONE]`.
   bool streamedToTheEnd() const;
-  /// Number of the result code in a problem document; 0 when there is none.
+  /// Number of the result code in a problem document; 0 if there is none.
   int resultCode() const;
   /// Member "executed" of a problem document.
   std::string executed() const;
 };
 
-/// Sends one request and waits for the end of the answer. \p OnBytes sees the
-/// body's length as it grows, so that a test can act in mid-stream.
+/// Sends one request and waits for the end of the response. \p OnBytes is
+/// called with the present length of the body, so that a test can act during a
+/// stream.
 Answer call(const std::string &Address, const std::string &Method,
             const std::string &Path, const std::string &Body = {},
             const Headers &Extra = {},
             std::chrono::milliseconds Limit = std::chrono::seconds(30),
             const std::function<void(size_t)> &OnBytes = {});
 
-/// Body of a streamed completion request.
+/// Body of a completion request, streamed by default.
 std::string completionBody(const std::string &Model, const std::string &Prompt,
                            unsigned MaximumTokens, bool Stream = true);
 
-/// A new idempotency key: a UUIDv7 minted now.
+/// A new idempotency key: a UUIDv7 with the present time.
 std::string freshKey();
 
-/// The answer that every engine stand-in gives to \p Prompt.
+/// The text that every engine stand-in generates for \p Prompt.
 std::string expectedText(std::string_view Prompt, unsigned Tokens);
 
 } // namespace figlift::test
--- a/Tests/Support/ChildProcess.cpp
+++ b/Tests/Support/ChildProcess.cpp
@@ -1,6 +1,6 @@
-//===- ChildProcess.cpp - A real process under test -----------------------===//
+//===- ChildProcess.cpp - Child processes of tests ------------------------===//
 //
-// posix_spawn, waitpid and signals.
+// Uses posix_spawn, waitpid and signals.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Tests/Support/ChildProcess.h
+++ b/Tests/Support/ChildProcess.h
@@ -1,7 +1,7 @@
-//===- ChildProcess.h - A real process under test ---------------*- C++ -*-===//
+//===- ChildProcess.h - Child processes of tests ----------------*- C++ -*-===//
 //
-// Starts one program, waits for its ready line and sends it signals by its own
-// process id. A child never outlives the test that started it.
+// Starts a program, waits for its ready line and sends signals to its process
+// id. The child is killed when the object is destroyed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
   ChildProcess &operator=(ChildProcess &&Other) noexcept;
   ChildProcess(const ChildProcess &) = delete;
   ChildProcess &operator=(const ChildProcess &) = delete;
-  /// Kills the child when it still runs.
+  /// Kills the child if it still runs.
   ~ChildProcess();
 
   /// Starts \p Program (a path below the build folder) with standard output
@@ -31,19 +31,21 @@
                             std::vector<std::string> Arguments,
                             const std::string &LogFile);
 
-  /// Waits until the log holds \p Text; false after \p Limit or when the child
-  /// has ended.
+  /// Waits until the log contains \p Text; false after \p Limit or if the child
+  /// exits first.
   bool waitForOutput(const std::string &Text, std::chrono::milliseconds Limit);
   std::string output() const;
 
   void kill() { signal(9); }
   void terminate() { signal(15); }
-  /// SIGSTOP and SIGCONT.
+  /// Sends SIGSTOP.
   void pause();
+  /// Sends SIGCONT.
   void resume();
 
   bool running();
-  /// Exit code (negative: the signal that ended it); empty after \p Limit.
+  /// Exit code, or the negated signal that ended the child; empty after \p
+  /// Limit.
   std::optional<int> waitForExit(std::chrono::milliseconds Limit);
   pid_t pid() const { return m_Pid; }
 
--- a/Tests/Support/DocumentPage.h
+++ b/Tests/Support/DocumentPage.h
@@ -1,7 +1,8 @@
-//===- DocumentPage.h - Pages that the code makes ---------------*- C++ -*-===//
+//===- DocumentPage.h - Generated pages of the documentation ----*- C++ -*-===//
 //
-// Compares a page of docs/ with what the code makes of its tables. With
-// FIGLIFT_WRITE_PAGES set in the environment the page is written first.
+// Reads a page of docs/ for comparison with the text generated from the tables
+// in the code. If FIGLIFT_WRITE_PAGES is set in the environment, the page is
+// written first.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,12 +15,12 @@
 
 namespace figlift::test {
 
-/// The page as committed. \p Wanted is what it should be.
+/// Returns the page as stored. \p Expected is its generated text.
 inline std::string documentPage(const std::string &Name,
-                                const std::string &Wanted) {
+                                const std::string &Expected) {
   std::string Path = std::string(FIGLIFT_SOURCE_DIRECTORY "/docs/") + Name;
   if (std::getenv("FIGLIFT_WRITE_PAGES"))
-    std::ofstream(Path, std::ios::binary) << Wanted;
+    std::ofstream(Path, std::ios::binary) << Expected;
   std::ifstream File(Path, std::ios::binary);
   return {std::istreambuf_iterator<char>(File), {}};
 }
--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -1,8 +1,8 @@
 //===- Fleet.cpp - A small fleet of real processes ------------------------===//
 //
-// Loopback addresses 127.A.B.x are chosen by the test's process id and guarded
-// by a listening socket, with ports below the ephemeral range, so that tests
-// which run at the same time never meet.
+// Loopback addresses 127.A.B.x are chosen by the process id of the test and
+// reserved with a listening socket. Ports are below the ephemeral range. This
+// way, concurrent tests never use the same address.
 //
 //===----------------------------------------------------------------------===//
 
@@ -38,7 +38,8 @@
 
 constexpr seconds StartLimit{20};
 
-/// Reserves a loopback prefix; -1 when another test holds it.
+/// Reserves a loopback prefix. Returns the socket, or -1 if another test holds
+/// it.
 int guardPrefix(const std::string &Prefix) {
   int Socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in Address{};
@@ -79,7 +80,7 @@
   return Options;
 }
 
-/// For a person who looks into a failed test.
+/// Whether logs are kept, for debugging of failed tests.
 static bool keepsLogs() { return std::getenv("FIGLIFT_KEEP_LOGS") != nullptr; }
 
 Fleet::Fleet(FleetOptions Options) : m_Options(std::move(Options)) {
@@ -151,20 +152,20 @@
   return m_Processes.at(Name);
 }
 
-void Fleet::launch(const std::string &Name, Program What,
+void Fleet::launch(const std::string &Name, Program Command,
                    const std::string &ReadyText) {
-  m_Programs[Name] = What;
+  m_Programs[Name] = Command;
   m_ReadyTexts[Name] = ReadyText;
   std::string Log = m_Folder + "/" + Name + ".log";
-  m_Processes[Name] = ChildProcess::start(What.Path, What.Arguments, Log);
+  m_Processes[Name] = ChildProcess::start(Command.Path, Command.Arguments, Log);
   if (!m_Processes[Name].waitForOutput(ReadyText, StartLimit))
     m_Problem = Name + " did not start: " + m_Processes[Name].output();
 }
 
 void Fleet::restart(const std::string &Name) {
-  // A killed process holds its ports until it has ended.
+  // A killed process holds its ports until it has exited.
   process(Name).waitForExit(seconds(5));
-  // A new log file, so that the old ready line is not mistaken for the new.
+  // A new log file, so that the old ready line is not mistaken for the new one.
   std::filesystem::rename(m_Folder + "/" + Name + ".log",
                           m_Folder + "/" + Name + ".log.old");
   launch(Name, m_Programs.at(Name), m_ReadyTexts.at(Name));
@@ -173,10 +174,10 @@
 void Fleet::addLink(const std::string &Name, const std::string &Listen,
                     const std::string &Target) {
   json Body{{"name", Name}, {"listen", Listen}, {"target", Target}};
-  Answer Added = call(address(ProxyOctet, StandInPort), "POST",
-                      "/control/links", Body.dump());
-  if (Added.Status != 200)
-    m_Problem = "the fault proxy refused link " + Name + ": " + Added.Body;
+  Answer Response = call(address(ProxyOctet, StandInPort), "POST",
+                         "/control/links", Body.dump());
+  if (Response.Status != 200)
+    m_Problem = "the fault proxy rejected link " + Name + ": " + Response.Body;
 }
 
 void Fleet::startStandIns() {
@@ -190,18 +191,19 @@
           {"--control", address(ProxyOctet, StandInPort)}},
          Ready);
   for (const TargetOptions &Target : m_Options.Targets) {
-    Program What;
-    What.Arguments = {"--listen", target(Target.Id)};
+    Program Command;
+    Command.Arguments = {"--listen", target(Target.Id)};
     if (Target.IsEngine) {
-      What.Path = "Tests/StandIns/engine-standin/engine-standin";
-      What.Arguments.insert(What.Arguments.end(),
-                            {"--role", Target.Role, "--models", "desk@1"});
+      Command.Path = "Tests/StandIns/engine-standin/engine-standin";
+      Command.Arguments.insert(Command.Arguments.end(),
+                               {"--role", Target.Role, "--models", "desk@1"});
     } else {
-      What.Path = "Tests/StandIns/service-standin/service-standin";
+      Command.Path = "Tests/StandIns/service-standin/service-standin";
     }
-    What.Arguments.insert(What.Arguments.end(), Target.StandInFlags.begin(),
-                          Target.StandInFlags.end());
-    launch("target:" + Target.Id, What, Ready);
+    Command.Arguments.insert(Command.Arguments.end(),
+                             Target.StandInFlags.begin(),
+                             Target.StandInFlags.end());
+    launch("target:" + Target.Id, Command, Ready);
   }
 }
 
@@ -284,8 +286,8 @@
   std::string File = writeFile("records.json", m_Options.Records);
   auto [Code, Output] = control({"apply", "-f", File, "--wait"});
   if (Code != 0)
-    m_Problem = "submitting the records ended with " + std::to_string(Code) +
-                ": " + Output;
+    m_Problem = "submitting the records failed with exit code " +
+                std::to_string(Code) + ": " + Output;
 }
 
 void Fleet::waitUntilServing() {
@@ -328,8 +330,8 @@
 }
 
 json Fleet::getJson(const std::string &Address, const std::string &Path) const {
-  Answer Got = call(Address, "GET", Path, {}, {}, seconds(5));
-  return json::parse(Got.Body, nullptr, /*allow_exceptions=*/false);
+  Answer Response = call(Address, "GET", Path, {}, {}, seconds(5));
+  return json::parse(Response.Body, nullptr, /*allow_exceptions=*/false);
 }
 
 json Fleet::book(const std::string &TargetId) const {
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -1,8 +1,8 @@
 //===- Fleet.h - A small fleet of real processes ----------------*- C++ -*-===//
 //
 // Starts stand-ins, agents and entries as separate processes on loopback
-// addresses of this test's own, with every connection between them led through
-// the fault proxy.
+// addresses that are reserved for this test. All connections between them pass
+// through the fault proxy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,23 +20,23 @@
 
 namespace figlift::test {
 
-/// One target of a fleet: a stand-in and the agent beside it.
+/// One target of a fleet: a stand-in and its agent.
 struct TargetOptions {
   std::string Id;
   std::string BackEnd;
   bool IsEngine = true;
   std::string Role = "mixed";
   std::string Zone = "hall-a";
-  /// Further flags of the stand-in.
+  /// Additional flags of the stand-in.
   std::vector<std::string> StandInFlags;
 };
 
 struct FleetOptions {
   std::vector<std::string> Entries{"entry-1", "entry-2"};
   std::vector<TargetOptions> Targets;
-  /// JSON text of the records to submit first; may be an array.
+  /// JSON text of the initial record, or of an array of records.
   std::string Records;
-  /// Merged over the settings of every entry and every agent.
+  /// Merge patches for the settings of all entries and of all agents.
   nlohmann::json EntrySettings = nlohmann::json::object();
   nlohmann::json AgentSettings = nlohmann::json::object();
   std::chrono::milliseconds VmListLag{0};
@@ -47,8 +47,8 @@
 
 class Fleet {
 public:
-  /// Starts everything and waits until both kinds of back end can be served;
-  /// m_Problem tells what went wrong when ready() is false.
+  /// Starts all processes and waits until all targets serve. If ready() returns
+  /// false, problem() describes the failure.
   explicit Fleet(FleetOptions Options);
   ~Fleet();
   Fleet(const Fleet &) = delete;
@@ -71,32 +71,32 @@
   /// Processes by name: "platform", "fault-proxy", an entry's id, a target's
   /// id (its agent), or "target:" and the id (its stand-in).
   ChildProcess &process(const std::string &Name);
-  /// Starts an ended process again with the same settings.
+  /// Restarts an exited process with the same settings.
   void restart(const std::string &Name);
 
   /// Sets a link of the fault proxy: "agent:ID" (entries to the agent),
   /// "target:ID" (the agent to its target), "platform:PROCESS", "entry:ID".
   void link(const std::string &Name, const std::string &Mode,
             std::chrono::milliseconds Delay = {});
-  /// Fault mode of the platform stand-in, see its head comment.
+  /// Sets the fault mode of the platform stand-in; see its file comment.
   void platformFault(const std::string &Mode,
                      std::chrono::milliseconds Delay = {}, int Count = 0);
   void setVmState(const std::string &Id, const std::string &State);
 
-  /// What the stand-in of a target has taken.
+  /// Requests that the stand-in of a target has recorded.
   nlohmann::json book(const std::string &TargetId) const;
-  /// Executions of \p Key over all service stand-ins.
+  /// Number of executions of \p Key, summed over all service stand-ins.
   int executions(const std::string &Key) const;
   nlohmann::json getJson(const std::string &Address,
                          const std::string &Path) const;
   /// Runs figlift-ctl against all entries; returns its exit code and output.
   std::pair<int, std::string> control(std::vector<std::string> Arguments);
-  /// Writes \p Text to a new file in the fleet's folder.
+  /// Writes \p Text to a file in the fleet's folder and returns its path.
   std::string writeFile(const std::string &Name, const std::string &Text);
 
   /// Sends SIGTERM to every agent and entry; true when all exit with 0.
   bool stopGracefully(std::chrono::milliseconds Limit);
-  /// Last lines of every process's log, for the message of a failed test.
+  /// End of each process's log, for the message of a failed test.
   std::string logs() const;
 
 private:
@@ -111,9 +111,9 @@
   void publishVmList();
   void submitRecords();
   void waitUntilServing();
-  /// Whether the slices of every service have been granted.
+  /// Whether the slices of all services are granted.
   bool homesKnown() const;
-  void launch(const std::string &Name, Program What,
+  void launch(const std::string &Name, Program Command,
               const std::string &ReadyText);
   void addLink(const std::string &Name, const std::string &Listen,
                const std::string &Target);
@@ -125,7 +125,7 @@
   FleetOptions m_Options;
   std::string m_Problem;
   std::string m_Folder;
-  /// Holds the loopback prefix for this test alone while it is open.
+  /// Listening socket that reserves the loopback prefix while it is open.
   int m_Guard = -1;
   std::string m_Prefix;
   nlohmann::json m_Vms = nlohmann::json::array();
--- a/Tests/Support/FullService.h
+++ b/Tests/Support/FullService.h
@@ -1,9 +1,9 @@
-//===- FullService.h - Whether a fleet is back to full service --*- C++ -*-===//
+//===- FullService.h - Checks that a fleet recovered ------------*- C++ -*-===//
 //
-// A system that stays wedged after a fault has failed as much as one that gave
-// a wrong answer. After each fault a test asks here whether everything is
-// served again and whether anything was left behind: held answers, open calls,
-// admissions, requests in flight, half-done orders, orphaned slices.
+// A system that does not recover from a fault fails as much as one that
+// responds incorrectly. Tests check here after each fault that all back ends
+// are served again and that nothing is left behind: held answers, open calls,
+// admissions, requests in flight, unfinished orders, orphaned slices.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,15 +16,16 @@
 
 namespace figlift::test {
 
-/// Value of an unlabelled metric of the process at \p Address; the sum over
-/// all labels when it has some; -1 when it is missing.
+/// Value of a metric of the process at \p Address, summed over all labels; -1
+/// if it is missing.
 double metric(const std::string &Address, const std::string &Name);
 
-/// Waits until \p Of serves every back end through every entry and holds
-/// nothing of earlier requests. Empty when it does within \p Limit, otherwise
-/// what was missing at the end. No other request may be under way.
+/// Waits until \p TestedFleet serves all back ends through all entries and
+/// holds no state of earlier requests. Returns an empty string if it does
+/// within \p Limit, and otherwise a description of the remaining problem. No
+/// other requests may be in flight.
 std::string
-fullServiceProblem(Fleet &Of,
+fullServiceProblem(Fleet &TestedFleet,
                    std::chrono::milliseconds Limit = std::chrono::seconds(40));
 
 } // namespace figlift::test
--- a/Tests/Support/MixedCallers.cpp
+++ b/Tests/Support/MixedCallers.cpp
@@ -1,4 +1,4 @@
-//===- MixedCallers.cpp - A running mixed load of callers -----------------===//
+//===- MixedCallers.cpp - Mixed load of concurrent callers ----------------===//
 //
 // See MixedCallers.h.
 //
@@ -14,36 +14,38 @@
 
 namespace {
 
-constexpr unsigned Kinds = 4;
+constexpr unsigned CallKinds = 4;
 constexpr size_t LongPromptBytes = 16000;
 constexpr seconds CallLimit{60};
-/// A call that is refused for so long counts as never served.
-constexpr seconds RefusedLimit{30};
-constexpr milliseconds Pause{50};
-constexpr size_t FaultsTold = 10;
+/// A call that is rejected for this long counts as failed.
+constexpr seconds RejectionLimit{30};
+constexpr milliseconds RetryDelay{50};
+constexpr size_t MaximumReportedFaults = 10;
 
-std::string describe(const Answer &Got) {
+std::string describe(const Answer &Response) {
   const std::string Tail =
-      Got.Body.size() > 300 ? Got.Body.substr(Got.Body.size() - 300) : Got.Body;
-  return "status " + std::to_string(Got.Status) + ", " +
-         std::to_string(Got.Body.size()) + " bytes after " +
-         std::to_string(Got.Took.count()) + " ms, ends: " + Tail;
+      Response.Body.size() > 300
+          ? Response.Body.substr(Response.Body.size() - 300)
+          : Response.Body;
+  return "status " + std::to_string(Response.Status) + ", " +
+         std::to_string(Response.Body.size()) + " bytes after " +
+         std::to_string(Response.Took.count()) + " ms, body ends with: " + Tail;
 }
 
 } // namespace
 
 std::string CallerTally::text() const {
-  std::string Text = std::to_string(Whole) + " whole, " +
-                     std::to_string(Refused) + " refused, " +
-                     std::to_string(Unreached) + " unreached, " +
-                     std::to_string(Faults.size()) + " faults";
-  for (size_t Index = 0; Index < std::min(Faults.size(), FaultsTold); ++Index)
-    Text += "\n" + Faults[Index];
+  std::string Text = std::to_string(Whole) + " complete, " +
+                     std::to_string(Refused) + " rejected, " +
+                     std::to_string(Unreached) + " unreachable, " +
+                     std::to_string(Faults.size()) + " failures";
+  for (size_t I = 0; I < std::min(Faults.size(), MaximumReportedFaults); ++I)
+    Text += "\n" + Faults[I];
   return Text;
 }
 
-MixedCallers::MixedCallers(Fleet &Under, CallerMix Mix)
-    : m_Fleet(Under), m_Mix(Mix), m_Entries(Under.entries()) {
+MixedCallers::MixedCallers(Fleet &TestedFleet, CallerMix Mix)
+    : m_Fleet(TestedFleet), m_Mix(Mix), m_Entries(TestedFleet.entries()) {
   for (unsigned Thread = 0; Thread < m_Mix.Threads; ++Thread)
     m_Threads.emplace_back([this, Thread] { work(Thread); });
 }
@@ -55,7 +57,8 @@
     const std::lock_guard Lock(m_Mutex);
     return m_Tally.Whole;
   };
-  // Calls that run already may end first; those that count began later.
+  // Each thread may first complete a call that started earlier and does not
+  // count.
   const size_t Goal = Whole() + m_Mix.Threads + Count;
   return waitUntil(Limit, [&] { return Whole() >= Goal; });
 }
@@ -65,28 +68,30 @@
   for (std::thread &Thread : m_Threads)
     Thread.join();
   m_Threads.clear();
-  for (const std::string &Key : std::exchange(m_Held, {}))
+  for (const std::string &Key : std::exchange(m_HoldKeys, {}))
     if (const int Times = m_Fleet.executions(Key); Times != 1)
-      fault("hold " + Key + " ran " + std::to_string(Times) + " times");
+      recordFailure("hold " + Key + " was executed " + std::to_string(Times) +
+                    " times");
   return m_Tally;
 }
 
 void MixedCallers::work(unsigned Thread) {
   unsigned NextEntry = Thread;
   for (unsigned Number = 0; !m_Stopping; ++Number)
-    obtain(make(Thread, Number), NextEntry);
+    performCall(createCall(Thread, Number), NextEntry);
 }
 
-MixedCallers::Wanted MixedCallers::make(unsigned Thread,
-                                        unsigned Number) const {
+MixedCallers::ExpectedCall MixedCallers::createCall(unsigned Thread,
+                                                    unsigned Number) const {
   const std::string Name =
       "caller " + std::to_string(Thread) + " call " + std::to_string(Number);
   const auto Completion = [](const std::string &Prompt, unsigned Tokens) {
-    return Wanted{"/v1/completions", completionBody("desk", Prompt, Tokens), "",
-                  expectedText(Prompt, Tokens)};
+    return ExpectedCall{"/v1/completions",
+                        completionBody("desk", Prompt, Tokens), "",
+                        expectedText(Prompt, Tokens)};
   };
-  const bool HoldsOnly = Thread < m_Mix.HoldingThreads;
-  switch (HoldsOnly ? Kinds - 1 : (Thread + Number) % Kinds) {
+  const bool OnlyHolds = Thread < m_Mix.HoldingThreads;
+  switch (OnlyHolds ? CallKinds - 1 : (Thread + Number) % CallKinds) {
   case 0:
     return Completion(Name + " long", m_Mix.LongTokens);
   case 1:
@@ -102,59 +107,61 @@
           freshKey(), ""};
 }
 
-std::string MixedCallers::pickEntry(unsigned &Next) {
-  return m_Entries[Next++ % m_Entries.size()];
+std::string MixedCallers::pickEntry(unsigned &NextIndex) {
+  return m_Entries[NextIndex++ % m_Entries.size()];
 }
 
-void MixedCallers::obtain(const Wanted &What, unsigned &NextEntry) {
-  const auto End = std::chrono::steady_clock::now() + RefusedLimit;
+void MixedCallers::performCall(const ExpectedCall &Call, unsigned &NextEntry) {
+  const auto End = std::chrono::steady_clock::now() + RejectionLimit;
   Headers Extra{{"X-Figlift-Deadline", "60s"}};
-  if (!What.Key.empty())
-    Extra["Idempotency-Key"] = What.Key;
+  if (!Call.Key.empty())
+    Extra["Idempotency-Key"] = Call.Key;
   while (true) {
     const std::string Entry = pickEntry(NextEntry);
-    const Answer Got = call(m_Fleet.callers(Entry), "POST", What.Path,
-                            What.Body, Extra, CallLimit);
-    if (judge(What, Entry, Got))
+    const Answer Response = call(m_Fleet.callers(Entry), "POST", Call.Path,
+                                 Call.Body, Extra, CallLimit);
+    if (checkResponse(Call, Entry, Response))
       return;
     if (std::chrono::steady_clock::now() >= End)
-      return fault("never served, last by " + Entry + ": " + describe(Got));
-    waitUntil(Pause, [this] { return m_Stopping.load(); });
+      return recordFailure("not served within the limit, last by " + Entry +
+                           ": " + describe(Response));
+    waitUntil(RetryDelay, [this] { return m_Stopping.load(); });
   }
 }
 
-bool MixedCallers::judge(const Wanted &What, const std::string &Entry,
-                         const Answer &Got) {
-  if (Got.Unreached) {
+bool MixedCallers::checkResponse(const ExpectedCall &Call,
+                                 const std::string &Entry,
+                                 const Answer &Response) {
+  if (Response.Unreached) {
     count(&CallerTally::Unreached);
     return false;
   }
-  if (Got.Status != 200 && Got.executed() == "not-run") {
+  if (Response.Status != 200 && Response.executed() == "not-run") {
     count(&CallerTally::Refused);
     return false;
   }
   const bool IsRight =
-      Got.Status == 200 &&
-      (What.Text.empty()
-           ? Got.Whole
-           : Got.streamedToTheEnd() && Got.streamedText() == What.Text);
+      Response.Status == 200 &&
+      (Call.Text.empty() ? Response.Whole
+                         : Response.streamedToTheEnd() &&
+                               Response.streamedText() == Call.Text);
   if (IsRight)
     count(&CallerTally::Whole);
   else
-    fault(What.Path + " by " + Entry + ": " + describe(Got));
-  if (!What.Key.empty()) {
+    recordFailure(Call.Path + " by " + Entry + ": " + describe(Response));
+  if (!Call.Key.empty()) {
     const std::lock_guard Lock(m_Mutex);
-    m_Held.push_back(What.Key);
+    m_HoldKeys.push_back(Call.Key);
   }
   return true;
 }
 
-void MixedCallers::count(size_t CallerTally::*Which) {
+void MixedCallers::count(size_t CallerTally::*Counter) {
   const std::lock_guard Lock(m_Mutex);
-  ++(m_Tally.*Which);
+  ++(m_Tally.*Counter);
 }
 
-void MixedCallers::fault(std::string What) {
+void MixedCallers::recordFailure(std::string Description) {
   const std::lock_guard Lock(m_Mutex);
-  m_Tally.Faults.push_back(std::move(What));
+  m_Tally.Faults.push_back(std::move(Description));
 }
--- a/Tests/Support/MixedCallers.h
+++ b/Tests/Support/MixedCallers.h
@@ -1,8 +1,8 @@
-//===- MixedCallers.h - A running mixed load of callers ---------*- C++ -*-===//
+//===- MixedCallers.h - Mixed load of concurrent callers --------*- C++ -*-===//
 //
-// A few threads that call through the entries without a pause, as customers'
-// clients would: long and short streams, decisions on long prompts and slot
-// holds. Every answer is compared with the one that is due.
+// Threads that continuously send requests through the entries, as clients do:
+// long and short streams, long prompts with a single output token, and slot
+// holds. Every response is compared with the expected one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,22 +22,22 @@
   unsigned Threads = 8;
   unsigned LongTokens = 400;
   unsigned ShortTokens = 6;
-  /// Whether every fourth call holds a slot at a plain service.
+  /// Whether every fourth call holds a slot at a service.
   bool Holds = true;
-  /// So many of the threads do nothing else: the others wait for completions
-  /// that are refused, and hold none meanwhile.
+  /// Number of threads that only hold slots. The others hold none while they
+  /// retry rejected completions.
   unsigned HoldingThreads = 0;
 };
 
-/// What became of all calls so far.
+/// Results of all calls so far.
 struct CallerTally {
-  /// Right answers.
+  /// Correct responses.
   size_t Whole = 0;
-  /// Answers that said "not run"; the call was sent again.
+  /// Responses with "not-run", after which the call was retried.
   size_t Refused = 0;
-  /// Entries that could not be reached; the call went to another.
+  /// Failed connections to entries, after which another entry was tried.
   size_t Unreached = 0;
-  /// A line for each answer that was wrong, broken or never came.
+  /// One line for each response that was wrong, incomplete or missing.
   std::vector<std::string> Faults;
 
   std::string text() const;
@@ -45,33 +45,35 @@
 
 class MixedCallers {
 public:
-  MixedCallers(Fleet &Under, CallerMix Mix);
+  MixedCallers(Fleet &TestedFleet, CallerMix Mix);
   ~MixedCallers();
 
-  /// Waits until \p Count more calls have begun and ended well.
+  /// Waits until \p Count more calls have started and succeeded.
   bool waitForMore(size_t Count, std::chrono::milliseconds Limit);
-  /// Lets the running calls end and begins no more. Slot holds that ran not
-  /// exactly once are among the faults.
+  /// Starts no more calls and waits for the present ones. Slot holds that were
+  /// not executed exactly once are added to the faults.
   CallerTally stop();
 
 private:
-  struct Wanted {
+  struct ExpectedCall {
     std::string Path;
     std::string Body;
     std::string Key;
-    /// Text that the answer must have; empty: any answer with status 200.
+    /// Expected text; if empty, any complete response with status 200 is
+    /// correct.
     std::string Text;
   };
 
   void work(unsigned Thread);
-  Wanted make(unsigned Thread, unsigned Number) const;
-  /// Calls until the answer came or a fault is certain.
-  void obtain(const Wanted &What, unsigned &NextEntry);
-  /// True when the call is over.
-  bool judge(const Wanted &What, const std::string &Entry, const Answer &Got);
-  std::string pickEntry(unsigned &Next);
-  void count(size_t CallerTally::*Which);
-  void fault(std::string What);
+  ExpectedCall createCall(unsigned Thread, unsigned Number) const;
+  /// Retries the call until a final response or a failure.
+  void performCall(const ExpectedCall &Call, unsigned &NextEntry);
+  /// True if the call is finished and must not be retried.
+  bool checkResponse(const ExpectedCall &Call, const std::string &Entry,
+                     const Answer &Response);
+  std::string pickEntry(unsigned &NextIndex);
+  void count(size_t CallerTally::*Counter);
+  void recordFailure(std::string Description);
 
   Fleet &m_Fleet;
   const CallerMix m_Mix;
@@ -79,8 +81,8 @@
   std::atomic<bool> m_Stopping{false};
   std::mutex m_Mutex;
   CallerTally m_Tally;
-  /// Keys of slot holds that were answered.
-  std::vector<std::string> m_Held;
+  /// Keys of slot holds that got a final response.
+  std::vector<std::string> m_HoldKeys;
   std::vector<std::thread> m_Threads;
 };
 
--- a/Tests/Support/WaitUntil.h
+++ b/Tests/Support/WaitUntil.h
@@ -1,6 +1,7 @@
 //===- WaitUntil.h - Waiting on a condition ---------------------*- C++ -*-===//
 //
-// Tests never sleep for a guessed time: they poll a condition with a limit.
+// Tests poll a condition with a time limit instead of sleeping for a fixed
+// time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +14,7 @@
 
 inline constexpr std::chrono::milliseconds PollInterval{10};
 
-/// Polls \p Condition until it holds; false when \p Limit passes first.
+/// Polls \p Condition until it is true; false if \p Limit passes first.
 template <typename Predicate>
 bool waitUntil(std::chrono::milliseconds Limit, Predicate Condition) {
   auto End = std::chrono::steady_clock::now() + Limit;
