--- a/Tests/FaultMatrix/Load.cpp
+++ b/Tests/FaultMatrix/Load.cpp
@@ -53,9 +53,9 @@
   const std::string Expected = expectedText(Prompt, Tokens);
   if (!Expected.starts_with(Text))
     blame("wrong text: " + Text + " instead of " + Expected);
-  if (Got.streamedToTheEnd() && Got.Status == 200 && Text != Expected)
+  if (Got.isStreamComplete() && Got.Status == 200 && Text != Expected)
     blame("ended as whole, but is not: " + Got.Body);
-  note({Begin, {}, Got.streamedToTheEnd() && Text == Expected, false});
+  note({Begin, {}, Got.isStreamComplete() && Text == Expected, false});
   return Got.Status != 0;
 }
 
--- a/Tests/Integration/TestWholePath.cpp
+++ b/Tests/Integration/TestWholePath.cpp
@@ -24,13 +24,13 @@
   Answer Decision = call(m_Fleet.callers("entry-1"), "POST", "/v1/completions",
                          completionBody("desk", LongPrompt, 1));
   CHECK_EQUAL(200, Decision.Status);
-  CHECK_TRUE(Decision.streamedToTheEnd());
+  CHECK_TRUE(Decision.isStreamComplete());
   CHECK_EQUAL(expectedText(LongPrompt, 1), Decision.streamedText());
 
   Answer Reply = call(m_Fleet.callers("entry-2"), "POST", "/v1/completions",
                       completionBody("desk", "When does the lift open?", 60));
   CHECK_EQUAL(200, Reply.Status);
-  CHECK_TRUE(Reply.streamedToTheEnd());
+  CHECK_TRUE(Reply.isStreamComplete());
   CHECK_EQUAL(expectedText("When does the lift open?", 60),
               Reply.streamedText());
 }
--- a/Tests/Leaving/LeavingFleet.cpp
+++ b/Tests/Leaving/LeavingFleet.cpp
@@ -63,7 +63,7 @@
     size_t Now = Before;
     bool Quiet = false;
     for (size_t Calls = 0; Calls < CallsWithoutNews; Calls += 10) {
-      if (!Load.waitForMore(10, Limit))
+      if (!Load.waitForSuccesses(10, Limit))
         return std::nullopt;
       Now = taken(Of, Target);
       Quiet = Now == Before;
--- a/Tests/Leaving/TestNotices.cpp
+++ b/Tests/Leaving/TestNotices.cpp
@@ -53,7 +53,7 @@
   /// Every notice to a target of its own, then a check of every answer.
   void leaveByEveryNotice(const char *Hardship, bool RetiresService = true) {
     MixedCallers Load(m_Fleet, LeavingMix);
-    CHECK_TRUE(Load.waitForMore(30, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(30, Limit));
     leaves(Load, Hardship, "lm-desk-1", "drain", [&] {
       auto [Code, Output] = m_Fleet.control({"drain", "lm-desk-1"});
       CHECK_EQUAL_TEXT(0, Code, Output.c_str());
@@ -71,7 +71,7 @@
       });
     const CallerTally Tally = Load.stop();
     CHECK_TEXT(Tally.Faults.empty(), Tally.text().c_str());
-    CHECK_TEXT(Tally.Unreached == 0, Tally.text().c_str());
+    CHECK_TEXT(Tally.Unreachable == 0, Tally.text().c_str());
     UT_PRINT((std::string(Hardship) + ": " + Tally.text()).c_str());
   }
 };
--- a/Tests/Leaving/TestOutage.cpp
+++ b/Tests/Leaving/TestOutage.cpp
@@ -51,7 +51,7 @@
   /// Right answers each second, over many calls.
   double goodput(MixedCallers & Load) {
     const auto Begin = steady_clock::now();
-    CHECK_TRUE(Load.waitForMore(CallsMeasured, 3 * Limit));
+    CHECK_TRUE(Load.waitForSuccesses(CallsMeasured, 3 * Limit));
     const std::chrono::duration<double> Took = steady_clock::now() - Begin;
     return CallsMeasured / Took.count();
   }
@@ -76,7 +76,7 @@
   // stopped meanwhile. Cause: a step of a request or a stop that needs the
   // store.
   MixedCallers Load(m_Fleet, LeavingMix);
-  CHECK_TRUE(Load.waitForMore(50, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(50, Limit));
   const double Before = goodput(Load);
   m_Fleet.platformFault("down");
   const auto End = steady_clock::now() + OutageTime;
@@ -115,7 +115,7 @@
   // drain again, then undrain. Cause: a wish that only the table can carry,
   // or one that no later record takes back.
   MixedCallers Load(m_Fleet, LeavingMix);
-  const bool Begun = Load.waitForMore(30, Limit);
+  const bool Begun = Load.waitForSuccesses(30, Limit);
   CHECK_TEXT(Begun, m_Fleet.logs().c_str());
   m_Fleet.platformFault("down");
   const size_t Before = taken(m_Fleet, "lm-desk-1");
@@ -145,12 +145,12 @@
 // agents stand still in turn and their links are given up.
 TEST(Outage, LosesNoCompletionWhenAgentsStandStill) {
   MixedCallers Load(m_Fleet, LeavingMix);
-  CHECK_TRUE(Load.waitForMore(30, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   m_Fleet.platformFault("down");
   for (const char *Each : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-1",
                            "lm-desk-2", "lm-desk-3"}) {
     m_Fleet.process(Each).pause();
-    CHECK_TRUE(Load.waitForMore(60, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(60, Limit));
     CHECK_TRUE(waitUntil(Limit, [&] { return stateOf(Each) != "serving"; }));
     m_Fleet.process(Each).resume();
     CHECK_TRUE(reaches(Each, "serving"));
@@ -173,7 +173,7 @@
     return waitUntil(Limit, [&] { return steady_clock::now() >= End; });
   };
   MixedCallers Load(m_Fleet, LeavingMix);
-  CHECK_TRUE(Load.waitForMore(30, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   m_Fleet.platformFault("down");
   for (int Times = 0; Times < 4; ++Times) {
     for (const char *Each : Engines) {
@@ -183,7 +183,7 @@
     CHECK_TRUE(Passes(2200ms));
     for (const char *Each : Engines)
       m_Fleet.process(Each).resume();
-    CHECK_TRUE(Load.waitForMore(30, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   }
   m_Fleet.platformFault("none");
   const CallerTally Tally = Load.stop();
--- a/Tests/Orders/TestRollout.cpp
+++ b/Tests/Orders/TestRollout.cpp
@@ -60,7 +60,7 @@
     const unsigned Tokens = IsLongPrompt ? 1 : 80;
     const Answer Got = call(Entry, "POST", "/v1/completions",
                             completionBody("desk", Prompt, Tokens));
-    if (Got.Status == 200 && Got.streamedToTheEnd() &&
+    if (Got.Status == 200 && Got.isStreamComplete() &&
         Got.streamedText() == expectedText(Prompt, Tokens)) {
       ++m_Whole;
       return;
--- a/Tests/PlannedChanges/TestGracefulStops.cpp
+++ b/Tests/PlannedChanges/TestGracefulStops.cpp
@@ -130,7 +130,7 @@
   Streaming.join();
   Holding.join();
   CHECK_TRUE(Runs);
-  CHECK_TRUE(Stream.streamedToTheEnd());
+  CHECK_TRUE(Stream.isStreamComplete());
   CHECK_EQUAL(expectedText("patience", LongTokens), Stream.streamedText());
   CHECK_EQUAL_TEXT(200, Hold.Status, Hold.Body.c_str());
   CHECK_EQUAL(1, m_Fleet.executions(Key));
--- a/Tests/PlannedChanges/TestPlannedChanges.cpp
+++ b/Tests/PlannedChanges/TestPlannedChanges.cpp
@@ -70,7 +70,7 @@
     // While completions are refused the plain service still has work.
     Mix.HoldingThreads = 1;
     m_Callers = std::make_unique<MixedCallers>(m_Fleet, Mix);
-    CHECK_TRUE(m_Callers->waitForMore(1, Limit));
+    CHECK_TRUE(m_Callers->waitForSuccesses(1, Limit));
   }
   void teardown() override { m_Callers.reset(); }
 
@@ -100,7 +100,7 @@
     control({"apply", "-f", m_Fleet.writeFile("change.json", Text), "--wait"});
   }
   void goOn(const char *Step) {
-    CHECK_TEXT(m_Callers->waitForMore(CallsBetween, Limit), Step);
+    CHECK_TEXT(m_Callers->waitForSuccesses(CallsBetween, Limit), Step);
   }
   void restart(const std::string &Name) {
     m_Fleet.process(Name).terminate();
--- a/Tests/Support/Caller.cpp
+++ b/Tests/Support/Caller.cpp
@@ -89,7 +89,7 @@
   return Text;
 }
 
-bool Answer::streamedToTheEnd() const {
+bool Answer::isStreamComplete() const {
   auto Payloads = eventPayloads(Body);
   return Whole && !Payloads.empty() && Payloads.back() == "[DONE]";
 }
@@ -129,10 +129,11 @@
   } catch (const std::exception &Problem) {
     // A lost connection is an outcome that tests check, not an error.
     Result.Whole = false;
-    Result.Unreached = std::string_view(Problem.what()).find(ConnectFailure) !=
-                       std::string_view::npos;
+    Result.ConnectFailed =
+        std::string_view(Problem.what()).find(ConnectFailure) !=
+        std::string_view::npos;
   }
-  Result.Took = std::chrono::duration_cast<std::chrono::milliseconds>(
+  Result.Duration = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::steady_clock::now() - Start);
   return Result;
 }
--- a/Tests/Support/Caller.h
+++ b/Tests/Support/Caller.h
@@ -32,13 +32,13 @@
   /// The body was received completely.
   bool Whole = false;
   /// The connection failed, so no part of the request was sent.
-  bool Unreached = false;
-  std::chrono::milliseconds Took{0};
+  bool ConnectFailed = false;
+  std::chrono::milliseconds Duration{0};
 
   /// Concatenated text of all server-sent completion chunks.
   std::string streamedText() const;
   /// The stream ended with `data: [DONE]`.
-  bool streamedToTheEnd() const;
+  bool isStreamComplete() const;
   /// Number of the result code in a problem document; 0 if there is none.
   int resultCode() const;
   /// Member "executed" of a problem document.
--- a/Tests/Support/MixedCallers.cpp
+++ b/Tests/Support/MixedCallers.cpp
@@ -29,7 +29,8 @@
           : Response.Body;
   return "status " + std::to_string(Response.Status) + ", " +
          std::to_string(Response.Body.size()) + " bytes after " +
-         std::to_string(Response.Took.count()) + " ms, body ends with: " + Tail;
+         std::to_string(Response.Duration.count()) +
+         " ms, body ends with: " + Tail;
 }
 
 } // namespace
@@ -37,7 +38,7 @@
 std::string CallerTally::text() const {
   std::string Text = std::to_string(Whole) + " complete, " +
                      std::to_string(Refused) + " rejected, " +
-                     std::to_string(Unreached) + " unreachable, " +
+                     std::to_string(Unreachable) + " unreachable, " +
                      std::to_string(Faults.size()) + " failures";
   for (size_t I = 0; I < std::min(Faults.size(), MaximumReportedFaults); ++I)
     Text += "\n" + Faults[I];
@@ -52,7 +53,7 @@
 
 MixedCallers::~MixedCallers() { stop(); }
 
-bool MixedCallers::waitForMore(size_t Count, milliseconds Limit) {
+bool MixedCallers::waitForSuccesses(size_t Count, milliseconds Limit) {
   const auto Whole = [this] {
     const std::lock_guard Lock(m_Mutex);
     return m_Tally.Whole;
@@ -132,8 +133,8 @@
 bool MixedCallers::checkResponse(const ExpectedCall &Call,
                                  const std::string &Entry,
                                  const Answer &Response) {
-  if (Response.Unreached) {
-    count(&CallerTally::Unreached);
+  if (Response.ConnectFailed) {
+    count(&CallerTally::Unreachable);
     return false;
   }
   if (Response.Status != 200 && Response.executed() == "not-run") {
@@ -143,7 +144,7 @@
   const bool IsRight =
       Response.Status == 200 &&
       (Call.Text.empty() ? Response.Whole
-                         : Response.streamedToTheEnd() &&
+                         : Response.isStreamComplete() &&
                                Response.streamedText() == Call.Text);
   if (IsRight)
     count(&CallerTally::Whole);
--- a/Tests/Support/MixedCallers.h
+++ b/Tests/Support/MixedCallers.h
@@ -36,7 +36,7 @@
   /// Responses with "not-run", after which the call was retried.
   size_t Refused = 0;
   /// Failed connections to entries, after which another entry was tried.
-  size_t Unreached = 0;
+  size_t Unreachable = 0;
   /// One line for each response that was wrong, incomplete or missing.
   std::vector<std::string> Faults;
 
@@ -49,7 +49,7 @@
   ~MixedCallers();
 
   /// Waits until \p Count more calls have started and succeeded.
-  bool waitForMore(size_t Count, std::chrono::milliseconds Limit);
+  bool waitForSuccesses(size_t Count, std::chrono::milliseconds Limit);
   /// Starts no more calls and waits for the present ones. Slot holds that were
   /// not executed exactly once are added to the faults.
   CallerTally stop();
--- a/Tests/WholeAnswers/StreamBurst.cpp
+++ b/Tests/WholeAnswers/StreamBurst.cpp
@@ -75,7 +75,7 @@
   for (size_t Index = 0; Index < m_Answers.size(); ++Index) {
     const Answer &Got = m_Answers[Index];
     const std::string Wanted = expectedText(m_Prompts[Index], m_Tokens);
-    if (Got.Status == 200 && Got.streamedToTheEnd() &&
+    if (Got.Status == 200 && Got.isStreamComplete() &&
         Got.streamedText() == Wanted)
       continue;
     const size_t Tail = std::min<size_t>(Got.Body.size(), 300);
--- a/Tests/WholeAnswers/TestComingBack.cpp
+++ b/Tests/WholeAnswers/TestComingBack.cpp
@@ -123,7 +123,7 @@
   for (std::thread &Thread : Threads)
     Thread.join();
   for (size_t Index = 0; Index < Calls.size(); ++Index) {
-    CHECK_TRUE(Answers[Index].streamedToTheEnd());
+    CHECK_TRUE(Answers[Index].isStreamComplete());
     CHECK_EQUAL(expectedText(Calls[Index].second, Tokens),
                 Answers[Index].streamedText());
   }
