--- a/Libraries/LibHttp/ConnectionExchange.cpp
+++ b/Libraries/LibHttp/ConnectionExchange.cpp
@@ -31,16 +31,16 @@
 std::string decodeEscapes(std::string_view Text) {
   std::string Decoded;
   Decoded.reserve(Text.size());
-  for (size_t i = 0; i < Text.size(); ++i) {
+  for (size_t I = 0; I < Text.size(); ++I) {
     unsigned char Byte = 0;
-    const char *const Digits = Text.data() + i + 1;
-    if (Text[i] == '%' && i + 2 < Text.size() &&
+    const char *const Digits = Text.data() + I + 1;
+    if (Text[I] == '%' && I + 2 < Text.size() &&
         std::from_chars(Digits, Digits + 2, Byte, 16).ptr == Digits + 2) {
       Decoded += static_cast<char>(Byte);
-      i += 2;
+      I += 2;
       continue;
     }
-    Decoded += Text[i];
+    Decoded += Text[I];
   }
   return Decoded;
 }
--- a/Libraries/LibHttp/JsonBody.cpp
+++ b/Libraries/LibHttp/JsonBody.cpp
@@ -13,11 +13,11 @@
 bool nestsDeeperThan(std::string_view Json, size_t Depth) {
   size_t OpenBrackets = 0;
   bool InString = false;
-  for (size_t i = 0; i < Json.size(); ++i) {
-    const char Character = Json[i];
+  for (size_t I = 0; I < Json.size(); ++I) {
+    const char Character = Json[I];
     if (InString) {
       if (Character == '\\')
-        ++i;
+        ++I;
       else if (Character == '"')
         InString = false;
     } else if (Character == '"') {
--- a/Libraries/LibHttp/Server.cpp
+++ b/Libraries/LibHttp/Server.cpp
@@ -71,7 +71,7 @@
                      "cannot listen on " + m_Options.Listen.toString() + ": " +
                          Code.message());
     accept();
-    for (unsigned i = 0; i < std::max(1U, m_Options.Threads); ++i)
+    for (unsigned I = 0; I < std::max(1U, m_Options.Threads); ++I)
       m_Threads.emplace_back([this] { m_Shared->Loop.run(); });
     return success();
   }
--- a/Tests/Leaving/DrainingFleet.cpp
+++ b/Tests/Leaving/DrainingFleet.cpp
@@ -65,7 +65,7 @@
     size_t Received = Before;
     bool Unchanged = false;
     for (size_t Calls = 0; Calls < CallsWithoutNewRequest; Calls += 10) {
-      if (!Load.waitForMore(10, Limit))
+      if (!Load.waitForSuccesses(10, Limit))
         return std::nullopt;
       Received = receivedRequests(TargetFleet, Target);
       Unchanged = Received == Before;
--- a/Tests/Leaving/TestNotices.cpp
+++ b/Tests/Leaving/TestNotices.cpp
@@ -58,7 +58,7 @@
   /// responses.
   void checkEveryNotice(const char *Condition, bool RetiresService = true) {
     MixedCallers Load(m_Fleet, DrainingMix);
-    CHECK_TRUE(Load.waitForMore(30, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(30, Limit));
     checkDraining(Load, Condition, "lm-desk-1", "drain", [&] {
       auto [Code, Output] = m_Fleet.control({"drain", "lm-desk-1"});
       CHECK_EQUAL_TEXT(0, Code, Output.c_str());
@@ -76,7 +76,7 @@
       });
     const CallerTally Tally = Load.stop();
     CHECK_TEXT(Tally.Faults.empty(), Tally.text().c_str());
-    CHECK_TEXT(Tally.Unreached == 0, Tally.text().c_str());
+    CHECK_TEXT(Tally.Unreachable == 0, Tally.text().c_str());
     UT_PRINT((std::string(Condition) + ": " + Tally.text()).c_str());
   }
 };
--- a/Tests/Leaving/TestOutage.cpp
+++ b/Tests/Leaving/TestOutage.cpp
@@ -51,7 +51,7 @@
   /// Correct responses per second over many calls.
   double goodput(MixedCallers & Load) {
     const auto Begin = steady_clock::now();
-    CHECK_TRUE(Load.waitForMore(CallsMeasured, 3 * Limit));
+    CHECK_TRUE(Load.waitForSuccesses(CallsMeasured, 3 * Limit));
     const std::chrono::duration<double> Elapsed = steady_clock::now() - Begin;
     return CallsMeasured / Elapsed.count();
   }
@@ -76,7 +76,7 @@
   // target's agent and an entry are stopped.
   // Cause: a step of a request or of a stop depends on the store.
   MixedCallers Load(m_Fleet, DrainingMix);
-  CHECK_TRUE(Load.waitForMore(50, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(50, Limit));
   const double Before = goodput(Load);
   m_Fleet.platformFault("down");
   const auto End = steady_clock::now() + OutageTime;
@@ -117,7 +117,7 @@
   // Cause: the desired state is stored only in the table, or no later record
   // overrides it.
   MixedCallers Load(m_Fleet, DrainingMix);
-  const bool Started = Load.waitForMore(30, Limit);
+  const bool Started = Load.waitForSuccesses(30, Limit);
   CHECK_TEXT(Started, m_Fleet.logs().c_str());
   m_Fleet.platformFault("down");
   const size_t Before = receivedRequests(m_Fleet, "lm-desk-1");
@@ -149,12 +149,12 @@
 // in turn and their links are closed.
 TEST(Outage, LosesNoCompletionWhenAgentsStall) {
   MixedCallers Load(m_Fleet, DrainingMix);
-  CHECK_TRUE(Load.waitForMore(30, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   m_Fleet.platformFault("down");
   for (const char *Agent : {"lm-desk-1", "lm-desk-2", "lm-desk-3", "lm-desk-1",
                             "lm-desk-2", "lm-desk-3"}) {
     m_Fleet.process(Agent).pause();
-    CHECK_TRUE(Load.waitForMore(60, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(60, Limit));
     CHECK_TRUE(waitUntil(Limit, [&] { return stateOf(Agent) != "serving"; }));
     m_Fleet.process(Agent).resume();
     CHECK_TRUE(reachesState(Agent, "serving"));
@@ -177,7 +177,7 @@
     return waitUntil(Limit, [&] { return steady_clock::now() >= End; });
   };
   MixedCallers Load(m_Fleet, DrainingMix);
-  CHECK_TRUE(Load.waitForMore(30, Limit));
+  CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   m_Fleet.platformFault("down");
   for (int Round = 0; Round < 4; ++Round) {
     for (const char *Agent : Agents) {
@@ -187,7 +187,7 @@
     CHECK_TRUE(WaitFor(2200ms));
     for (const char *Agent : Agents)
       m_Fleet.process(Agent).resume();
-    CHECK_TRUE(Load.waitForMore(30, Limit));
+    CHECK_TRUE(Load.waitForSuccesses(30, Limit));
   }
   m_Fleet.platformFault("none");
   const CallerTally Tally = Load.stop();
--- a/Tests/LibProxy/TestRequestParser.cpp
+++ b/Tests/LibProxy/TestRequestParser.cpp
@@ -23,8 +23,8 @@
 TEST(RequestParser, ParsesARequestByteByByte) {
   const std::string Text = "POST /a/b?c HTTP/1.1\r\nHost: h\r\n"
                            "Content-Length: 3\r\n\r\nxyz";
-  for (size_t i = 0; i + 1 < Text.size(); ++i)
-    CHECK(Parser.feed(Text.substr(i, 1)) != State::Complete);
+  for (size_t I = 0; I + 1 < Text.size(); ++I)
+    CHECK(Parser.feed(Text.substr(I, 1)) != State::Complete);
   CHECK(Parser.feed(Text.substr(Text.size() - 1)) == State::Complete);
   const Request Parsed = Parser.take();
   STRCMP_EQUAL("POST", Parsed.Head.Method.c_str());
--- a/Tests/PlannedChanges/TestPlannedChanges.cpp
+++ b/Tests/PlannedChanges/TestPlannedChanges.cpp
@@ -71,7 +71,7 @@
     // Keeps the service busy while completions are rejected.
     Mix.HoldingThreads = 1;
     m_Callers = std::make_unique<MixedCallers>(m_Fleet, Mix);
-    CHECK_TRUE(m_Callers->waitForMore(1, Limit));
+    CHECK_TRUE(m_Callers->waitForSuccesses(1, Limit));
   }
   void teardown() override { m_Callers.reset(); }
 
@@ -101,7 +101,7 @@
     control({"apply", "-f", m_Fleet.writeFile("change.json", Text), "--wait"});
   }
   void waitForCalls(const char *Step) {
-    CHECK_TEXT(m_Callers->waitForMore(CallsAfterStep, Limit), Step);
+    CHECK_TEXT(m_Callers->waitForSuccesses(CallsAfterStep, Limit), Step);
   }
   void restart(const std::string &Name) {
     m_Fleet.process(Name).terminate();
--- a/Tests/WholeAnswers/StreamBurst.cpp
+++ b/Tests/WholeAnswers/StreamBurst.cpp
@@ -75,7 +75,7 @@
   for (size_t Index = 0; Index < m_Answers.size(); ++Index) {
     const Answer &Response = m_Answers[Index];
     const std::string Expected = expectedText(m_Prompts[Index], m_Tokens);
-    if (Response.Status == 200 && Response.streamedToTheEnd() &&
+    if (Response.Status == 200 && Response.isStreamComplete() &&
         Response.streamedText() == Expected)
       continue;
     const size_t Tail = std::min<size_t>(Response.Body.size(), 300);
