--- a/Libraries/LibDispatch/StagePlanner.cpp
+++ b/Libraries/LibDispatch/StagePlanner.cpp
@@ -164,9 +164,9 @@
   m_Pending.erase(TargetId);
 }
 
-void StagePlanner::recordRefusal(const std::string &TargetId, BootTime Now) {
+void StagePlanner::recordFailure(const std::string &TargetId, BootTime Now) {
   if (const auto Found = m_Pending.find(TargetId); Found != m_Pending.end())
-    Found->second.Until = Now + m_Options.RefusalPause;
+    Found->second.Until = Now + m_Options.FailurePause;
 }
 
 void StagePlanner::recordAcceptance(const std::string &TargetId,
--- a/Libraries/LibDispatch/StagePlanner.h
+++ b/Libraries/LibDispatch/StagePlanner.h
@@ -50,8 +50,9 @@
   /// An unanswered order may still take effect within this time. The platform
   /// specifies twelve seconds at most.
   std::chrono::milliseconds UnansweredOrderTime{12500};
-  /// Pause after a refusal: the engine may be busy with another order.
-  std::chrono::milliseconds RefusalPause{4000};
+  /// Pause after an order that was refused or could not be sent: the engine may
+  /// be busy with another order.
+  std::chrono::milliseconds FailurePause{4000};
   /// Minimum number of decode engines, so that requests can still run after the
   /// loss of one.
   size_t MinimumDecode = 2;
@@ -72,14 +73,15 @@
                                   BootTime Now);
 
   /// Records that an order was sent. It stays pending until the list shows the
-  /// new stage, or it was refused and the pause has passed, or it can no longer
+  /// new stage, or it failed and the pause has passed, or it can no longer
   /// take effect.
   void recordOrder(const StageChange &Change, BootTime Now);
   /// Removes the pending order: the engine is already in that stage, or the
   /// order was not sent.
   void clearOrder(const std::string &TargetId);
-  /// The engine refused the order. The next one follows after a pause.
-  void recordRefusal(const std::string &TargetId, BootTime Now);
+  /// The order was refused or could not be sent; the next one follows after a
+  /// pause.
+  void recordFailure(const std::string &TargetId, BootTime Now);
   /// The engine accepted the order and is unavailable until \p AvailableAt.
   void recordAcceptance(const std::string &TargetId, BootTime AvailableAt);
   bool isUnavailable(const std::string &TargetId, BootTime Now) const;
--- a/Services/figlift-gateway/StageDirector.cpp
+++ b/Services/figlift-gateway/StageDirector.cpp
@@ -160,16 +160,16 @@
   if (Status != 200 || !Report) {
     log::logEvent(log::Level::Warning, "engine-report-missing",
                   {{"target", Change.TargetId}, {"status", Status}});
-    return Planner.recordRefusal(Change.TargetId, Now);
+    return Planner.recordFailure(Change.TargetId, Now);
   }
-  // The engine has restarted, so its number of accepted orders belongs to
-  // another start than the planned one.
+  // The engine has restarted since the plan, so its order count starts anew; do
+  // not send.
   if (Report.value().Started != Change.Start)
-    return Planner.recordRefusal(Change.TargetId, Now);
+    return Planner.recordFailure(Change.TargetId, Now);
   if (Report.value().CurrentStage == Change.DesiredStage)
     return Planner.clearOrder(Change.TargetId);
   if (Report.value().Busy)
-    return Planner.recordRefusal(Change.TargetId, Now);
+    return Planner.recordFailure(Change.TargetId, Now);
   sendOrder(Service, Change, Report.value().AcceptedOrders);
 }
 
@@ -226,7 +226,7 @@
   if (Reply == slopes::OrderReply::AlreadyInStage)
     Planner.clearOrder(Change.TargetId);
   else
-    Planner.recordRefusal(Change.TargetId, Now);
+    Planner.recordFailure(Change.TargetId, Now);
 }
 
 } // namespace figlift::gateway
--- a/Services/figlift-gateway/StageDirector.h
+++ b/Services/figlift-gateway/StageDirector.h
@@ -37,7 +37,8 @@
     dispatch::StagePlanner Planner;
     dispatch::PeakDemand Demand;
     std::shared_ptr<lease::LeaseKeeper> Lease;
-    /// Since when a change has been planned; empty while there is none.
+    /// Since when the planner has proposed a change without interruption; empty
+    /// while it proposes none.
     std::optional<BootTime> WantedSince;
   };
 
--- a/Tests/LibDispatch/TestStagePlanner.cpp
+++ b/Tests/LibDispatch/TestStagePlanner.cpp
@@ -114,7 +114,7 @@
 TEST(StagePlanner, PausesAfterARefusal) {
   const auto Change = plan({3, 3});
   Planner.recordOrder(*Change, Now);
-  Planner.recordRefusal(Change->TargetId, Now);
+  Planner.recordFailure(Change->TargetId, Now);
   CHECK(!plan({3, 3}));
   Now += milliseconds(4100);
   CHECK(plan({3, 3}).has_value());
