--- a/Libraries/LibDispatch/CrashSuspects.h
+++ b/Libraries/LibDispatch/CrashSuspects.h
@@ -48,18 +48,18 @@
   /// After a suspect was sent to a server, no other gateway sends it for this
   /// time. A request that causes crashes ends its server within this time.
   std::chrono::milliseconds IsolationTime{500};
-  /// The same once the crash limit is reached. The outcome of the previous send
-  /// must be known before the next one, and that may take until the store's
-  /// list drops the server.
+  /// IsolationTime of a request at the crash limit. Longer, because the outcome
+  /// of the previous send must be known before the next one, and that may take
+  /// until the store's list drops the server.
   std::chrono::milliseconds IsolationTimeAtLimit{5000};
-  /// A rejected request is tried again this long after its last crash; each
-  /// further crash multiplies the pause by BackoffFactor.
+  /// A rejected request is tried again (a trial) this long after its last
+  /// crash; each failed trial multiplies the pause by BackoffFactor.
   std::chrono::seconds InitialBackoff{30};
   int BackoffFactor = 6;
-  /// A crash counts as a failed trial if it comes more than TrialDelay after
-  /// the crash that reached CrashLimit. After MaximumTrials of them the request
-  /// is not tried any more.
+  /// After this many failed trials the request is not tried any more.
   size_t MaximumTrials = 3;
+  /// A crash counts as a failed trial if it comes more than this long after the
+  /// crash that reached CrashLimit.
   std::chrono::milliseconds TrialDelay{2000};
   /// Maximum number of crashes stored per request.
   size_t MaximumCrashes = 12;
--- a/Libraries/LibDispatch/DatagramSeal.h
+++ b/Libraries/LibDispatch/DatagramSeal.h
@@ -26,7 +26,7 @@
   /// Fails with InvalidInput if \p Secret is not in the format of newSecret().
   static Result<DatagramSeal> fromSecret(const std::string &Secret);
 
-  /// Returns \p Body with the checksum and its kind prepended.
+  /// Prepends the checksum and \p Kind to \p Body.
   std::string seal(char Kind, std::string_view Body) const;
   struct Opened {
     char Kind = 0;
--- a/Libraries/LibDispatch/EngineDemand.h
+++ b/Libraries/LibDispatch/EngineDemand.h
@@ -47,9 +47,10 @@
   double cacheFillShare(BootTime Now) const;
 
 private:
-  /// If the prefill of the first six seconds counts in full, 30 of 58 engines
-  /// are set to prefill where 15 are needed later. Discounting it raises the
-  /// value earned on a day with such bursts from 0.220 to 0.320.
+  /// Counting the prefill of the first six seconds in full sets twice the
+  /// engines needed to prefill, e.g. 30 of 58 where 15 suffice later.
+  /// Discounting it raises the value earned on a day with such bursts from
+  /// 0.220 to 0.320.
   static constexpr std::chrono::milliseconds CacheFillTime{10000};
 
   double decay(BootTime Now) const;
--- a/Libraries/LibDispatch/ProcessStop.h
+++ b/Libraries/LibDispatch/ProcessStop.h
@@ -9,11 +9,11 @@
 // rejected at once, as not run, and the caller turns to another process. The
 // usual duration of requests is no sufficient basis: it is unknown before the
 // first ones have ended, and streams of several times the mean are common.
-// Decisions by the mean cut streams that took up to 10 s where 0 to 1.7 s were
+// Decisions by the mean cut streams that take up to 10 s where 0 to 1.7 s are
 // expected. So a streamed answer is accepted only if its deadline, at which it
-// ends in any case, comes before the stop. An answer that is sent whole cannot
-// be cut: a caller that is still waiting at the end gets a final answer, so the
-// expected duration with a wide margin suffices.
+// ends in any case, comes before the stop. An answer that is sent
+// whole cannot be cut: a caller that is still waiting at the end gets a final
+// answer, so the expected duration with a wide margin suffices.
 //
 //   SIGTERM ... idle connections close ... final answers ... exit ... kill
 //   0           0.35 of the time to        grace - 0.7 s     + 0.3 s  grace
@@ -65,9 +65,10 @@
   /// requests in progress.
   double IdleCloseShare = 0.35;
   /// A process without callers exits after this fraction; before that, the
-  /// platform may still send new ones. In restarts of whole fleets these two
-  /// fractions earn a share of all requests' value that is higher by 0.04 on
-  /// average than 0.6 and 0.5 do, and higher in each of six fleets.
+  /// platform may still send new ones. In restarts of whole fleets,
+  /// IdleCloseShare 0.35 with NoCallersShare 0.4 earns a share of all requests'
+  /// value that is higher by 0.04 on average than 0.6 with 0.5 does, and higher
+  /// in each of six fleets.
   double NoCallersShare = 0.4;
   /// A whole answer is accepted if it fits into this reserve plus WholeFactor
   /// times its planned time.
--- a/Libraries/LibDispatch/TargetTable.h
+++ b/Libraries/LibDispatch/TargetTable.h
@@ -4,7 +4,8 @@
 // unavailable the last list stays in use, because requests must not wait for
 // the store. Entries that expire during the outage are registered again shortly
 // after it, so missing entries are kept for that time. A server that has really
-// left is detected by the identity check of its successor or by its silence.
+// left is detected by its successor at the same address, which rejects requests
+// that are meant for another server, or because it no longer answers.
 //
 // A server that restarts under the same id is a new target: its tracked state
 // (work, cache, speed, connections) is dropped. A delayed write to the store
