--- a/Libraries/LibAdmission/SpeedEstimator.h
+++ b/Libraries/LibAdmission/SpeedEstimator.h
@@ -2,10 +2,10 @@
 //
 // A target that runs prefill and decode concurrently divides its time between
 // both, so neither speed can be measured directly: under load, plain averages
-// of both would be too low, and together they would show an engine as
-// overloaded that is half utilized. The decode step is therefore measured with
-// tokens that no prompt delayed, and the time of decode steps is subtracted
-// from the time of prefill.
+// of both would be too low, and together they would make a half-utilized engine
+// look overloaded. The decode step is therefore measured with tokens that no
+// prompt delayed, and the time of decode steps is subtracted from the time of
+// prefill.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Libraries/LibEngine/EngineModel.cpp
+++ b/Libraries/LibEngine/EngineModel.cpp
@@ -12,10 +12,14 @@
 
 constexpr double TokensPerUnit = 1000;
 
-// The standard deviations are wide compared to the range of current engines, 30
-// to 1,000 tokens per millisecond and 1 to 30 ms for the first step. The means
-// are those of a fast engine: without measurements a gateway has to send
-// requests rather than reject them, because it learns only from requests sent.
+// Mean and standard deviation of each coefficient. Prefill, in order:
+// PrefillFixed, PrefillPerThousandTokens, PrefillPerMillionPairs and
+// FetchFixed, in ms. Current engines take 1 to 33 ms per 1,000 tokens (30 to
+// 1,000 tokens per millisecond) and 1 to 30 ms for PrefillFixed and
+// DecodeStartFixed; a standard deviation of 20 ms covers most of either range.
+// The means of 5 ms are in the lower part of the ranges: without measurements a
+// gateway has to send requests rather than reject them, because it learns only
+// from requests sent.
 constexpr std::array<CoefficientPrior, 4> PrefillPrior = {
     {{5, 20}, {5, 20}, {0.1, 0.5}, {1, 5}}};
 constexpr std::array<CoefficientPrior, 1> DecodePrefillPrior = {{{3, 2}}};
--- a/Libraries/LibIdempotency/HomeMachine.h
+++ b/Libraries/LibIdempotency/HomeMachine.h
@@ -19,12 +19,12 @@
 namespace figlift::idempotency {
 
 struct HomeOptions {
-  /// A key that was minted further ahead of this machine's wall clock is
+  /// A key that was minted further ahead of this VM's wall clock is
   /// refused.
   std::chrono::milliseconds MaximumKeyAhead{2000};
   /// After a takeover at T, keys that were minted until T + TakeoverGuard count
   /// as old. Must be at least MaximumKeyAhead plus the largest difference
-  /// between the wall clocks of two machines.
+  /// between the wall clocks of two VMs.
   std::chrono::milliseconds TakeoverGuard{3000};
   /// How long a settled claim is kept.
   std::chrono::milliseconds Retention{std::chrono::hours{24}};
--- a/Libraries/LibIdempotency/HomeTypes.h
+++ b/Libraries/LibIdempotency/HomeTypes.h
@@ -50,11 +50,11 @@
   Initial,
   /// The predecessor was alive and sent its claims first.
   Handover,
-  /// This process replaced a dead one in the same slot. After binding the port
-  /// it found its target in the row of grants and rewrote the grant with the
-  /// next epoch. Reading the row is not sufficient, because a write by the dead
-  /// process that grants the slice to a successor may take effect after the
-  /// read.
+  /// This process replaced a dead one on the same VM and port. After binding
+  /// the port it found its target in the row of grants and rewrote the grant
+  /// with the next epoch. Reading the row is not sufficient, because a write by
+  /// the dead process that grants the slice to a successor may take effect
+  /// after the read.
   SameSlotRestart,
   /// The former home is absent from the platform's list or was retired.
   TableTakeover,
--- a/Libraries/LibLease/LeaseMachine.h
+++ b/Libraries/LibLease/LeaseMachine.h
@@ -79,7 +79,7 @@
   uint64_t Epoch = 0;
   bool operator==(const BecomeHolder &) const = default;
 };
-/// Authority with this epoch has ended; the planner stops at once.
+/// Authority with this epoch has ended; the holder must give no more orders.
 struct LoseAuthority {
   uint64_t Epoch = 0;
   bool operator==(const LoseAuthority &) const = default;
--- a/Libraries/LibPlan/FluidModel.cpp
+++ b/Libraries/LibPlan/FluidModel.cpp
@@ -91,8 +91,8 @@
 double ratio(double Part, double Total) { return Total > 0 ? Part / Total : 0; }
 
 /// Two queues in series. Each tracks its own work and the work of the same
-/// requests in the other phase, so that a change of the mix does not affect
-/// requests that already wait.
+/// requests in the other stage, so that a change of the mix of prefill and
+/// decode does not affect requests that already wait.
 class Queues {
 public:
   Queues(const FluidSettings &Settings, const Backlog &Waiting,
--- a/Libraries/LibPlan/MixHistory.cpp
+++ b/Libraries/LibPlan/MixHistory.cpp
@@ -1,7 +1,7 @@
 //===- MixHistory.cpp - Usual duration of a mix of work ---------*- C++ -*-===//
 //
-// A phase is a period in which the share of prefill stays above or below its
-// average.
+// A period (Phase in names) is a time in which the share of prefill in the mix
+// of prefill and decode stays above or below its average.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 /// average if it differs from it by at least this factor.
 constexpr double DeadBand = 1.1;
 
-/// Weight of a sample in the typical demand of a phase; about one sample
+/// Weight of a sample in the typical demand of a period; about one sample
 /// arrives per second.
 constexpr double TypicalWeight = 0.1;
 
@@ -93,7 +93,7 @@
   if (m_PhaseLength.count() == 0)
     return {Offered, Offered, Horizon, Horizon};
   const Seconds Elapsed = Now - m_SideSince;
-  // If a phase exceeds the usual length, its expected remainder grows with its
+  // If a period exceeds the usual length, its expected remainder grows with its
   // age, so that it is gradually treated as permanent.
   const Seconds Remaining = std::max(m_PhaseLength - Elapsed, Elapsed / 2);
   const auto Rounded = [](Seconds Time) {
--- a/Libraries/LibPlan/MixHistory.h
+++ b/Libraries/LibPlan/MixHistory.h
@@ -19,8 +19,9 @@
 class MixHistory {
 public:
   void observe(const Demand &Offered, BootTime Now);
-  /// Returns the expected demand. As long as no phase has been complete,
-  /// \p Offered is expected for \p Horizon.
+  /// Returns the expected demand. As long as no period (the time that the mix
+  /// stays on one side of its average) has been complete, \p Offered is
+  /// expected for \p Horizon.
   Forecast forecast(const Demand &Offered, std::chrono::milliseconds Horizon,
                     BootTime Now) const;
 
@@ -37,10 +38,10 @@
   bool m_HasSamples = false;
   Side m_Side = Side::Unknown;
   BootTime m_SideSince;
-  /// Moving averages of the demand within the phases of each side.
+  /// Moving averages of the demand within the periods of each side.
   Demand m_TypicalPrefill;
   Demand m_TypicalDecode;
-  /// Moving average of the lengths of complete phases; 0 before the first.
+  /// Moving average of the lengths of complete periods; 0 before the first.
   std::chrono::duration<double> m_PhaseLength{0};
 };
 
--- a/Libraries/LibPlan/RolePlanner.cpp
+++ b/Libraries/LibPlan/RolePlanner.cpp
@@ -148,7 +148,7 @@
         --Changed.AfterChange.count(From);
         ++Changed.AfterChange.count(To);
         const double ImmediateValue = Value(Changed);
-        // Skip a change that is worth more in the next phase than now.
+        // Skip a change that is worth more in the next period than now.
         Changed.ChangeStart = ExpectedDemand.CurrentDuration;
         if (ExpectedDemand.CurrentDuration < Weights.Horizon &&
             Value(Changed) > ImmediateValue)
--- a/Libraries/LibPlan/RolePlanner.h
+++ b/Libraries/LibPlan/RolePlanner.h
@@ -30,8 +30,8 @@
 struct FigliftPlan {
   /// Work that has waited for this time has no value.
   std::chrono::milliseconds MaximumWait{10000};
-  /// Expect the mix to last as long as recent phases did; if false, for the
-  /// whole horizon.
+  /// Expect the mix of prefill and decode to last as long as recent periods
+  /// did; if false, for the whole horizon.
   bool LearnsPersistence = true;
 };
 
--- a/Libraries/LibRetry/RetryDecision.cpp
+++ b/Libraries/LibRetry/RetryDecision.cpp
@@ -201,8 +201,9 @@
     return GiveUp{afterHandOff(Code), Execution::MayHaveRun, RetryAfter};
   }
 
-  /// Refusal codes promise "not run". They are replaced once an attempt may
-  /// have run, however the last attempt ended.
+  /// A code below 300 or from 400 on may tell the caller that the request did
+  /// not run. It is replaced once an attempt may have run, however the last
+  /// attempt ended. Codes 300 to 399 are outcomes after dispatch, so they stay.
   ResultCode afterHandOff(ResultCode Code) const {
     const int Number = static_cast<int>(Code);
     if (Number >= 300 && Number < 400)
--- a/Libraries/LibRetry/RetryDecision.h
+++ b/Libraries/LibRetry/RetryDecision.h
@@ -119,14 +119,15 @@
   unsigned MaximumRuns = 8;
   /// Time in which a crashed engine restarts. Attempts at a restarting engine
   /// fail immediately, so a limit on their number alone is not enough: with a
-  /// crash and a lost link at the same time it was reached after 1.1 s on a
-  /// loaded machine, and 7 of 24 answers were truncated. With MaximumDelay
+  /// crash and a lost link at the same time a loaded machine reaches it after
+  /// 1.1 s, and answers are truncated, e.g. 7 of 24. With MaximumDelay
   /// between them, ten more attempts fit into this time. The same time applies
   /// to repeatable work whose links are lost one after the other, because
   /// agents that stalled recover as quickly.
   std::chrono::milliseconds RestartTime{5000};
-  /// With their delays these take 300 ms, long enough for a link to recover
-  /// from a short interruption. Running the request again costs more than that.
+  /// The resumes with the delays before them take 300 ms, long enough for a
+  /// link to recover from a short interruption. Running the request again costs
+  /// more than that.
   unsigned MaximumResumes = 5;
   std::chrono::milliseconds FirstDelay{20};
   std::chrono::milliseconds MaximumDelay{500};
--- a/Libraries/LibRetry/TargetHealth.h
+++ b/Libraries/LibRetry/TargetHealth.h
@@ -26,9 +26,9 @@
   /// Doubles with each failed probe, up to MaximumEjectionTime.
   std::chrono::milliseconds FirstEjectionTime{500};
   /// A target that has recovered is probed after at most this time, and gets
-  /// its full share of work once the probe succeeds. With 15 s an engine stayed
-  /// idle for 20 s after its link was restored. A target that stays down costs
-  /// each entry one request per 5 s.
+  /// its full share of work once the probe succeeds. With 15 s an engine may
+  /// stay idle for 20 s after its link is restored. A target that stays down
+  /// costs each entry one request per 5 s.
   std::chrono::milliseconds MaximumEjectionTime{5000};
   /// Non-repeatable work is used as a probe only after one has been due for
   /// this time, because it cannot be retried if the probe fails.
