--- a/Services/figlift-agent/Agent.cpp
+++ b/Services/figlift-agent/Agent.cpp
@@ -68,8 +68,9 @@
                                              NotAcceptingRetryAfter});
     return m_Completions->run(Stream, std::move(Request));
   }
-  // Calls with a known key are answered even while draining: the home machine
-  // replays their answers, and the admission gate refuses new work.
+  // Calls with a known key are answered even while draining: the home's
+  // state machine (HomeMachine) replays their answers, and the admission gate
+  // refuses new work.
   const std::string Key = Request.idempotency_key();
   if (Key.empty())
     return m_Calls->run(Stream, std::move(Request));
--- a/Services/figlift-agent/ClaimsMessage.h
+++ b/Services/figlift-agent/ClaimsMessage.h
@@ -1,6 +1,7 @@
 //===- ClaimsMessage.h - Wire format of claims ------------------*- C++ -*-===//
 //
-// Pure conversion between the home machine's claims and HandoverRequest.
+// Pure conversion between the claims of the home's state machine (HomeMachine)
+// and HandoverRequest.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Services/figlift-agent/ServiceCalls.h
+++ b/Services/figlift-agent/ServiceCalls.h
@@ -1,8 +1,8 @@
 //===- ServiceCalls.h - Calls to a plain service ----------------*- C++ -*-===//
 //
 // Sends admitted calls to the service. Calls with an idempotency key pass the
-// home machine first, which runs each key at most once. Event loop's thread
-// only.
+// home's state machine (HomeMachine) first, which runs each key at most once.
+// Event loop's thread only.
 //
 //===----------------------------------------------------------------------===//
 
--- a/Services/figlift-agent/SliceManager.cpp
+++ b/Services/figlift-agent/SliceManager.cpp
@@ -77,7 +77,8 @@
                               BootClock::now() < m_FastReadUntil;
   if (ChangeExpected && !m_Writing)
     return readAfter(Row ? FastReadInterval : OutageReadInterval);
-  // The back end is new, and the planner is about to grant its slices.
+  // Some slices have no grant yet (epoch 0), as in a new back end; the planner
+  // grants them soon.
   if (std::ranges::any_of(
           m_Grants, [](const Grant &RowGrant) { return RowGrant.Epoch == 0; }))
     readAfter(OutageReadInterval);
--- a/Services/figlift-gateway/PeerList.cpp
+++ b/Services/figlift-gateway/PeerList.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Table of this product. The key of a row is the gateway's id, its value the
+/// Figlift's own table. The key of a row is the gateway's id, its value the
 /// address for datagrams.
 const std::string PeerTable = "figlift-gateways";
 /// The row of the fleet's secret; no gateway has this id.
--- a/Services/figlift-gateway/RequestFlow.cpp
+++ b/Services/figlift-gateway/RequestFlow.cpp
@@ -319,8 +319,8 @@
     return;
   // Silence alone does not end an attempt: it is canceled only when the
   // request may be retried and another server is available. Canceling before
-  // checking for one failed requests and interrupted streams that the silent
-  // server answered a moment later.
+  // this check would fail requests and interrupt streams that the silent server
+  // answers a moment later.
   const auto Overdue = m_Send;
   const SendOutcome End = dispatch::TimedOut{};
   if (!std::holds_alternative<dispatch::Retry>(nextStep(End, *Overdue)) ||
--- a/Tests/Soak/InvariantChecker.h
+++ b/Tests/Soak/InvariantChecker.h
@@ -87,17 +87,17 @@
   /// Gateways end streams at most this long before the deadline.
   std::chrono::milliseconds DeadlineMargin{50};
   /// Fractions of the grace of a stop: the platform's 3 s and five sixths of 8
-  /// s. A stop may interrupt requests that were sent before the first and still
-  /// run after the second.
+  /// s. A stop may interrupt requests that were sent before EarlyFraction
+  /// of the grace has passed and still run after FinalFraction of it.
   double EarlyFraction = 3.0 / 8;
   double FinalFraction = 5.0 / 6;
   /// Once a request has crashed this many servers and the stable window has
   /// passed, it may be sent only so many more times.
   unsigned CrashLimit = 3;
   unsigned SendsAfterCrashes = 3;
-  /// Within the window, a server may get the factor times the requests that its
-  /// announced limit allows, plus the slack. Requests count only if they come
-  /// from gateways that got the limit at least the delay ago.
+  /// Within LimitWindow, a server may get LimitFactor times the requests that
+  /// its announced limit allows, plus LimitSlack. Requests count only if they
+  /// come from gateways that got the limit at least LimitDelay ago.
   std::chrono::milliseconds LimitWindow{4000};
   double LimitFactor = 1.5;
   double LimitSlack = 5;
--- a/Tests/StoppingGateway/TestStoppingGateway.cpp
+++ b/Tests/StoppingGateway/TestStoppingGateway.cpp
@@ -71,9 +71,9 @@
 // Sequence: a gateway that has just started gets SIGTERM. A caller then
 // requests a stream that lasts longer than the remaining time.
 // Cause: the stream is admitted by the mean duration of the route's streams,
-// which is zero until the first one has ended. For 14 interrupted streams this
-// mean was 0 to 1.7 s, while streams of that route last 3.4 s on average and up
-// to 10 s.
+// which is zero until the first one has ended. This mean may be 0 to 1.7 s,
+// as for 14 interrupted streams, while streams of that route last 3.4 s on
+// average and up to 10 s.
 TEST(StoppingGateway, AcceptsNoStreamThatMayOutlastIt) {
   Listener &Engine = Fixture.addServer(
       "e1", "model", streamFor(Fixture.Loop, LongStream), "decode");
